--- a/rehearsal/addition.cc
+++ b/rehearsal/addition.cc
@@ -119,6 +119,7 @@
   world.checker.DayOver(static_cast<double>(kMachines) * SmallType().cpus);
   Outcome out;
   out.breaches = world.checker.breaches();
+  out.decisions = world.decisions.number();
   size_t accepted = 0;
   size_t gave_up = 0;
   for (const User& u : users_.all()) {
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -667,6 +667,8 @@
     for (const auto& c : order.commands) {
       held_starts_ += lease != 0 && c.op == wire::Op::kStart ? 1 : 0;
     }
+    world_.decisions.Ordered(world_.clock.now(), order.machine, order.address, order.token,
+                             order.session, order.commands);
     auto answered = std::make_shared<bool>(false);
     const auto finish = [this, life, token, lease, answered, order](place::DirectOutcome outcome,
                                                                     const wire::Report* r) {
--- a/rehearsal/main.cc
+++ b/rehearsal/main.cc
@@ -1,4 +1,5 @@
 // rehearse WHAT: many days of several controllers under seeds, in simulated time, each in a thread.
+#include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -52,9 +53,17 @@
 struct Totals {
   std::mutex mutex;
   size_t broken = 0;
-  std::vector<Outcome> outcomes;
+  std::vector<Outcome> outcomes;  // in the order of the seeds
 };
 
+// Prints what the controllers decided on each day, as one number: the same as long as every
+// decision is.
+void PrintDecisions(uint64_t first_seed, const std::vector<Outcome>& outcomes) {
+  for (size_t i = 0; i < outcomes.size(); ++i) {
+    std::cout << fmt::format("seed {}: decisions {:016x}\n", first_seed + i, outcomes[i].decisions);
+  }
+}
+
 // Prints how often each meeting came about; false if one was played and never did.
 bool AllMet(const std::vector<Outcome>& outcomes) {
   bool met = true;
@@ -89,6 +98,7 @@
   auto* overload = app.add_subcommand("overload", "Floods beside what others ask for");
   bool blocks = false;
   bool log = false;
+  bool decisions = false;
   auto* addition =
       app.add_subcommand("addition", "Troubles of every kind: who is forgotten, starved, late");
   auto* meetings = app.add_subcommand("meetings", "Two or three troubles that meet");
@@ -98,6 +108,7 @@
     what->add_option("--jobs", jobs, "days at once")->check(CLI::Range(1, 256));
     what->add_option("--csv", csv, "writes each day's figures there");
     what->add_flag("--blocks", blocks, "controllers hold blocks");
+    what->add_flag("--decisions", decisions, "prints each day's decisions as one number");
     what->add_flag("--log", log, "prints what the controllers log; for one day");
   }
   CLI11_PARSE(app, argc, argv);
@@ -107,6 +118,7 @@
   spdlog::set_level(log ? spdlog::level::debug : spdlog::level::off);
 
   Totals totals;
+  totals.outcomes.resize(seeds);
   std::atomic<uint64_t> next{0};
   const auto work = [&] {
     for (uint64_t i = next++; i < seeds; i = next++) {
@@ -122,13 +134,14 @@
         for (const auto& b : outcome.breaches) std::cout << "  " << b << '\n';
         for (const Fault& f : least) std::cout << "  with " << ToText(f) << '\n';
       }
-      totals.outcomes.push_back(std::move(outcome));
+      totals.outcomes[i] = std::move(outcome);
     }
   };
   std::vector<std::thread> threads;
   for (unsigned i = 0; i < jobs; ++i) threads.emplace_back(work);
   for (auto& t : threads) t.join();
 
+  if (decisions) PrintDecisions(first, totals.outcomes);
   std::ofstream file;
   if (!csv.empty()) file.open(csv);
   for (size_t i = 0; i < totals.outcomes.size(); ++i) {
--- a/rehearsal/overload.cc
+++ b/rehearsal/overload.cc
@@ -141,6 +141,7 @@
   world.clock.RunUntil(kEnd);
   Outcome out;
   out.breaches = world.checker.breaches();
+  out.decisions = world.decisions.number();
   out.breaches.insert(out.breaches.end(), breaches_.begin(), breaches_.end());
   const double budget = controllers.front()->budget();
   // What is under way counts against what is seen free, so views that lag cost half at the most.
--- a/rehearsal/overload.h
+++ b/rehearsal/overload.h
@@ -15,6 +15,7 @@
 struct Outcome {
   std::vector<std::string> breaches;
   std::vector<std::pair<std::string, double>> figures;  // name, value
+  size_t decisions = 0;                                 // of its controllers, as one number
 };
 
 class OverloadDay : public Cluster {
--- a/rehearsal/world.cc
+++ b/rehearsal/world.cc
@@ -352,6 +352,7 @@
   }
   ++revision_;
   for (const auto& [key, value] : changes) {
+    decisions_.Written(clock_.now(), key, value, grant);
     if (value) {
       pairs_[key] = {*value, revision_, grant};
     } else {
@@ -468,7 +469,11 @@
     world_.clock.After(world_.random.Uniform(0.5, 3 * world_.settings.lease_s), [this, report] {
       world_.old_copies += report.session < session_ || report.token < token_ ? 1 : 0;
       world_.on_report(world_.nodes[world_.random.Below(world_.nodes.size())], report,
-                       [](int, uint64_t, const std::vector<wire::Command>&, const std::string&) {});
+                       [this](int status, uint64_t token,
+                              const std::vector<wire::Command>& commands, const std::string& to) {
+                         world_.decisions.Answered(world_.clock.now(), id_, status, token, commands,
+                                                   to);
+                       });
     });
   }
   const auto next = [this, turn](double pause) {
@@ -488,6 +493,7 @@
         [this, node, turn, sent, session, seq, next](int status, uint64_t token,
                                                      std::vector<wire::Command> commands,
                                                      const std::string& to) {
+          world_.decisions.Answered(world_.clock.now(), id_, status, token, commands, to);
           world_.network.Send(node, id_,
                               [this, turn, sent, session, seq, next, status, token, commands, to] {
                                 // Answers that come after the worker gave up are dropped.
@@ -519,11 +525,13 @@
 }
 
 int Worker::Commands(uint64_t token, uint64_t session, const std::vector<wire::Command>& commands) {
-  if (token < token_ || session != session_) return 409;
+  const int status = token < token_ || session != session_ ? 409 : 200;
+  world_.decisions.Reached(world_.clock.now(), id_, token, session, commands, status);
+  if (status != 200) return status;
   token_ = token;
   world_.mute_orders += mute() && !commands.empty() ? 1 : 0;
   Execute(commands);
-  return 200;
+  return status;
 }
 
 void Worker::Execute(const std::vector<wire::Command>& commands) {
@@ -662,7 +670,7 @@
       types(std::move(t)),
       random(seed),
       network(clock, random),
-      state(clock),
+      state(clock, decisions),
       checker(settings, types) {}
 
 std::string World::ZoneOf(const std::string& node) const {
@@ -703,9 +711,10 @@
 std::string World::Rent(const std::string& type, const std::string& zone, bool spot) {
   const auto up = static_cast<size_t>(std::count_if(
       workers.begin(), workers.end(), [](const auto& w) { return w.second->alive(); }));
-  if (up + booting_ >= capacity) return {};
+  const std::string id = up + booting_ < capacity ? NextName() : "";
+  decisions.Rented(clock.now(), type, zone, spot, id);
+  if (id.empty()) return id;
   ++booting_;
-  const std::string id = NextName();
   clock.After(types.front().boot_s * random.Uniform(0.6, 1.5), [this, id, type, zone, spot] {
     --booting_;
     Add(id, type, zone, spot);
@@ -744,6 +753,7 @@
 }
 
 void World::Delete(const std::string& id) {
+  decisions.Returned(clock.now(), id);
   // Kept as a dead object: events that refer to it may still be queued.
   if (auto it = workers.find(id); it != workers.end()) it->second->Die();
 }
--- a/rehearsal/world.h
+++ b/rehearsal/world.h
@@ -18,6 +18,7 @@
 #include "mosspath/wire/block_frame.h"
 #include "mosspath/wire/json.h"
 #include "mosspath/wire/messages.h"
+#include "rehearsal/decisions.h"
 
 namespace mosspath::rehearsal {
 
@@ -202,7 +203,8 @@
     uint64_t version;
     uint64_t grant;
   };
-  explicit StateService(Clock& clock) : clock_(clock) {}
+  // Changes that are carried out go into the decisions.
+  StateService(Clock& clock, Decisions& decisions) : clock_(clock), decisions_(decisions) {}
 
   // These run at the service; the network is the caller's business.
   bool up() const { return clock_.now() >= down_until_; }
@@ -230,6 +232,7 @@
     double until = 0;
   };
   Clock& clock_;
+  Decisions& decisions_;
   uint64_t revision_ = 0;
   uint64_t next_grant_ = 1;
   double down_until_ = 0;
@@ -380,6 +383,7 @@
   Clock clock;
   Random random;
   Network network;
+  Decisions decisions;
   StateService state;
   RuleChecker checker;
   std::map<std::string, wire::JobSpec> specs;
--- /dev/null
+++ b/tests/decisions_test.cc
@@ -0,0 +1,79 @@
+#include "rehearsal/decisions.h"
+
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <set>
+
+namespace mosspath::rehearsal {
+namespace {
+
+using wire::Command;
+using wire::Op;
+
+const std::vector<Command> kOrder = {{Op::kStart, {"req-1", 0}, 1, 0}};
+
+size_t NumberOf(const std::function<void(Decisions&)>& decide) {
+  Decisions decisions;
+  decide(decisions);
+  return decisions.number();
+}
+
+// Every part of what a machine is told counts, and so do its time and its order.
+TEST(Decisions, EachPartOfAnOrderCounts) {
+  const auto answered = [](double now, const std::string& machine, int status, uint64_t token,
+                           const Command& command) {
+    return NumberOf([&](Decisions& d) { d.Answered(now, machine, status, token, {command}, ""); });
+  };
+  const std::set<size_t> numbers = {answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
+                                    answered(2, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
+                                    answered(1, "vm-2", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
+                                    answered(1, "vm-1", 503, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
+                                    answered(1, "vm-1", 200, 8, {Op::kStart, {"req-1", 0}, 1, 0}),
+                                    answered(1, "vm-1", 200, 7, {Op::kStop, {"req-1", 0}, 1, 0}),
+                                    answered(1, "vm-1", 200, 7, {Op::kStop, {"req-1", 0}, 1, 5}),
+                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-2", 0}, 1, 0}),
+                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 1}, 1, 0}),
+                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 2, 0})};
+  EXPECT_EQ(numbers.size(), 10U);
+  EXPECT_EQ(answered(1, "vm-1", 200, 7, kOrder[0]), answered(1, "vm-1", 200, 7, kOrder[0]));
+}
+
+TEST(Decisions, EachKindCounts) {
+  const std::set<size_t> numbers = {
+      NumberOf([](Decisions&) {}),
+      NumberOf([](Decisions& d) { d.Answered(1, "vm-1", 421, 0, {}, ""); }),
+      NumberOf([](Decisions& d) { d.Answered(1, "vm-1", 421, 0, {}, "hut-1"); }),
+      NumberOf([](Decisions& d) { d.Ordered(1, "vm-1", "vm-1:1", 7, 1, kOrder); }),
+      NumberOf([](Decisions& d) { d.Ordered(1, "vm-1", "vm-1:1", 7, 2, kOrder); }),
+      NumberOf([](Decisions& d) { d.Reached(1, "vm-1", 7, 1, kOrder, 200); }),
+      NumberOf([](Decisions& d) { d.Reached(1, "vm-1", 7, 1, kOrder, 409); }),
+      NumberOf([](Decisions& d) {
+        d.Written(1, "job/req-1", wire::Json{{"tasks", 1}}, 0);
+      }),
+      NumberOf([](Decisions& d) {
+        d.Written(1, "job/req-1", wire::Json{{"tasks", 2}}, 0);
+      }),
+      NumberOf([](Decisions& d) {
+        d.Written(1, "job/req-1", wire::Json{{"tasks", 2}}, 3);
+      }),
+      NumberOf([](Decisions& d) { d.Written(1, "job/req-1", std::nullopt, 0); }),
+      NumberOf([](Decisions& d) { d.Rented(1, "box", "east", false, "vm-1"); }),
+      NumberOf([](Decisions& d) { d.Rented(1, "box", "east", true, "vm-1"); }),
+      NumberOf([](Decisions& d) { d.Rented(1, "box", "west", true, ""); }),
+      NumberOf([](Decisions& d) { d.Returned(1, "vm-1"); })};
+  EXPECT_EQ(numbers.size(), 15U);
+}
+
+TEST(Decisions, TheirOrderCounts) {
+  const auto both = [](const std::string& first, const std::string& second) {
+    return NumberOf([&](Decisions& d) {
+      d.Returned(1, first);
+      d.Returned(1, second);
+    });
+  };
+  EXPECT_NE(both("vm-1", "vm-2"), both("vm-2", "vm-1"));
+}
+
+}  // namespace
+}  // namespace mosspath::rehearsal
