--- /dev/null
+++ b/tests/golden_frames_test.cc
@@ -0,0 +1,530 @@
+// Golden bytes of every frame between controllers: the digest, the presence and the plan that
+// answers it, the question whether a peer vouches and its answer, the frames about blocks and each
+// kind of item in them. Controllers of different versions talk to each other during an upgrade, so
+// the bytes must stay the same whatever the code's own names are.
+//
+// The expected bytes stand as hexadecimal digits, one field a line. Numbers are unsigned LEB128
+// varints, strings are preceded by their length, amounts travel in thousandths. Every field has a
+// distinct value, so that a field dropped or swapped shows.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "mosspath/service/frame_links.h"
+#include "mosspath/wire/block_frame.h"
+#include "mosspath/wire/digest.h"
+#include "mosspath/wire/presence.h"
+#include "mosspath/wire/vouch_frame.h"
+
+namespace mosspath::wire {
+namespace {
+
+constexpr const char* kDigest =
+    "81e0b503"                      // frame kind 0x6d7001
+    "02"                            // version of the layout
+    "056875742d31"                  // leader
+    "cb89ec8ff723"                  // token
+    "01"                            // settled
+    "d461"                          // leading_s
+    "01"                            // one queue:
+    "05747261696e"                  // class or team
+    "ac02"                          // jobs
+    "ad02"                          // waiting
+    "ae02"                          // running
+    "8cc312"                        // started_ago_s
+    "f4ca12"                        // finished_ago_s
+    "dcd212"                        // oldest_s
+    "076e6f20726f6f6d"              // why
+    "01"                            // one team:
+    "06766973696f6e"                // class or team
+    "9003"                          // jobs
+    "9103"                          // waiting
+    "9203"                          // running
+    "acd018"                        // started_ago_s
+    "94d818"                        // finished_ago_s
+    "fcdf18"                        // oldest_s
+    "09697473206c696d6974"          // why
+    "01"                            // one kind of machines:
+    "026738"                        // type
+    "067a6f6e652d61"                // zone
+    "01"                            // spot
+    "0b"                            // up
+    "0c"                            // draining
+    "0d"                            // booting
+    "f4e509"                        // cpus
+    "baab07"                        // used_cpus
+    "01"                            // progress towards one objective:
+    "0866696e6973686564"            // kind
+    "057365727665"                  // class
+    "b49e0c"                        // within_s
+    "dc0b"                          // times
+    "9d07"                          // share
+    "0e"                            // met
+    "0f"                            // of
+    "01"                            // one trouble:
+    "b219"                          // ago_s
+    "0d766d2d3120776173206c6f7374"  // what
+    "02"                            // two jobs:
+    "0a7265712d303030343132"        // id
+    "10"                            // done
+    "11"                            // running
+    "057265712d37"                  // id
+    "12"                            // done
+    "13";                           // running
+
+constexpr const char* kEmptyDigest =
+    "81e0b503"       // frame kind
+    "02"             // version of the layout
+    "00"             // leader
+    "00"             // token
+    "00"             // settled
+    "00"             // leading_s
+    "000000000000";  // no queues, teams, machines, progress, troubles, jobs
+
+constexpr const char* kPresence =
+    "82e0b503"       // frame kind 0x6d7002
+    "01"             // version
+    "056875742d31"   // node
+    "01"             // leads
+    "fa01"           // state_ago_s
+    "80a094a58d1d"   // cloud_ago_s: never
+    "dc0b"           // workers_ago_s
+    "02"             // two peers:
+    "056875742d30"   // node
+    "f403"           // ago_s
+    "056875742d32"   // node
+    "80a094a58d1d";  // ago_s: never
+
+constexpr const char* kPresenceWithDemand =
+    "82e0b503"      // frame kind 0x6d7002
+    "02"            // version
+    "056875742d31"  // node
+    "01"            // leads
+    "fa01"          // state_ago_s
+    "80a094a58d1d"  // cloud_ago_s: never
+    "dc0b"          // workers_ago_s
+    "02"            // two peers:
+    "056875742d30"  // node
+    "f403"          // ago_s
+    "056875742d32"  // node
+    "80a094a58d1d"  // ago_s: never
+    "dccf13";       // demand
+
+constexpr const char* kEmptyPresence =
+    "82e0b503"  // frame kind
+    "01"        // version
+    "00"        // node
+    "00"        // leads
+    "000000"    // ages
+    "00";       // no peers
+
+constexpr const char* kPlan =
+    "84e0b503"     // frame kind 0x6d7004
+    "01"           // version
+    "29"           // token
+    "2a"           // version of the plan
+    "c413"         // life_s
+    "c097e8b201";  // part: 0.375 in units of 1e-9
+
+constexpr const char* kNoPlan =
+    "84e0b503"   // frame kind
+    "01"         // version
+    "00000000";  // token, version, life_s, part
+
+constexpr const char* kVouchQuestion =
+    "02"            // version
+    "056875742d31"  // node
+    "29"            // token
+    "ac02";         // seen
+
+constexpr const char* kVouchAnswer =
+    "02"                      // version
+    "01"                      // promised
+    "b102"                    // newest
+    "ac02"                    // from
+    "b002"                    // upto
+    "02"                      // two cancellations:
+    "0a7265712d303030343132"  // id
+    "ae02"                    // revision
+    "057265712d37"            // id
+    "af02";                   // revision
+
+constexpr const char* kVouchRefusal =
+    "02"      // version
+    "00"      // promised
+    "000000"  // newest, from, upto
+    "00";     // no cancellations
+
+constexpr const char* kFullItem =
+    "18"                            // kind: kMachine
+    "04766d2d31"                    // name
+    "0a7265712d303030343132"        // job
+    "0203030401"                    // tasks 3-5 and 10, as runs
+    "e432"                          // seconds
+    "8906"                          // count
+    "01"                            // has a machine:
+    "0d31302e302e302e313a39303031"  // address
+    "026738"                        // type
+    "067a6f6e652d61"                // zone
+    "1f"                            // spot, usable, idle, needed, silent
+    "dc0b"                          // idle_s
+    "c413"                          // work_s
+    "ac1b"                          // cpus
+    "9423"                          // gpus
+    "fc2a";                         // memory_gb
+
+constexpr const char* kFrame =
+    "83e0b503"                        // frame kind 0x6d7003
+    "01"                              // version
+    "056875742d31"                    // node
+    "29"                              // leader
+    "4d"                              // lease
+    "01"                              // from_leader
+    "ad02"                            // heard
+    "80c003"                          // room
+    "e209"                            // view_age_s
+    "ae02"                            // cancelled
+    "af02"                            // first
+    "02"                              // two items:
+    "0e01057265712d3700010001000000"  // kGive of task 0 of req-7
+    "0715000000000000";               // kSynced, empty
+
+constexpr const char* kEmptyFrame =
+    "83e0b503"      // frame kind
+    "01"            // version
+    "00"            // node
+    "0000000000"    // leader, lease, from_leader, heard, room
+    "80a094a58d1d"  // view_age_s: never
+    "0000"          // cancelled, first
+    "00";           // no items
+
+std::string ToHex(std::string_view bytes) {
+  constexpr char kDigits[] = "0123456789abcdef";
+  std::string hex;
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    hex.push_back(kDigits[byte >> 4]);
+    hex.push_back(kDigits[byte & 15]);
+  }
+  return hex;
+}
+
+std::string FromHex(std::string_view hex) {
+  std::string bytes;
+  for (size_t i = 0; i < hex.size(); i += 2) {
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16)));
+  }
+  return bytes;
+}
+
+Digest FullDigest() {
+  Digest d;
+  d.leader = "hut-1";
+  d.token = 1234567890123;
+  d.settled = true;
+  d.leading_s = 12.5;
+  d.queues = {{"train", 300, 301, 302, 303.5, 304.5, 305.5, "no room"}};
+  d.teams = {{"vision", 400, 401, 402, 403.5, 404.5, 405.5, "its limit"}};
+  d.machines = {{"g8", "zone-a", true, 11, 12, 13, 160.5, 120.25}};
+  d.progress = {{"finished", "serve", 200.5, 1.5, 0.925, 14, 15}};
+  d.troubles = {{3.25, "vm-1 was lost"}};
+  d.jobs = {{"req-000412", 16, 17}, {"req-7", 18, 19}};
+  return d;
+}
+
+TEST(GoldenFrames, Digest) {
+  EXPECT_EQ(ToHex(Encode(FullDigest())), kDigest);
+  const wire::Digest d = DecodeDigest(FromHex(kDigest));
+  EXPECT_EQ(d.leader, "hut-1");
+  EXPECT_EQ(d.token, 1234567890123u);
+  EXPECT_TRUE(d.settled);
+  EXPECT_EQ(d.leading_s, 12.5);
+  ASSERT_EQ(d.queues.size(), 1u);
+  EXPECT_EQ(d.queues[0].job_class, "train");
+  EXPECT_EQ(d.queues[0].jobs, 300u);
+  EXPECT_EQ(d.queues[0].waiting, 301u);
+  EXPECT_EQ(d.queues[0].running, 302u);
+  EXPECT_EQ(d.queues[0].started_ago_s, 303.5);
+  EXPECT_EQ(d.queues[0].finished_ago_s, 304.5);
+  EXPECT_EQ(d.queues[0].oldest_s, 305.5);
+  EXPECT_EQ(d.queues[0].why, "no room");
+  ASSERT_EQ(d.teams.size(), 1u);
+  EXPECT_EQ(d.teams[0].job_class, "vision");
+  EXPECT_EQ(d.teams[0].jobs, 400u);
+  EXPECT_EQ(d.teams[0].waiting, 401u);
+  EXPECT_EQ(d.teams[0].running, 402u);
+  EXPECT_EQ(d.teams[0].started_ago_s, 403.5);
+  EXPECT_EQ(d.teams[0].finished_ago_s, 404.5);
+  EXPECT_EQ(d.teams[0].oldest_s, 405.5);
+  EXPECT_EQ(d.teams[0].why, "its limit");
+  ASSERT_EQ(d.machines.size(), 1u);
+  EXPECT_EQ(d.machines[0].type, "g8");
+  EXPECT_EQ(d.machines[0].zone, "zone-a");
+  EXPECT_TRUE(d.machines[0].spot);
+  EXPECT_EQ(d.machines[0].up, 11u);
+  EXPECT_EQ(d.machines[0].draining, 12u);
+  EXPECT_EQ(d.machines[0].booting, 13u);
+  EXPECT_EQ(d.machines[0].cpus, 160.5);
+  EXPECT_EQ(d.machines[0].used_cpus, 120.25);
+  ASSERT_EQ(d.progress.size(), 1u);
+  EXPECT_EQ(d.progress[0].kind, "finished");
+  EXPECT_EQ(d.progress[0].job_class, "serve");
+  EXPECT_EQ(d.progress[0].within_s, 200.5);
+  EXPECT_EQ(d.progress[0].times, 1.5);
+  EXPECT_EQ(d.progress[0].share, 0.925);
+  EXPECT_EQ(d.progress[0].met, 14u);
+  EXPECT_EQ(d.progress[0].of, 15u);
+  ASSERT_EQ(d.troubles.size(), 1u);
+  EXPECT_EQ(d.troubles[0].ago_s, 3.25);
+  EXPECT_EQ(d.troubles[0].what, "vm-1 was lost");
+  ASSERT_EQ(d.jobs.size(), 2u);
+  EXPECT_EQ(d.jobs[0].id, "req-000412");
+  EXPECT_EQ(d.jobs[0].done, 16u);
+  EXPECT_EQ(d.jobs[0].running, 17u);
+  EXPECT_EQ(d.jobs[1].id, "req-7");
+  EXPECT_EQ(d.jobs[1].done, 18u);
+  EXPECT_EQ(d.jobs[1].running, 19u);
+}
+
+TEST(GoldenFrames, EmptyDigest) {
+  EXPECT_EQ(ToHex(Encode(wire::Digest())), kEmptyDigest);
+  EXPECT_EQ(DecodeDigest(FromHex(kEmptyDigest)), wire::Digest());
+}
+
+Presence FullPresence() {
+  Presence p;
+  p.node = "hut-1";
+  p.leads = true;
+  p.state_ago_s = 0.25;
+  p.cloud_ago_s = kNever;
+  p.workers_ago_s = 1.5;
+  p.peers = {{"hut-0", 0.5}, {"hut-2", kNever}};
+  return p;
+}
+
+void ExpectFullPresence(const Presence& p) {
+  EXPECT_EQ(p.node, "hut-1");
+  EXPECT_TRUE(p.leads);
+  EXPECT_EQ(p.state_ago_s, 0.25);
+  EXPECT_EQ(p.cloud_ago_s, kNever);
+  EXPECT_EQ(p.workers_ago_s, 1.5);
+  ASSERT_EQ(p.peers.size(), 2u);
+  EXPECT_EQ(p.peers[0].node, "hut-0");
+  EXPECT_EQ(p.peers[0].ago_s, 0.5);
+  EXPECT_EQ(p.peers[1].node, "hut-2");
+  EXPECT_EQ(p.peers[1].ago_s, kNever);
+}
+
+TEST(GoldenFrames, Presence) {
+  EXPECT_EQ(ToHex(Encode(FullPresence())), kPresence);
+  const wire::Presence p = DecodePresence(FromHex(kPresence));
+  ExpectFullPresence(p);
+  EXPECT_FALSE(p.demand);
+}
+
+TEST(GoldenFrames, PresenceWithDemand) {
+  wire::Presence full = FullPresence();
+  full.demand = 321.5;
+  EXPECT_EQ(ToHex(Encode(full)), kPresenceWithDemand);
+  const wire::Presence p = DecodePresence(FromHex(kPresenceWithDemand));
+  ExpectFullPresence(p);
+  EXPECT_EQ(p.demand, 321.5);
+}
+
+TEST(GoldenFrames, EmptyPresence) {
+  EXPECT_EQ(ToHex(Encode(wire::Presence())), kEmptyPresence);
+  EXPECT_EQ(DecodePresence(FromHex(kEmptyPresence)), wire::Presence());
+}
+
+TEST(GoldenFrames, Plan) {
+  EXPECT_EQ(ToHex(Encode(admission::Plan{41, 42, 2.5, 0.375})), kPlan);
+  const admission::Plan p = DecodePlan(FromHex(kPlan));
+  EXPECT_EQ(p.token, 41u);
+  EXPECT_EQ(p.version, 42u);
+  EXPECT_EQ(p.life_s, 2.5);
+  EXPECT_EQ(p.part, 0.375);
+}
+
+// What a controller that does not lead answers.
+TEST(GoldenFrames, NoPlan) {
+  EXPECT_EQ(ToHex(Encode(admission::Plan())), kNoPlan);
+  EXPECT_EQ(DecodePlan(FromHex(kNoPlan)), admission::Plan());
+}
+
+TEST(GoldenFrames, VouchQuestion) {
+  EXPECT_EQ(ToHex(Encode(wire::VouchQuestion{"hut-1", 41, 300})), kVouchQuestion);
+  const wire::VouchQuestion q = DecodeVouchQuestion(FromHex(kVouchQuestion));
+  EXPECT_EQ(q.node, "hut-1");
+  EXPECT_EQ(q.token, 41u);
+  EXPECT_EQ(q.seen, 300u);
+}
+
+TEST(GoldenFrames, VouchAnswer) {
+  wire::VouchAnswer answer;
+  answer.promised = true;
+  answer.cancelled = {305, 300, 304, {{"req-000412", 302}, {"req-7", 303}}};
+  EXPECT_EQ(ToHex(Encode(answer)), kVouchAnswer);
+  const wire::VouchAnswer a = DecodeVouchAnswer(FromHex(kVouchAnswer));
+  EXPECT_TRUE(a.promised);
+  EXPECT_EQ(a.cancelled.newest, 305u);
+  EXPECT_EQ(a.cancelled.from, 300u);
+  EXPECT_EQ(a.cancelled.upto, 304u);
+  ASSERT_EQ(a.cancelled.ids.size(), 2u);
+  EXPECT_EQ(a.cancelled.ids[0].id, "req-000412");
+  EXPECT_EQ(a.cancelled.ids[0].revision, 302u);
+  EXPECT_EQ(a.cancelled.ids[1].id, "req-7");
+  EXPECT_EQ(a.cancelled.ids[1].revision, 303u);
+}
+
+TEST(GoldenFrames, VouchRefusal) {
+  EXPECT_EQ(ToHex(Encode(wire::VouchAnswer())), kVouchRefusal);
+  const wire::VouchAnswer a = DecodeVouchAnswer(FromHex(kVouchRefusal));
+  EXPECT_FALSE(a.promised);
+  EXPECT_EQ(a.cancelled.newest, 0u);
+  EXPECT_EQ(a.cancelled.from, 0u);
+  EXPECT_EQ(a.cancelled.upto, 0u);
+  EXPECT_TRUE(a.cancelled.ids.empty());
+}
+
+TEST(GoldenFrames, BlockItemWithAllFields) {
+  BlockItem item;
+  item.kind = BlockItem::Kind::kMachine;
+  item.name = "vm-1";
+  item.job = "req-000412";
+  item.tasks = {3, 4, 5, 10};
+  item.seconds = 6.5;
+  item.count = 777;
+  item.machine = BlockItem::Machine{.address = "10.0.0.1:9001",
+                                    .type = "g8",
+                                    .zone = "zone-a",
+                                    .spot = true,
+                                    .usable = true,
+                                    .idle = true,
+                                    .needed = true,
+                                    .silent = true,
+                                    .idle_s = 1.5,
+                                    .work_s = 2.5,
+                                    .cpus = 3.5,
+                                    .gpus = 4.5,
+                                    .memory_gb = 5.5};
+  EXPECT_EQ(ToHex(Encode(item)), kFullItem);
+  const BlockItem read = DecodeBlockItem(FromHex(kFullItem));
+  EXPECT_EQ(read.kind, BlockItem::Kind::kMachine);
+  EXPECT_EQ(read.name, "vm-1");
+  EXPECT_EQ(read.job, "req-000412");
+  EXPECT_EQ(read.tasks, (std::vector<uint32_t>{3, 4, 5, 10}));
+  EXPECT_EQ(read.seconds, 6.5);
+  EXPECT_EQ(read.count, 777u);
+  ASSERT_TRUE(read.machine);
+  EXPECT_EQ(read.machine->address, "10.0.0.1:9001");
+  EXPECT_EQ(read.machine->type, "g8");
+  EXPECT_EQ(read.machine->zone, "zone-a");
+  EXPECT_TRUE(read.machine->spot);
+  EXPECT_TRUE(read.machine->usable);
+  EXPECT_TRUE(read.machine->idle);
+  EXPECT_TRUE(read.machine->needed);
+  EXPECT_TRUE(read.machine->silent);
+  EXPECT_EQ(read.machine->idle_s, 1.5);
+  EXPECT_EQ(read.machine->work_s, 2.5);
+  EXPECT_EQ(read.machine->cpus, 3.5);
+  EXPECT_EQ(read.machine->gpus, 4.5);
+  EXPECT_EQ(read.machine->memory_gb, 5.5);
+}
+
+// Each kind's number, in an item that has nothing else.
+TEST(GoldenFrames, KindsOfBlockItems) {
+  using Kind = BlockItem::Kind;
+  const std::vector<std::pair<Kind, const char*>> kinds{
+      {Kind::kGive, "01"},      {Kind::kHanded, "02"},  {Kind::kKept, "03"},
+      {Kind::kDrop, "04"},      {Kind::kAskBack, "05"}, {Kind::kDraining, "06"},
+      {Kind::kDeleted, "07"},   {Kind::kClaim, "14"},   {Kind::kSynced, "15"},
+      {Kind::kDone, "16"},      {Kind::kBack, "17"},    {Kind::kMachine, "18"},
+      {Kind::kGivenBack, "19"}, {Kind::kLoad, "1a"},    {Kind::kDoubt, "1b"}};
+  // No name, job, tasks, seconds, count or machine.
+  constexpr const char* kNothingElse = "000000000000";
+  for (const auto& [kind, number] : kinds) {
+    BlockItem item;
+    item.kind = kind;
+    const std::string hex = std::string(number) + kNothingElse;
+    EXPECT_EQ(ToHex(Encode(item)), hex);
+    EXPECT_EQ(DecodeBlockItem(FromHex(hex)), item) << hex;
+  }
+}
+
+// Each flag of a machine has a bit of its own.
+TEST(GoldenFrames, FlagsOfBlockMachines) {
+  using Machine = BlockItem::Machine;
+  const std::vector<std::pair<bool Machine::*, const char*>> flags{{&Machine::spot, "01"},
+                                                                   {&Machine::usable, "02"},
+                                                                   {&Machine::idle, "04"},
+                                                                   {&Machine::needed, "08"},
+                                                                   {&Machine::silent, "10"}};
+  // kMachine; no name, job, tasks, seconds or count; a machine without address, type and zone.
+  const std::string before = "18000000000001000000";
+  const std::string after = "0000000000";  // no amounts
+  for (const auto& [flag, bits] : flags) {
+    BlockItem item;
+    item.kind = BlockItem::Kind::kMachine;
+    item.machine = Machine();
+    (*item.machine).*flag = true;
+    const std::string hex = before + bits + after;
+    EXPECT_EQ(ToHex(Encode(item)), hex);
+    EXPECT_EQ(DecodeBlockItem(FromHex(hex)), item) << hex;
+  }
+}
+
+TEST(GoldenFrames, BlockFrame) {
+  EXPECT_STREQ(service::kFramePath, "/peer/v1/block");
+  BlockItem give;
+  give.kind = BlockItem::Kind::kGive;
+  give.name = "req-7";
+  give.tasks = {0};
+  BlockItem synced;
+  synced.kind = BlockItem::Kind::kSynced;
+  wire::BlockFrame frame;
+  frame.node = "hut-1";
+  frame.leader = 41;
+  frame.lease = 77;
+  frame.from_leader = true;
+  frame.heard = 301;
+  frame.room = kMaxBlockFrame;
+  frame.view_age_s = 1.25;
+  frame.cancelled = 302;
+  frame.first = 303;
+  frame.items = {Encode(give), Encode(synced)};
+  EXPECT_EQ(ToHex(Encode(frame)), kFrame);
+  const wire::BlockFrame read = DecodeBlockFrame(FromHex(kFrame));
+  EXPECT_EQ(read.node, "hut-1");
+  EXPECT_EQ(read.leader, 41u);
+  EXPECT_EQ(read.lease, 77u);
+  EXPECT_TRUE(read.from_leader);
+  EXPECT_EQ(read.heard, 301u);
+  EXPECT_EQ(read.room, 57344u);
+  EXPECT_EQ(read.view_age_s, 1.25);
+  EXPECT_EQ(read.cancelled, 302u);
+  EXPECT_EQ(read.first, 303u);
+  ASSERT_EQ(read.items.size(), 2u);
+  EXPECT_EQ(DecodeBlockItem(read.items[0]), give);
+  EXPECT_EQ(DecodeBlockItem(read.items[1]), synced);
+}
+
+TEST(GoldenFrames, EmptyBlockFrame) {
+  EXPECT_EQ(ToHex(Encode(wire::BlockFrame())), kEmptyFrame);
+  const wire::BlockFrame read = DecodeBlockFrame(FromHex(kEmptyFrame));
+  EXPECT_EQ(read.node, "");
+  EXPECT_EQ(read.leader, 0u);
+  EXPECT_EQ(read.lease, 0u);
+  EXPECT_FALSE(read.from_leader);
+  EXPECT_EQ(read.heard, 0u);
+  EXPECT_EQ(read.room, 0u);
+  EXPECT_EQ(read.view_age_s, kNever);
+  EXPECT_EQ(read.cancelled, 0u);
+  EXPECT_EQ(read.first, 0u);
+  EXPECT_TRUE(read.items.empty());
+}
+
+}  // namespace
+}  // namespace mosspath::wire
--- /dev/null
+++ b/tests/golden_records_test.cc
@@ -0,0 +1,421 @@
+// Golden values of the state service: the keys and the exact JSON text of every value that is
+// stored under mosspath/. A running cluster holds such values, written by earlier versions, so the
+// text must stay the same whatever the code's own names are. Each test encodes a value whose fields
+// are all distinct and not at their defaults, compares the text, then decodes the text and checks
+// each field.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "mosspath/config/operator_settings.h"
+#include "mosspath/config/settings.h"
+#include "mosspath/jobs/directory.h"
+#include "mosspath/jobs/job.h"
+#include "mosspath/jobs/ledger.h"
+#include "mosspath/picture/picture.h"
+#include "mosspath/place/records.h"
+#include "mosspath/service/keys.h"
+#include "mosspath/wire/json.h"
+
+namespace mosspath {
+namespace {
+
+using wire::Json;
+
+constexpr const char* kFullSpec =
+    R"({"apart":true,"builds":["g8","c4"],"cards":1.25,"catch":"group","crates":600,)"
+    R"("dawn_s":900.5,"guess_s":240.5,"house":"vision","id":"req-000412","kit":"img-07",)"
+    R"("loaners":true,"lot":"train","mem_gb":64.5,"rank":"critical","shore":"zone-a",)"
+    R"("size_gb":6.25,"stow_s":4.5,"tally_s":30.5,"together":true,"vcpus":8.5})";
+// A job that leaves out all that is optional.
+constexpr const char* kSmallSpec =
+    R"({"apart":false,"cards":0.0,"catch":"daemon","crates":3,"guess_s":0.0,"house":"desk",)"
+    R"("id":"req-7","kit":"img-01","loaners":false,"lot":"serve","mem_gb":2.0,"rank":"low",)"
+    R"("size_gb":0.5,"stow_s":0.0,"tally_s":0.0,"together":false,"vcpus":1.0})";
+constexpr double kFullSubmitted = 1700000000.25;
+constexpr double kSmallSubmitted = 1700000001.5;
+
+wire::JobSpec FullSpec() {
+  wire::JobSpec spec;
+  spec.id = "req-000412";
+  spec.job_class = "train";
+  spec.team = "vision";
+  spec.kind = wire::Kind::kGang;
+  spec.rank = wire::Rank::kCritical;
+  spec.tasks = 600;
+  spec.cpus = 8.5;
+  spec.gpus = 1.25;
+  spec.memory_gb = 64.5;
+  spec.image = "img-07";
+  spec.image_gb = 6.25;
+  spec.types = {"g8", "c4"};
+  spec.zone = "zone-a";
+  spec.one_zone = true;
+  spec.spread = true;
+  spec.spot = true;
+  spec.estimate_s = 240.5;
+  spec.checkpoint_s = 30.5;
+  spec.save_s = 4.5;
+  spec.deadline_s = 900.5;
+  return spec;
+}
+
+wire::JobSpec SmallSpec() {
+  wire::JobSpec spec;
+  spec.id = "req-7";
+  spec.job_class = "serve";
+  spec.team = "desk";
+  spec.kind = wire::Kind::kService;
+  spec.rank = wire::Rank::kLow;
+  spec.tasks = 3;
+  spec.cpus = 1;
+  spec.memory_gb = 2;
+  spec.image = "img-01";
+  spec.image_gb = 0.5;
+  return spec;
+}
+
+void ExpectFullSpec(const wire::JobSpec& spec) {
+  EXPECT_EQ(spec.id, "req-000412");
+  EXPECT_EQ(spec.job_class, "train");
+  EXPECT_EQ(spec.team, "vision");
+  EXPECT_EQ(spec.kind, wire::Kind::kGang);
+  EXPECT_EQ(spec.rank, wire::Rank::kCritical);
+  EXPECT_EQ(spec.tasks, 600u);
+  EXPECT_EQ(spec.cpus, 8.5);
+  EXPECT_EQ(spec.gpus, 1.25);
+  EXPECT_EQ(spec.memory_gb, 64.5);
+  EXPECT_EQ(spec.image, "img-07");
+  EXPECT_EQ(spec.image_gb, 6.25);
+  EXPECT_EQ(spec.types, (std::vector<std::string>{"g8", "c4"}));
+  EXPECT_EQ(spec.zone, "zone-a");
+  EXPECT_TRUE(spec.one_zone);
+  EXPECT_TRUE(spec.spread);
+  EXPECT_TRUE(spec.spot);
+  EXPECT_EQ(spec.estimate_s, 240.5);
+  EXPECT_EQ(spec.checkpoint_s, 30.5);
+  EXPECT_EQ(spec.save_s, 4.5);
+  EXPECT_EQ(spec.deadline_s, 900.5);
+}
+
+void ExpectSmallSpec(const wire::JobSpec& spec) {
+  EXPECT_EQ(spec.id, "req-7");
+  EXPECT_EQ(spec.job_class, "serve");
+  EXPECT_EQ(spec.team, "desk");
+  EXPECT_EQ(spec.kind, wire::Kind::kService);
+  EXPECT_EQ(spec.rank, wire::Rank::kLow);
+  EXPECT_EQ(spec.tasks, 3u);
+  EXPECT_EQ(spec.cpus, 1);
+  EXPECT_EQ(spec.gpus, 0);
+  EXPECT_EQ(spec.memory_gb, 2);
+  EXPECT_EQ(spec.image, "img-01");
+  EXPECT_EQ(spec.image_gb, 0.5);
+  EXPECT_FALSE(spec.types);
+  EXPECT_FALSE(spec.zone);
+  EXPECT_FALSE(spec.one_zone);
+  EXPECT_FALSE(spec.spread);
+  EXPECT_FALSE(spec.spot);
+  EXPECT_EQ(spec.estimate_s, 0);
+  EXPECT_EQ(spec.checkpoint_s, 0);
+  EXPECT_EQ(spec.save_s, 0);
+  EXPECT_FALSE(spec.deadline_s);
+}
+
+std::string FullEntry() { return R"({"at":1700000000.25,"spec":)" + std::string(kFullSpec) + "}"; }
+
+std::string SmallEntry() { return R"({"at":1700000001.5,"spec":)" + std::string(kSmallSpec) + "}"; }
+
+TEST(GoldenKeys, EachKeyAndPrefix) {
+  EXPECT_EQ(service::keys::kAll, "mosspath/");
+  EXPECT_EQ(service::keys::kLive, "mosspath/live/");
+  EXPECT_EQ(service::keys::kLeader, "mosspath/live/leader");
+  EXPECT_EQ(service::keys::kTypes, "mosspath/live/types");
+  EXPECT_EQ(service::keys::kSettings, "mosspath/live/settings");
+  EXPECT_EQ(service::keys::kJobs, "mosspath/live/job/");
+  EXPECT_EQ(service::keys::kBatches, "mosspath/live/batch/");
+  EXPECT_EQ(service::keys::kSpeaks, "mosspath/live/speaks/");
+  EXPECT_EQ(service::keys::kProgress, "mosspath/live/progress/");
+  EXPECT_EQ(service::keys::kMachines, "mosspath/live/machines/");
+  EXPECT_EQ(service::keys::kHolders, "mosspath/live/holders/");
+  EXPECT_EQ(service::keys::kBlocks, "mosspath/live/blocks/");
+  EXPECT_EQ(service::keys::kFinal, "mosspath/final/");
+  EXPECT_EQ(service::keys::Job("req-1"), "mosspath/live/job/req-1");
+  EXPECT_EQ(service::keys::Final("req-1"), "mosspath/final/req-1");
+  EXPECT_EQ(service::keys::Progress(1'000'002), "mosspath/live/progress/1000002");
+  EXPECT_EQ(service::keys::Machines(3), "mosspath/live/machines/3");
+}
+
+TEST(GoldenRecords, JobSpec) {
+  EXPECT_EQ(wire::ToJson(FullSpec()).dump(), kFullSpec);
+  ExpectFullSpec(wire::ParseJob(wire::ParseObject(kFullSpec)));
+  EXPECT_EQ(wire::ToJson(SmallSpec()).dump(), kSmallSpec);
+  ExpectSmallSpec(wire::ParseJob(wire::ParseObject(kSmallSpec)));
+}
+
+TEST(GoldenRecords, NamesOfKindsAndRanks) {
+  const std::vector<std::pair<wire::Kind, const char*>> kinds{{wire::Kind::kArray, "array"},
+                                                              {wire::Kind::kGang, "group"},
+                                                              {wire::Kind::kService, "daemon"}};
+  for (const auto& [kind, name] : kinds) {
+    wire::JobSpec spec = SmallSpec();
+    spec.kind = kind;
+    const Json json = wire::ToJson(spec);
+    EXPECT_EQ(json.at("catch"), name);
+    EXPECT_EQ(wire::ParseJob(json).kind, kind);
+  }
+  const std::vector<std::pair<wire::Rank, const char*>> ranks{{wire::Rank::kLow, "low"},
+                                                              {wire::Rank::kNormal, "standard"},
+                                                              {wire::Rank::kHigh, "high"},
+                                                              {wire::Rank::kCritical, "critical"}};
+  for (const auto& [rank, name] : ranks) {
+    wire::JobSpec spec = SmallSpec();
+    spec.rank = rank;
+    const Json json = wire::ToJson(spec);
+    EXPECT_EQ(json.at("rank"), name);
+    EXPECT_EQ(wire::ParseJob(json).rank, rank);
+  }
+}
+
+// The older form: one job in a record, under job/.
+TEST(GoldenRecords, Job) {
+  constexpr uint64_t kVersion = 17;
+  EXPECT_EQ(jobs::Ledger::Entry(FullSpec(), kFullSubmitted).dump(), FullEntry());
+  jobs::Ledger ledger(service::keys::kJobs, service::keys::kBatches);
+  const Json value = Json::parse(FullEntry());
+  const auto change = ledger.Seen("mosspath/live/job/req-000412", &value, kVersion);
+  EXPECT_EQ(change.came, std::vector<std::string>{"req-000412"});
+  const jobs::Accepted* accepted = ledger.Find("req-000412");
+  ASSERT_NE(accepted, nullptr);
+  ExpectFullSpec(accepted->spec);
+  EXPECT_EQ(accepted->version, kVersion);
+  EXPECT_EQ(accepted->submitted_wall_s, kFullSubmitted);
+}
+
+// Several jobs in a record, under batch/; first as accepted, then with one of them over.
+TEST(GoldenRecords, Batch) {
+  constexpr uint64_t kAcceptedVersion = 17;
+  constexpr uint64_t kEndedVersion = 23;
+  const std::string key = "mosspath/live/batch/hut-0.16.1";
+  const std::string as_accepted = R"({"jobs":[)" + FullEntry() + "," + SmallEntry() + "]}";
+  EXPECT_EQ(jobs::Ledger::Shared({jobs::Ledger::Entry(FullSpec(), kFullSubmitted),
+                                  jobs::Ledger::Entry(SmallSpec(), kSmallSubmitted)})
+                .dump(),
+            as_accepted);
+  jobs::Ledger ledger(service::keys::kJobs, service::keys::kBatches);
+  Json value = Json::parse(as_accepted);
+  ledger.Seen(key, &value, kAcceptedVersion);
+  const jobs::Accepted* full = ledger.Find("req-000412");
+  ASSERT_NE(full, nullptr);
+  ExpectFullSpec(full->spec);
+  EXPECT_EQ(full->version, kAcceptedVersion);
+  EXPECT_EQ(full->submitted_wall_s, kFullSubmitted);
+
+  const std::string one_over =
+      R"({"born":17,"jobs":[)" + SmallEntry() + R"(],"over":["req-000412"]})";
+  const auto changes = ledger.End({"req-000412"}, kAcceptedVersion);
+  ASSERT_EQ(changes.size(), 1u);
+  EXPECT_EQ(changes[0].key, key);
+  EXPECT_EQ(changes[0].version, kAcceptedVersion);
+  ASSERT_TRUE(changes[0].value);
+  EXPECT_EQ(changes[0].value->dump(), one_over);
+
+  jobs::Ledger reader(service::keys::kJobs, service::keys::kBatches);
+  value = Json::parse(one_over);
+  reader.Seen(key, &value, kEndedVersion);
+  EXPECT_EQ(reader.Find("req-000412"), nullptr);
+  const jobs::Accepted* small = reader.Find("req-7");
+  ASSERT_NE(small, nullptr);
+  ExpectSmallSpec(small->spec);
+  EXPECT_EQ(small->version, kAcceptedVersion);  // `born`, not the version that the record has now
+  EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
+  EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
+  // `over` was read: another home of that job brings it up no more.
+  value = Json::parse(FullEntry());
+  reader.Seen("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
+  EXPECT_EQ(reader.Find("req-000412"), nullptr);
+}
+
+TEST(GoldenRecords, Final) {
+  constexpr const char* kDone = R"({"stage":"done"})";
+  constexpr const char* kCancelled = R"({"stage":"aborted"})";
+  EXPECT_EQ(jobs::FinalRecord(jobs::Known::kDone).dump(), kDone);
+  EXPECT_EQ(jobs::FinalRecord(jobs::Known::kCancelled).dump(), kCancelled);
+  jobs::Directory directory(service::keys::kJobs, service::keys::kBatches,
+                            {.finals = 8, .cancellations = 8});
+  directory.FinalSeen("req-1", Json::parse(kDone), 31);
+  directory.FinalSeen("req-2", Json::parse(kCancelled), 32);
+  EXPECT_EQ(directory.Remembered("req-1"), jobs::Known::kDone);
+  EXPECT_EQ(directory.Remembered("req-2"), jobs::Known::kCancelled);
+  EXPECT_EQ(directory.cancelled().newest(), 32u);
+}
+
+// Progress and machines packs, as the leader writes them and as its successor takes them over.
+class GoldenPacks : public ::testing::Test {
+ protected:
+  static constexpr uint64_t kToken = 41;
+  static constexpr uint32_t kTries = 7;
+  static constexpr uint64_t kLease = 77;
+  static constexpr int kMarksPack = 1'000'000;
+  static constexpr size_t kMostPacks = 10;
+  static constexpr size_t kMostBytes = 48u << 10;
+
+  // Tasks 0, 3 and 9 of the first segment, and 513 and 599 (the last) of the second.
+  static constexpr const char* kProgress =
+      R"({"req-000412!":7,"req-000412#0":"904","req-000412#1":"4000000000000000000001"})";
+  static constexpr const char* kMarks = R"({"req-000412+":1})";
+  static constexpr const char* kMachines =
+      R"({"vm-1":"10.0.0.1:9001","vm-2":"10.0.0.2:9002/77/41"})";
+  static constexpr uint32_t kDoneTasks[] = {0, 3, 9, 513, 599};
+
+  static config::Settings Settings() {
+    config::Settings settings;
+    settings.node = "hut-0";
+    settings.report_s = 1;
+    settings.lease_s = 24;
+    settings.cancel_s = 50;
+    settings.value_kb = 8;
+    return settings;
+  }
+  static std::unique_ptr<jobs::Job> NewJob() {
+    return std::make_unique<jobs::Job>(FullSpec(), /*v=*/17, /*at=*/0.0);
+  }
+
+  const config::Settings settings_ = Settings();
+  const config::Derived derived_{settings_};
+};
+
+TEST_F(GoldenPacks, Written) {
+  picture::Picture picture(settings_, derived_);
+  place::Records records(settings_, kToken);
+  jobs::Job& job = *(picture.jobs["req-000412"] = NewJob());
+  for (const uint32_t index : kDoneTasks) {
+    job.MarkDone(index);
+    records.TaskDone(job, index);
+  }
+  records.Doubt("req-000412", kTries);
+  records.Mark(job);
+  records.AddMachine("vm-1", "10.0.0.1:9001");
+  picture::Machine lent;
+  lent.id = "vm-2";
+  records.AssignMachine(lent, "10.0.0.2:9002", kLease);
+
+  const auto batch = records.Take(kMostPacks, kMostBytes, picture);
+  ASSERT_EQ(batch.machines.size(), 1u);
+  EXPECT_EQ(batch.machines[0].pack, 0);
+  EXPECT_EQ(batch.machines[0].value.dump(), kMachines);
+  ASSERT_EQ(batch.progress.size(), 2u);
+  EXPECT_EQ(batch.progress[0].pack, kMarksPack);
+  EXPECT_EQ(batch.progress[0].value.dump(), kMarks);
+  EXPECT_EQ(batch.progress[1].pack, 0);
+  EXPECT_EQ(batch.progress[1].value.dump(), kProgress);
+}
+
+TEST_F(GoldenPacks, ProgressTakenOver) {
+  place::Records records(settings_, kToken);
+  records.LoadProgress(0, Json::parse(kProgress), 51);
+  records.LoadProgress(kMarksPack, Json::parse(kMarks), 52);
+  const auto job = NewJob();
+  EXPECT_EQ(records.Recall(*job), kTries);
+  EXPECT_EQ(job->mark, jobs::Job::Mark::kDurable);
+  EXPECT_TRUE(job->old_mark);
+  EXPECT_EQ(job->done, std::size(kDoneTasks));
+  for (const uint32_t index : kDoneTasks) {
+    EXPECT_EQ(job->tasks[index].phase, jobs::Phase::kDone) << index;
+    EXPECT_TRUE(job->tasks[index].durable) << index;
+  }
+}
+
+TEST_F(GoldenPacks, MachineEntries) {
+  const Json machines = Json::parse(kMachines);
+  const place::MachineEntry own = place::ReadMachineEntry(machines.at("vm-1"));
+  EXPECT_EQ(own.address, "10.0.0.1:9001");
+  EXPECT_EQ(own.lease, 0u);
+  EXPECT_EQ(own.handed, 0u);
+  EXPECT_EQ(place::ToText(own), "10.0.0.1:9001");
+  const place::MachineEntry lent = place::ReadMachineEntry(machines.at("vm-2"));
+  EXPECT_EQ(lent.address, "10.0.0.2:9002");
+  EXPECT_EQ(lent.lease, kLease);
+  EXPECT_EQ(lent.handed, kToken);
+  EXPECT_EQ(place::ToText(lent), "10.0.0.2:9002/77/41");
+  // Of a version that did not say which time the machine was handed over.
+  const place::MachineEntry older = place::ReadMachineEntry("10.0.0.3:9003/78");
+  EXPECT_EQ(older.address, "10.0.0.3:9003");
+  EXPECT_EQ(older.lease, 78u);
+  EXPECT_EQ(older.handed, 0u);
+}
+
+TEST(GoldenRecords, OperatorSettings) {
+  constexpr const char* kText =
+      R"({"begin_share":0.125,"epsilon":0.25,"gamma":2.5,"give_ahead":0.375,"horizon_boots":3.5,)"
+      R"("keep_idle_boots":0.75,"lease_blocks":false,"max_machines":1234,"ordinary_boots":4.5,)"
+      R"("preemption":false,"reserve":0.625,"share_acceptances":false,"turn_share":0.4375,)"
+      R"("weights":{"desk":5.5,"vision/train":6.5}})";
+  config::OperatorSettings settings;
+  settings.gamma = 2.5;
+  settings.epsilon = 0.25;
+  settings.max_machines = 1234;
+  settings.horizon_boots = 3.5;
+  settings.keep_idle_boots = 0.75;
+  settings.reserve = 0.625;
+  settings.ordinary_boots = 4.5;
+  settings.begin_share = 0.125;
+  settings.preemption = false;
+  settings.give_ahead = 0.375;
+  settings.turn_share = 0.4375;
+  settings.weights = {{"desk", 5.5}, {"vision/train", 6.5}};
+  settings.lease_blocks = false;
+  settings.share_acceptances = false;
+  EXPECT_EQ(config::ToJson(settings).dump(), kText);
+  const config::OperatorSettings read = config::Change({}, Json::parse(kText));
+  EXPECT_EQ(read.gamma, 2.5);
+  EXPECT_EQ(read.epsilon, 0.25);
+  EXPECT_EQ(read.max_machines, 1234u);
+  EXPECT_EQ(read.horizon_boots, 3.5);
+  EXPECT_EQ(read.keep_idle_boots, 0.75);
+  EXPECT_EQ(read.reserve, 0.625);
+  EXPECT_EQ(read.ordinary_boots, 4.5);
+  EXPECT_EQ(read.begin_share, 0.125);
+  EXPECT_FALSE(read.preemption);
+  EXPECT_EQ(read.give_ahead, 0.375);
+  EXPECT_EQ(read.turn_share, 0.4375);
+  EXPECT_EQ(read.weights, (std::map<std::string, double>{{"desk", 5.5}, {"vision/train", 6.5}}));
+  EXPECT_FALSE(read.lease_blocks);
+  EXPECT_FALSE(read.share_acceptances);
+}
+
+TEST(GoldenRecords, MachineTypes) {
+  constexpr const char* kText =
+      R"({"builds":[{"cards":2.5,"hourly":7.5,"local_gb":500.5,"low_price":1.75,"mem_gb":256.5,)"
+      R"("name":"g8","pull_gb_per_s":0.5,"shores":["zone-a","zone-b"],"startup_s":95.5,)"
+      R"("vcpus":32.5}]})";
+  wire::MachineType type;
+  type.name = "g8";
+  type.cpus = 32.5;
+  type.gpus = 2.5;
+  type.memory_gb = 256.5;
+  type.cache_gb = 500.5;
+  type.fetch_gb_per_s = 0.5;
+  type.price = 7.5;
+  type.spot_price = 1.75;
+  type.boot_s = 95.5;
+  type.zones = {"zone-a", "zone-b"};
+  EXPECT_EQ(wire::ToJson(std::vector<wire::MachineType>{type}).dump(), kText);
+  const auto types = wire::ParseMachineTypes(Json::parse(kText));
+  ASSERT_EQ(types.size(), 1u);
+  EXPECT_EQ(types[0].name, "g8");
+  EXPECT_EQ(types[0].cpus, 32.5);
+  EXPECT_EQ(types[0].gpus, 2.5);
+  EXPECT_EQ(types[0].memory_gb, 256.5);
+  EXPECT_EQ(types[0].cache_gb, 500.5);
+  EXPECT_EQ(types[0].fetch_gb_per_s, 0.5);
+  EXPECT_EQ(types[0].price, 7.5);
+  EXPECT_EQ(types[0].spot_price, 1.75);
+  EXPECT_EQ(types[0].boot_s, 95.5);
+  EXPECT_EQ(types[0].zones, (std::vector<std::string>{"zone-a", "zone-b"}));
+}
+
+}  // namespace
+}  // namespace mosspath
