--- a/include/mosspath/state/client.h
+++ b/include/mosspath/kvstore/client.h
@@ -16,7 +16,7 @@
 #include "mosspath/net/understood.h"
 #include "mosspath/wire/json.h"
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 
 struct Condition {
   std::string key;
@@ -113,4 +113,4 @@
   uint64_t refusals_ = 0;
 };
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/include/mosspath/state/mirror.h
+++ b/include/mosspath/kvstore/mirror.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <vector>
 
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 
 class Mirror {
  public:
@@ -58,4 +58,4 @@
   std::vector<std::function<void(bool)>> waiting_;
 };
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/include/mosspath/state/packed_map.h
+++ b/include/mosspath/kvstore/packed_map.h
@@ -11,7 +11,7 @@
 
 #include "mosspath/wire/json.h"
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 
 class PackedMap {
  public:
@@ -61,4 +61,4 @@
   int next_ = 0;
 };
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/include/mosspath/lease/elector.h
+++ b/include/mosspath/lease/elector.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/lease/leadership.h"
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 
 namespace mosspath::lease {
 
@@ -21,12 +21,12 @@
     std::function<void()> lost;
   };
 
-  Elector(asio::io_context& io, state::Client& client, const config::Settings& settings,
+  Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
           const config::Derived& derived, std::string key, Handlers handlers);
 
   void Start();
   // The mirror's view of the leader key.
-  void KeyChanged(const state::Event& e);
+  void KeyChanged(const kvstore::Event& e);
   void KeyReset() { lead_.Reset(); }
   // `fresh`: there is nothing in it, so nobody has led yet.
   void MirrorLoaded(bool fresh);
@@ -66,7 +66,7 @@
   void Campaign(uint64_t version);
   void Told(const Leadership::Lost& lost);
 
-  state::Client& client_;
+  kvstore::Client& client_;
   const config::Derived derived_;
   const std::string node_;
   const std::string key_;
--- a/include/mosspath/place/records.h
+++ b/include/mosspath/place/records.h
@@ -15,7 +15,7 @@
 
 #include "mosspath/jobs/job.h"
 #include "mosspath/picture/picture.h"
-#include "mosspath/state/packed_map.h"
+#include "mosspath/kvstore/packed_map.h"
 
 namespace mosspath::place {
 
@@ -35,8 +35,8 @@
   Records(const config::Settings& settings, uint64_t token);
 
   struct Batch {
-    std::vector<state::PackedMap::Written> machines;
-    std::vector<state::PackedMap::Written> progress;
+    std::vector<kvstore::PackedMap::Written> machines;
+    std::vector<kvstore::PackedMap::Written> progress;
     bool empty() const { return machines.empty() && progress.empty(); }
   };
 
@@ -82,13 +82,13 @@
   // Marks stand beside the progress, in small packs of their own under numbers from here on: each
   // is written once, and writing it must not write all progress again.
   static constexpr int kMarks = 1'000'000;
-  state::PackedMap& Of(int pack) { return pack < kMarks ? progress_ : marks_; }
+  kvstore::PackedMap& Of(int pack) { return pack < kMarks ? progress_ : marks_; }
   static int Own(int pack) { return pack < kMarks ? pack : pack - kMarks; }
 
   const size_t pack_bytes_;
-  state::PackedMap progress_;
-  state::PackedMap marks_;
-  state::PackedMap machines_;
+  kvstore::PackedMap progress_;
+  kvstore::PackedMap marks_;
+  kvstore::PackedMap machines_;
   std::map<std::string, std::vector<wire::Json>> unclaimed_;  // loaded before their job
   std::set<std::pair<std::string, uint32_t>> unstaged_;       // job, segment: not in progress_ yet
   Batch writing_;
--- a/include/mosspath/service/acceptor.h
+++ b/include/mosspath/service/acceptor.h
@@ -10,7 +10,7 @@
 #include "mosspath/admission/fair_queue.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/net/timer.h"
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 #include "mosspath/wire/messages.h"
 
 namespace mosspath::service {
@@ -26,7 +26,7 @@
   // With the revision of the acceptance if it is new.
   using Done = std::function<void(Outcome, uint64_t revision)>;
 
-  Acceptor(asio::io_context& io, state::Client& state, const config::Settings& settings,
+  Acceptor(asio::io_context& io, kvstore::Client& state, const config::Settings& settings,
            const config::Derived& derived);
 
   // Whether several jobs may share a record: every controller can read those.
@@ -52,11 +52,11 @@
   Waiting Pop();
   void Pump();
   void Send(std::deque<Waiting> batch);
-  void OnAnswer(std::deque<Waiting> batch, const state::TxnResult& r);
+  void OnAnswer(std::deque<Waiting> batch, const kvstore::TxnResult& r);
   // What waited until its deadline is answered now.
   void GiveUpLate();
 
-  state::Client& state_;
+  kvstore::Client& state_;
   const std::string node_;
   const size_t most_jobs_;
   const size_t most_bytes_;
--- a/include/mosspath/service/holding.h
+++ b/include/mosspath/service/holding.h
@@ -13,14 +13,14 @@
 #include "mosspath/service/frame_links.h"
 #include "mosspath/service/job_table.h"
 #include "mosspath/service/order_links.h"
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/mirror.h"
 
 namespace mosspath::service {
 
 class Holding : public std::enable_shared_from_this<Holding> {
  public:
   Holding(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-          lease::Elector& elector, const state::Mirror& mirror, const JobTable& jobs,
+          lease::Elector& elector, const kvstore::Mirror& mirror, const JobTable& jobs,
           net::StallWatch& stalls, FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets,
           uint64_t lease);
 
@@ -56,7 +56,7 @@
   const config::Settings& settings_;
   const config::Derived derived_;
   lease::Elector& elector_;
-  const state::Mirror& mirror_;
+  const kvstore::Mirror& mirror_;
   const JobTable& jobs_;
   net::StallWatch& stalls_;
   FrameLinks& frames_;
--- a/include/mosspath/service/job_table.h
+++ b/include/mosspath/service/job_table.h
@@ -9,28 +9,28 @@
 #include "mosspath/service/acceptor.h"
 #include "mosspath/service/admission.h"
 #include "mosspath/service/keys.h"
-#include "mosspath/state/client.h"
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/client.h"
+#include "mosspath/kvstore/mirror.h"
 #include "mosspath/wire/messages.h"
 
 namespace mosspath::service {
 
 // The changes of records, on condition that they are as they were.
-void AddTo(state::Transaction& txn, const std::vector<jobs::RecordChange>& records);
+void AddTo(kvstore::Transaction& txn, const std::vector<jobs::RecordChange>& records);
 
 class JobTable {
  public:
   using Known = jobs::Known;
   using Accepted = Acceptor::Outcome;
 
-  JobTable(asio::io_context& io, state::Client& state, state::Mirror& mirror, Admission& admission,
+  JobTable(asio::io_context& io, kvstore::Client& state, kvstore::Mirror& mirror, Admission& admission,
            const config::Settings& settings, const config::Derived& derived);
 
   // The mirror's view.
   void Reset();
   // Which jobs came and ended with this record.
-  jobs::Ledger::Change Changed(const state::Event& e);
-  void FinalChanged(const state::Event& e);
+  jobs::Ledger::Change Changed(const kvstore::Event& e);
+  void FinalChanged(const kvstore::Event& e);
   // Whether acceptances may share records.
   void Share(bool allowed) { acceptor_.Share(allowed); }
   // Up to this revision, the process before this one may have told of cancellations.
@@ -66,8 +66,8 @@
  private:
   void TryCancel(const std::string& id, double deadline, std::function<void(Known)> done);
 
-  state::Client& state_;
-  state::Mirror& mirror_;
+  kvstore::Client& state_;
+  kvstore::Mirror& mirror_;
   Admission& admission_;
   const config::Derived derived_;
   jobs::Directory directory_;
--- a/include/mosspath/service/leader.h
+++ b/include/mosspath/service/leader.h
@@ -17,14 +17,14 @@
 #include "mosspath/service/job_table.h"
 #include "mosspath/service/keys.h"
 #include "mosspath/service/order_links.h"
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 
 namespace mosspath::service {
 
 class Leader : public std::enable_shared_from_this<Leader> {
  public:
   Leader(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-         state::Client& state, CloudClient& cloud, lease::Elector& elector, net::StallWatch& stalls,
+         kvstore::Client& state, CloudClient& cloud, lease::Elector& elector, net::StallWatch& stalls,
          const JobTable& jobs, FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets,
          uint64_t token);
 
@@ -80,7 +80,7 @@
   asio::io_context& io_;
   const config::Settings& settings_;
   const config::Derived derived_;
-  state::Client& state_;
+  kvstore::Client& state_;
   CloudClient& cloud_;
   lease::Elector& elector_;
   net::StallWatch& stalls_;
--- a/include/mosspath/service/node.h
+++ b/include/mosspath/service/node.h
@@ -23,7 +23,7 @@
 #include "mosspath/service/speakers.h"
 #include "mosspath/service/type_keeper.h"
 #include "mosspath/service/user_api.h"
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/mirror.h"
 
 namespace mosspath::service {
 
@@ -36,7 +36,7 @@
  private:
   using Responder = net::HttpServer::Responder;
 
-  void OnKey(const state::Event& e);
+  void OnKey(const kvstore::Event& e);
   void OnMirrorLoaded();
   void OnElected(uint64_t token);
   void OnLost();
@@ -47,7 +47,7 @@
   void OnReport(const net::HttpRequest& r, const Responder& respond);
   void ShareAcceptances();
   // --- Blocks (docs/blocks.md) ---
-  bool OnBlockKey(const state::Event& e);
+  bool OnBlockKey(const kvstore::Event& e);
   void SeeOwnBlock();
   void StopHolding();
   void Offer();
@@ -63,9 +63,9 @@
   const config::Settings settings_;
   const config::Derived derived_;
   const std::shared_ptr<net::SocketBudget> sockets_;
-  state::Client state_;
+  kvstore::Client state_;
   CloudClient cloud_;
-  state::Mirror mirror_;
+  kvstore::Mirror mirror_;
   Admission admission_;
   JobTable jobs_;
   lease::Elector elector_;
--- a/include/mosspath/service/operator_desk.h
+++ b/include/mosspath/service/operator_desk.h
@@ -8,27 +8,27 @@
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_server.h"
-#include "mosspath/state/client.h"
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/client.h"
+#include "mosspath/kvstore/mirror.h"
 
 namespace mosspath::service {
 
 class OperatorDesk {
  public:
-  OperatorDesk(state::Client& state, state::Mirror& mirror, const config::Derived& derived,
+  OperatorDesk(kvstore::Client& state, kvstore::Mirror& mirror, const config::Derived& derived,
                std::function<void()> changed)
       : state_(state), mirror_(mirror), derived_(derived), changed_(std::move(changed)) {}
 
   const config::OperatorSettings& settings() const { return settings_; }
   // The record as the state service has it now.
-  void OnKey(const state::Event& e);
+  void OnKey(const kvstore::Event& e);
   void Answer(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
  private:
   void Put(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
-  state::Client& state_;
-  state::Mirror& mirror_;
+  kvstore::Client& state_;
+  kvstore::Mirror& mirror_;
   const config::Derived derived_;
   const std::function<void()> changed_;
   config::OperatorSettings settings_;
--- a/include/mosspath/service/type_keeper.h
+++ b/include/mosspath/service/type_keeper.h
@@ -10,7 +10,7 @@
 #include "mosspath/lease/elector.h"
 #include "mosspath/net/timer.h"
 #include "mosspath/service/cloud.h"
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 
 namespace mosspath::service {
 
@@ -18,7 +18,7 @@
  public:
   using Types = std::vector<wire::MachineType>;
 
-  TypeKeeper(asio::io_context& io, state::Client& state, CloudClient& cloud,
+  TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
              const lease::Elector& elector, const config::Derived& derived,
              std::function<void(const Types&)> learned);
 
@@ -26,14 +26,14 @@
   bool empty() const { return types_.empty(); }
   // Asks the cloud until something is known.
   void Fetch();
-  void OnKey(const state::Event& e);
+  void OnKey(const kvstore::Event& e);
   // As the cloud told; a leader publishes it.
   void Told(const Types& types);
 
  private:
   void Learn(const Types& types);
 
-  state::Client& state_;
+  kvstore::Client& state_;
   CloudClient& cloud_;
   const lease::Elector& elector_;
   const config::Derived derived_;
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -10,7 +10,7 @@
 #include "mosspath/place/dispatcher.h"
 #include "mosspath/service/job_table.h"
 #include "mosspath/service/type_keeper.h"
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/mirror.h"
 
 namespace mosspath::service {
 
@@ -24,7 +24,7 @@
   using Counts = std::function<place::JobCounts(const std::string& id)>;
 
   UserApi(const config::Settings& settings, JobTable& jobs, Admission& admission,
-          const state::Mirror& mirror, const TypeKeeper& types, Counts counts)
+          const kvstore::Mirror& mirror, const TypeKeeper& types, Counts counts)
       : settings_(settings),
         jobs_(jobs),
         admission_(admission),
@@ -43,7 +43,7 @@
   const config::Settings& settings_;
   JobTable& jobs_;
   Admission& admission_;
-  const state::Mirror& mirror_;
+  const kvstore::Mirror& mirror_;
   const TypeKeeper& types_;
   const Counts counts_;
 };
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -633,7 +633,7 @@
   if (records.empty()) return;
   std::vector<std::pair<std::string, uint64_t>> conditions{{kLeader, token()}};
   std::vector<std::pair<std::string, std::optional<wire::Json>>> changes;
-  const auto put = [&](const std::string& prefix, const state::PackedMap::Written& w) {
+  const auto put = [&](const std::string& prefix, const kvstore::PackedMap::Written& w) {
     conditions.emplace_back(prefix + std::to_string(w.pack), w.version);
     changes.emplace_back(prefix + std::to_string(w.pack), w.value);
   };
--- a/src/state/client.cc
+++ b/src/kvstore/client.cc
@@ -1,4 +1,4 @@
-#include "mosspath/state/client.h"
+#include "mosspath/kvstore/client.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 namespace {
 
 using wire::Json;
@@ -184,7 +184,7 @@
            pairs.ok = net::Understood(kState, "list", on_malformed, [&] {
              pairs.revision = Number(body, "epoch");
              pairs.more = body.value("truncated", false);
-             for (const Json& item : state::List(body, "pairs")) {
+             for (const Json& item : kvstore::List(body, "pairs")) {
                pairs.items.push_back({Text(item, "k"), item.at("v"), Number(item, "mark")});
              }
            });
@@ -207,7 +207,7 @@
          if (status == 410 || status == kTooLarge) log.kind = Log::Kind::kTooOld;
          if (status == 200 && net::Understood(kState, "follow", on_malformed, [&] {
                log.revision = Number(body, "epoch");
-               for (const Json& item : state::List(body, "log")) {
+               for (const Json& item : kvstore::List(body, "log")) {
                  const bool put = item.contains("put");
                  Event e{Text(item, put ? "put" : "delete"), std::nullopt, Number(item, "mark")};
                  if (put) e.value = item.at("v");
@@ -249,4 +249,4 @@
        [](int, const Json&) {});
 }
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/src/state/mirror.cc
+++ b/src/kvstore/mirror.cc
@@ -1,11 +1,11 @@
-#include "mosspath/state/mirror.h"
+#include "mosspath/kvstore/mirror.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 
 Mirror::Mirror(asio::io_context& io, Client& client, const config::Derived& derived,
                std::string loaded, std::string followed, Handlers handlers)
@@ -122,4 +122,4 @@
                 });
 }
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/src/state/packed_map.cc
+++ b/src/kvstore/packed_map.cc
@@ -1,9 +1,9 @@
-#include "mosspath/state/packed_map.h"
+#include "mosspath/kvstore/packed_map.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace mosspath::state {
+namespace mosspath::kvstore {
 
 size_t PackedMap::Cost(const std::string& item, const wire::Json& value) {
   const size_t size =
@@ -95,4 +95,4 @@
   p.version = std::max(p.version, version);
 }
 
-}  // namespace mosspath::state
+}  // namespace mosspath::kvstore
--- a/src/lease/elector.cc
+++ b/src/lease/elector.cc
@@ -6,7 +6,7 @@
 
 namespace mosspath::lease {
 
-Elector::Elector(asio::io_context& io, state::Client& client, const config::Settings& settings,
+Elector::Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
                  const config::Derived& derived, std::string key, Handlers handlers)
     : client_(client),
       derived_(derived),
@@ -23,9 +23,9 @@
 
 void Elector::Obtain() {
   const double sent = net::Now();
-  client_.Grant(derived_.grant_s, [this, sent](state::Outcome outcome, uint64_t grant) {
+  client_.Grant(derived_.grant_s, [this, sent](kvstore::Outcome outcome, uint64_t grant) {
     if (lead_.grant() != 0) return;
-    if (outcome != state::Outcome::kDone) {
+    if (outcome != kvstore::Outcome::kDone) {
       renew_timer_.After(backoff_.Next(), [this] { Obtain(); });
       return;
     }
@@ -38,13 +38,13 @@
 
 void Elector::Renew() {
   const double sent = net::Now();
-  client_.Renew(lead_.grant(), [this, sent, grant = lead_.grant()](state::Outcome outcome) {
+  client_.Renew(lead_.grant(), [this, sent, grant = lead_.grant()](kvstore::Outcome outcome) {
     if (grant != lead_.grant()) return;  // resigned meanwhile
-    if (outcome == state::Outcome::kNoGrant) {
+    if (outcome == kvstore::Outcome::kNoGrant) {
       Told(lead_.GrantEnded());
       return Obtain();
     }
-    if (outcome == state::Outcome::kDone) {
+    if (outcome == kvstore::Outcome::kDone) {
       if (logged_lapse_) spdlog::info("lease: resumed token={}", lead_.token());
       logged_lapse_ = false;
       lead_.Renewed(sent);
@@ -54,7 +54,7 @@
       spdlog::info("lease: the grant of token={} may be over, {}", lead_.token(),
                    Entitled(now) ? "going on as all peers vouch" : "commanding nothing");
     }
-    const double pause = outcome == state::Outcome::kDone ? derived_.renew_s : derived_.renew_s / 4;
+    const double pause = outcome == kvstore::Outcome::kDone ? derived_.renew_s : derived_.renew_s / 4;
     renew_timer_.After(sent + pause - net::Now(), [this] { Renew(); });
   });
 }
@@ -64,7 +64,7 @@
   Consider();
 }
 
-void Elector::KeyChanged(const state::Event& e) {
+void Elector::KeyChanged(const kvstore::Event& e) {
   Leadership::Key key;
   if (e.value) key = {e.value->value("node", ""), e.value->value("grant", uint64_t{0}), e.version};
   Told(lead_.Read(key));
@@ -90,12 +90,12 @@
 
 void Elector::Campaign(uint64_t version) {
   lead_.Campaigning(true);
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({key_, version});
   txn.changes.push_back({key_, wire::Json{{"node", node_}, {"grant", grant()}}, grant()});
-  client_.Commit(std::move(txn), derived_.call_timeout_s, [this](state::TxnResult r) {
+  client_.Commit(std::move(txn), derived_.call_timeout_s, [this](kvstore::TxnResult r) {
     // The mirror tells how it went; try again if it shows the key free for a while.
-    const double pause = r.outcome == state::Outcome::kDone ? derived_.call_timeout_s : 0.3;
+    const double pause = r.outcome == kvstore::Outcome::kDone ? derived_.call_timeout_s : 0.3;
     campaign_timer_.After(pause, [this] {
       lead_.Campaigning(false);
       Consider();
--- a/src/service/acceptor.cc
+++ b/src/service/acceptor.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Acceptor::Acceptor(asio::io_context& io, state::Client& state, const config::Settings& settings,
+Acceptor::Acceptor(asio::io_context& io, kvstore::Client& state, const config::Settings& settings,
                    const config::Derived& derived)
     : state_(state),
       node_(settings.node),
@@ -101,7 +101,7 @@
 }
 
 void Acceptor::Send(std::deque<Waiting> batch) {
-  state::Transaction txn;
+  kvstore::Transaction txn;
   for (const Waiting& w : batch) {
     txn.conditions.push_back({keys::Job(w.id), 0});
     txn.conditions.push_back({keys::Final(w.id), 0});
@@ -121,15 +121,15 @@
   const double left = batch.front().deadline - net::Now();
   state_.Commit(std::move(txn), left,
                 [this, batch = std::make_shared<std::deque<Waiting>>(std::move(batch))](
-                    const state::TxnResult& r) {
+                    const kvstore::TxnResult& r) {
                   --out_;
                   OnAnswer(std::move(*batch), r);
                   Pump();
                 });
 }
 
-void Acceptor::OnAnswer(std::deque<Waiting> batch, const state::TxnResult& r) {
-  if (r.outcome == state::Outcome::kConflict && batch.size() > 1) {
+void Acceptor::OnAnswer(std::deque<Waiting> batch, const kvstore::TxnResult& r) {
+  if (r.outcome == kvstore::Outcome::kConflict && batch.size() > 1) {
     // One of them is known: each for itself.
     for (Waiting& w : batch) {
       w.alone = true;
@@ -138,8 +138,8 @@
     return;
   }
   for (Waiting& w : batch) {
-    w.done(r.outcome == state::Outcome::kDone       ? Outcome::kNew
-           : r.outcome == state::Outcome::kConflict ? Outcome::kKnown
+    w.done(r.outcome == kvstore::Outcome::kDone       ? Outcome::kNew
+           : r.outcome == kvstore::Outcome::kConflict ? Outcome::kKnown
                                                     : Outcome::kUnsure,
            r.revision);
   }
--- a/src/service/holding.cc
+++ b/src/service/holding.cc
@@ -29,7 +29,7 @@
 
 Holding::Holding(asio::io_context& io, const config::Settings& settings,
                  const config::Derived& derived, lease::Elector& elector,
-                 const state::Mirror& mirror, const JobTable& jobs, net::StallWatch& stalls,
+                 const kvstore::Mirror& mirror, const JobTable& jobs, net::StallWatch& stalls,
                  FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets, uint64_t lease)
     : io_(io),
       settings_(settings),
--- a/src/service/job_table.cc
+++ b/src/service/job_table.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-JobTable::JobTable(asio::io_context& io, state::Client& state, state::Mirror& mirror,
+JobTable::JobTable(asio::io_context& io, kvstore::Client& state, kvstore::Mirror& mirror,
                    Admission& admission, const config::Settings& settings,
                    const config::Derived& derived)
     : state_(state),
@@ -33,7 +33,7 @@
   admission_.gate().Clear();
 }
 
-jobs::Ledger::Change JobTable::Changed(const state::Event& e) {
+jobs::Ledger::Change JobTable::Changed(const kvstore::Event& e) {
   try {
     auto change = directory_.Seen(e.key, e.value ? &*e.value : nullptr, e.version);
     for (const auto& id : change.came) admission_.gate().Came(ledger().Find(id)->spec);
@@ -47,7 +47,7 @@
   }
 }
 
-void JobTable::FinalChanged(const state::Event& e) {
+void JobTable::FinalChanged(const kvstore::Event& e) {
   if (!e.value) return;  // never deleted
   directory_.FinalSeen(e.key.substr(keys::kFinal.size()), *e.value, e.version);
 }
@@ -65,9 +65,9 @@
     }
     if (!ok) return done(Known::kUnsure);
     state_.Get(
-        keys::Final(id), [this, id, looked = mirror_.revision(), done](const state::Value& v) {
-          if (v.kind == state::Value::Kind::kFailed) return done(Known::kUnsure);
-          const bool missing = v.kind == state::Value::Kind::kMissing;
+        keys::Final(id), [this, id, looked = mirror_.revision(), done](const kvstore::Value& v) {
+          if (v.kind == kvstore::Value::Kind::kFailed) return done(Known::kUnsure);
+          const bool missing = v.kind == kvstore::Value::Kind::kMissing;
           const uint64_t read = mirror_.loaded() ? mirror_.revision() : 0;
           const Known known =
               directory_.FinalRead(id, missing ? nullptr : &v.value, v.version, looked, read);
@@ -108,7 +108,7 @@
                    });
 }
 
-void AddTo(state::Transaction& txn, const std::vector<jobs::RecordChange>& records) {
+void AddTo(kvstore::Transaction& txn, const std::vector<jobs::RecordChange>& records) {
   for (const auto& r : records) {
     txn.conditions.push_back({r.key, r.version});
     txn.changes.push_back({r.key, r.value});
@@ -127,17 +127,17 @@
     const double left = deadline - net::Now();
     if (left <= 0) return done(Known::kUnsure);
     if (step.kind == Kind::kLook) return TryCancel(id, deadline, done);
-    state::Transaction txn;
+    kvstore::Transaction txn;
     // One end only, whoever is first.
     txn.conditions.push_back({keys::Final(id), 0});
     AddTo(txn, step.records);
     txn.changes.push_back({keys::Final(id), jobs::FinalRecord(Known::kCancelled)});
-    state_.Commit(std::move(txn), left, [this, id, deadline, done](state::TxnResult r) {
-      if (r.outcome == state::Outcome::kDone) {
+    state_.Commit(std::move(txn), left, [this, id, deadline, done](kvstore::TxnResult r) {
+      if (r.outcome == kvstore::Outcome::kDone) {
         LearnCancelled(id, r.revision);
         return done(Known::kCancelled);
       }
-      if (r.outcome == state::Outcome::kConflict) return TryCancel(id, deadline, done);
+      if (r.outcome == kvstore::Outcome::kConflict) return TryCancel(id, deadline, done);
       done(Known::kUnsure);
     });
   });
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const config::Settings& settings,
-               const config::Derived& derived, state::Client& state, CloudClient& cloud,
+               const config::Derived& derived, kvstore::Client& state, CloudClient& cloud,
                lease::Elector& elector, net::StallWatch& stalls, const JobTable& jobs,
                FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets, uint64_t token)
     : io_(io),
@@ -160,7 +160,7 @@
 // Each a transaction under the leader key, so that no leader of the past leases anything.
 void Leader::ChangeLeases() {
   for (const auto& c : desk_->Changes(net::Now())) {
-    state::Transaction txn;
+    kvstore::Transaction txn;
     txn.conditions.push_back({keys::kLeader, token_});
     const std::string block = keys::kBlocks + c.node;
     txn.conditions.push_back({block, c.lease});
@@ -171,9 +171,9 @@
       txn.changes.push_back({block, wire::Json{{"grant", c.grant}}, c.grant});
     }
     state_.Commit(std::move(txn), derived_.call_timeout_s,
-                  [self = shared_from_this(), node = c.node](const state::TxnResult& r) {
+                  [self = shared_from_this(), node = c.node](const kvstore::TxnResult& r) {
                     if (self->stopped_) return;
-                    self->desk_->Written(node, r.outcome == state::Outcome::kDone, net::Now());
+                    self->desk_->Written(node, r.outcome == kvstore::Outcome::kDone, net::Now());
                   });
   }
 }
@@ -253,7 +253,7 @@
 
 void Leader::WriteEnds(const std::vector<std::string>& ids,
                        const std::vector<jobs::RecordChange>& records) {
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, token_});
   AddTo(txn, records);
   std::vector<std::string> touched;
@@ -266,13 +266,13 @@
     txn.changes.push_back({keys::Final(id), jobs::FinalRecord(jobs::Known::kDone)});
   }
   state_.Commit(std::move(txn), derived_.user_deadline_s,
-                [self = shared_from_this(), ids, touched](state::TxnResult r) {
+                [self = shared_from_this(), ids, touched](kvstore::TxnResult r) {
                   if (self->stopped_) return;
-                  if (r.outcome != state::Outcome::kDone) {
+                  if (r.outcome != kvstore::Outcome::kDone) {
                     for (const auto& key : touched) self->ending_.erase(key);
                   }
                   for (const std::string& id : ids) {
-                    if (r.outcome == state::Outcome::kDone) {
+                    if (r.outcome == kvstore::Outcome::kDone) {
                       spdlog::info("jobs: {} is done", id);
                       self->dispatcher_.Finished(id, net::Now());
                       self->on_completed(id);
@@ -294,7 +294,7 @@
   auto records = jobs_.ledger().Tidy(jobs_.revision(), static_cast<size_t>(settings_.txn_ops));
   std::erase_if(records, [&](const auto& r) { return Ending(r); });
   if (records.empty()) return;
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, token_});
   AddTo(txn, records);
   std::vector<std::string> touched;
@@ -303,8 +303,8 @@
     touched.push_back(r.key);
   }
   state_.Commit(std::move(txn), derived_.user_deadline_s,
-                [self = shared_from_this(), touched](state::TxnResult r) {
-                  if (self->stopped_ || r.outcome == state::Outcome::kDone) return;
+                [self = shared_from_this(), touched](kvstore::TxnResult r) {
+                  if (self->stopped_ || r.outcome == kvstore::Outcome::kDone) return;
                   for (const auto& key : touched) self->ending_.erase(key);
                 });
 }
@@ -323,18 +323,18 @@
   const auto records =
       dispatcher_.TakeRecords(static_cast<size_t>(settings_.txn_ops), kMostRecordBytes);
   if (records.empty()) return;
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, token_});
-  const auto put = [&](const std::string& key, const state::PackedMap::Written& w) {
+  const auto put = [&](const std::string& key, const kvstore::PackedMap::Written& w) {
     txn.conditions.push_back({key, w.version});
     txn.changes.push_back({key, w.value});
   };
   for (const auto& w : records.machines) put(keys::Machines(w.pack), w);
   for (const auto& w : records.progress) put(keys::Progress(w.pack), w);
   state_.Commit(std::move(txn), derived_.user_deadline_s,
-                [self = shared_from_this()](state::TxnResult r) {
+                [self = shared_from_this()](kvstore::TxnResult r) {
                   if (self->stopped_) return;
-                  if (r.outcome == state::Outcome::kDone) {
+                  if (r.outcome == kvstore::Outcome::kDone) {
                     self->dispatcher_.RecordsWritten(r.revision, net::Now());
                     return self->Kick();
                   }
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -46,7 +46,7 @@
                      offers_.clear();
                      own_block_grant_ = 0;
                    },
-               .changed = [this](const state::Event& e) { OnKey(e); },
+               .changed = [this](const kvstore::Event& e) { OnKey(e); },
                .loaded = [this] { OnMirrorLoaded(); },
                .advanced =
                    [this] {
@@ -128,7 +128,7 @@
 
 // ---------------------------------------------------------------------------- mirrored keys
 
-void Node::OnKey(const state::Event& e) {
+void Node::OnKey(const kvstore::Event& e) {
   if (e.key.starts_with(keys::kFinal)) return jobs_.FinalChanged(e);
   mirror_empty_ = false;
   if (e.key == keys::kLeader) {
@@ -182,7 +182,7 @@
 
 // ---------------------------------------------------------------------------- blocks
 
-bool Node::OnBlockKey(const state::Event& e) {
+bool Node::OnBlockKey(const kvstore::Event& e) {
   const bool offer = e.key.starts_with(keys::kHolders);
   if (!offer && !e.key.starts_with(keys::kBlocks)) return false;
   const std::string node = e.key.substr((offer ? keys::kHolders : keys::kBlocks).size());
@@ -233,11 +233,11 @@
 void Node::GiveUpBlock() {
   if (!holding_) return;
   spdlog::info("blocks: giving up the block, most of its machines can't be heard");
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({keys::kBlocks + settings_.node, holding_->lease()});
   txn.changes.push_back({keys::kBlocks + settings_.node, std::nullopt});
   StopHolding();
-  state_.Commit(std::move(txn), derived_.call_timeout_s, [](const state::TxnResult&) {});
+  state_.Commit(std::move(txn), derived_.call_timeout_s, [](const kvstore::TxnResult&) {});
 }
 
 // The offer hangs on the grant, so it tells the leader that this node is there and can renew.
@@ -248,11 +248,11 @@
   // An offer on a new grant tells that nothing is done under an older lease any more: machines that
   // can't be reached are counted from there.
   if (own_block_grant_ != grant) StopHolding();
-  state::Transaction txn;
+  kvstore::Transaction txn;
   // A late repetition must not look like a newer offer.
   txn.conditions.push_back({keys::kHolders + settings_.node, offers_[settings_.node].version});
   txn.changes.push_back({keys::kHolders + settings_.node, Json{{"grant", grant}}, grant});
-  state_.Commit(std::move(txn), derived_.call_timeout_s, [](const state::TxnResult&) {});
+  state_.Commit(std::move(txn), derived_.call_timeout_s, [](const kvstore::TxnResult&) {});
 }
 
 void Node::OnFrame(const net::HttpRequest& r, const Responder& respond) {
@@ -317,10 +317,10 @@
   jobs_.Loaded(mirror_.revision());
   elector_.MirrorLoaded(mirror_empty_);
   if (!speakers_.own()) {
-    state::Transaction txn;
+    kvstore::Transaction txn;
     txn.conditions.push_back({keys::kSpeaks + settings_.node, 0});
     txn.changes.push_back({keys::kSpeaks + settings_.node, Json{{"batches", 1}, {"marks", 1}}});
-    state_.Commit(std::move(txn), derived_.user_deadline_s, [](const state::TxnResult&) {});
+    state_.Commit(std::move(txn), derived_.user_deadline_s, [](const kvstore::TxnResult&) {});
   }
 }
 
@@ -353,10 +353,10 @@
     for (const auto& [lease, node] : routes_.leases()) desk->Inherited(node, lease);
     for (const auto& [node, offer] : offers_) desk->Offered(node, offer.version, offer.grant, now);
     if (routes_.LeaseOf(settings_.node) != 0) {
-      state::Transaction txn;
+      kvstore::Transaction txn;
       txn.conditions.push_back({keys::kLeader, token});
       txn.changes.push_back({keys::kBlocks + settings_.node, std::nullopt});
-      state_.Commit(std::move(txn), derived_.call_timeout_s, [](const state::TxnResult&) {});
+      state_.Commit(std::move(txn), derived_.call_timeout_s, [](const kvstore::TxnResult&) {});
     }
   }
   for (const auto& [key, pack] : packs_) {
--- a/src/service/operator_desk.cc
+++ b/src/service/operator_desk.cc
@@ -11,7 +11,7 @@
 
 using wire::Json;
 
-void OperatorDesk::OnKey(const state::Event& e) {
+void OperatorDesk::OnKey(const kvstore::Event& e) {
   version_ = e.value ? e.version : 0;
   try {
     settings_ = config::Change({}, e.value ? *e.value : Json::object());
@@ -51,14 +51,14 @@
     if (!ok) return respond(Later("can't tell now"));
     if (version != version_) return respond(Plain(409, "the settings have changed"));
     const Json next = config::ToJson(config::Change(settings_, changes));
-    state::Transaction txn;
+    kvstore::Transaction txn;
     txn.conditions.push_back({keys::kSettings, version});
     txn.changes.push_back({keys::kSettings, next});
-    state_.Commit(std::move(txn), derived_.user_deadline_s, [respond, next](state::TxnResult t) {
-      if (t.outcome == state::Outcome::kConflict) {
+    state_.Commit(std::move(txn), derived_.user_deadline_s, [respond, next](kvstore::TxnResult t) {
+      if (t.outcome == kvstore::Outcome::kConflict) {
         return respond(Plain(409, "the settings have changed"));
       }
-      if (t.outcome != state::Outcome::kDone) return respond(Later("can't change them now"));
+      if (t.outcome != kvstore::Outcome::kDone) return respond(Later("can't change them now"));
       respond({200, Json{{"version", t.revision}, {"settings", next}}.dump()});
     });
   });
--- a/src/service/type_keeper.cc
+++ b/src/service/type_keeper.cc
@@ -10,7 +10,7 @@
 
 using wire::Json;
 
-TypeKeeper::TypeKeeper(asio::io_context& io, state::Client& state, CloudClient& cloud,
+TypeKeeper::TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
                        const lease::Elector& elector, const config::Derived& derived,
                        std::function<void(const Types&)> learned)
     : state_(state),
@@ -28,7 +28,7 @@
   });
 }
 
-void TypeKeeper::OnKey(const state::Event& e) {
+void TypeKeeper::OnKey(const kvstore::Event& e) {
   if (!e.value) return;
   try {
     published_ = e.value->dump();
@@ -54,11 +54,11 @@
   };
   if (!published_.empty() && shape(Json::parse(published_)) == shape(value)) return;
   published_ = value.dump();
-  state::Transaction txn;
+  kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, elector_.token()});
   txn.changes.push_back({keys::kTypes, std::move(value)});
-  state_.Commit(std::move(txn), derived_.user_deadline_s, [this](const state::TxnResult& r) {
-    if (r.outcome != state::Outcome::kDone) published_.clear();
+  state_.Commit(std::move(txn), derived_.user_deadline_s, [this](const kvstore::TxnResult& r) {
+    if (r.outcome != kvstore::Outcome::kDone) published_.clear();
   });
 }
 
--- a/tests/acceptor_test.cc
+++ b/tests/acceptor_test.cc
@@ -48,7 +48,7 @@
   standins::HttpState store_;
   const config::Settings settings_;
   const config::Derived derived_;
-  state::Client client_;
+  kvstore::Client client_;
   Acceptor acceptor_;
 };
 
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -31,7 +31,7 @@
         mirror_(io_, client_, derived_, keys::kLive, keys::kAll,
                 {.reset = [this] { jobs_.Reset(); },
                  .changed =
-                     [this](const state::Event& e) {
+                     [this](const kvstore::Event& e) {
                        if (e.key.starts_with(keys::kFinal)) return jobs_.FinalChanged(e);
                        if (!jobs_.ledger().Holds(e.key)) return;
                        for (const auto& id : jobs_.Changed(e).came) came_.push_back(id);
@@ -72,8 +72,8 @@
   standins::HttpState store_;
   const config::Settings settings_;
   const config::Derived derived_;
-  state::Client client_;
-  state::Mirror mirror_;
+  kvstore::Client client_;
+  kvstore::Mirror mirror_;
   Admission admission_;
   JobTable jobs_;
   std::vector<std::string> ended_;
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "mosspath/jobs/job.h"
-#include "mosspath/state/packed_map.h"
+#include "mosspath/kvstore/packed_map.h"
 
 namespace mosspath {
 namespace {
@@ -112,7 +112,7 @@
 
 // Packs lose nothing, stay within their size, and survive being written and read again.
 TEST(PackedMap, KeepsEverythingWithinThePackSize) {
-  state::PackedMap map(300);
+  kvstore::PackedMap map(300);
   std::map<std::string, wire::Json> stored;
   const auto flush = [&] {
     while (map.dirty()) {
@@ -131,7 +131,7 @@
     if (i % 11 == 0) map.Erase("item-" + std::to_string(i % 40), /*lazily=*/false);
   }
   flush();
-  state::PackedMap again(300);
+  kvstore::PackedMap again(300);
   size_t items = 0;
   for (const auto& [pack, v] : stored) {
     again.Load(std::stoi(pack), v, 1);
@@ -148,7 +148,7 @@
 // A write that got no answer may be done minutes later, after newer ones of the same leader: it
 // would take machines out of the record that may run tasks. It must carry the version it knew.
 TEST(PackedMap, ALateWriteCarriesAnOldVersion) {
-  state::PackedMap map(300);
+  kvstore::PackedMap map(300);
   map.Set("vm-1", "a");
   const auto late = map.TakeDirty(1, 300);
   map.MarkDirty(0);  // no answer
