--- a/include/mosspath/lease/cancelled.h
+++ b/include/mosspath/election/cancelled.h
@@ -13,7 +13,7 @@
 
 #include "mosspath/wire/vouch_frame.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class Cancelled {
  public:
@@ -38,4 +38,4 @@
   std::set<std::pair<uint64_t, std::string>> listed_;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/elector.h
+++ b/include/mosspath/election/elector.h
@@ -1,6 +1,6 @@
 // Leadership over the state service's grants: obtains and renews the grant, campaigns for the
 // leader key, which hangs on it and whose version is the token under which the leader commands
-// workers. What it decides stands in lease/leadership.
+// workers. What it decides stands in election/leadership.
 #pragma once
 
 #include <functional>
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/lease/leadership.h"
+#include "mosspath/election/leadership.h"
 #include "mosspath/kvstore/client.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class Elector {
  public:
@@ -39,7 +39,7 @@
   void Resign(const char* why);
   bool MayResign(double now) const { return lead_.MayResign(now); }
 
-  // See lease::Leadership.
+  // See election::Leadership.
   bool Entitled(double now) const { return lead_.Entitled(now); }
   bool OutOfDate(double now) const { return lead_.OutOfDate(now); }
   bool ViewFresh(double now) const { return lead_.ViewFresh(now); }
@@ -79,4 +79,4 @@
   bool logged_lapse_ = false;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -1,6 +1,6 @@
 // Who leads, as one controller knows it, and what it may do: campaign, lead, go on in an outage,
 // promise another not to lead, step down. Events and the time come in; what is to be done comes
-// out. Pure: the service (lease/elector) and the rehearsal drive it. docs/design.md, rules 1, 2 and
+// out. Pure: the service (election/elector) and the rehearsal drive it. docs/design.md, rules 1, 2 and
 // 12, "State outages longer than a grant" and "The state service refuses the leader alone" say why
 // it is safe.
 //
@@ -17,12 +17,12 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/lease/reluctance.h"
-#include "mosspath/lease/view.h"
-#include "mosspath/lease/vouching.h"
+#include "mosspath/election/reluctance.h"
+#include "mosspath/election/view.h"
+#include "mosspath/election/vouching.h"
 #include "mosspath/wire/vouch_frame.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 // What the holder of a grant may assume of it. Pure.
 class GrantClock {
@@ -156,4 +156,4 @@
   std::optional<double> free_since_;  // the key, while it holds back
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/liveness.h
+++ b/include/mosspath/election/liveness.h
@@ -9,7 +9,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/wire/presence.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class Liveness {
  public:
@@ -54,4 +54,4 @@
   double state_contact_ = -1e18;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/reluctance.h
+++ b/include/mosspath/election/reluctance.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class Reluctance {
  public:
@@ -31,4 +31,4 @@
   double elected_ = -1e18;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/view.h
+++ b/include/mosspath/election/view.h
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class View {
  public:
@@ -25,4 +25,4 @@
   double as_of_ = -1e18;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/lease/vouching.h
+++ b/include/mosspath/election/vouching.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/config/settings.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 class Vouching {
  public:
@@ -55,4 +55,4 @@
   double until_ = -1e18;
 };
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/include/mosspath/jobs/directory.h
+++ b/include/mosspath/jobs/directory.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "mosspath/jobs/ledger.h"
-#include "mosspath/lease/cancelled.h"
+#include "mosspath/election/cancelled.h"
 
 namespace mosspath::jobs {
 
@@ -84,7 +84,7 @@
   }
 
   // What may have been told of cancellations.
-  const lease::Cancelled& cancelled() const { return cancelled_; }
+  const election::Cancelled& cancelled() const { return cancelled_; }
   // A job that is accepted and, as far as is known, not over.
   const Accepted* FindLive(const std::string& id) const {
     return ahead_.contains(id) ? nullptr : ledger_.Find(id);
@@ -96,7 +96,7 @@
   void ForgetAhead(uint64_t read);
 
   const Bounds bounds_;
-  lease::Cancelled cancelled_;
+  election::Cancelled cancelled_;
   Ledger ledger_;
   // Known to be cancelled since that revision, which was not read yet: whatever is read of them
   // before it, they are over. It may not even show yet that they were accepted.
--- a/include/mosspath/service/holding.h
+++ b/include/mosspath/service/holding.h
@@ -8,7 +8,7 @@
 
 #include "mosspath/block/holder.h"
 #include "mosspath/block/routes.h"
-#include "mosspath/lease/elector.h"
+#include "mosspath/election/elector.h"
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/service/frame_links.h"
 #include "mosspath/service/job_table.h"
@@ -20,7 +20,7 @@
 class Holding : public std::enable_shared_from_this<Holding> {
  public:
   Holding(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-          lease::Elector& elector, const kvstore::Mirror& mirror, const JobTable& jobs,
+          election::Elector& elector, const kvstore::Mirror& mirror, const JobTable& jobs,
           net::StallWatch& stalls, FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets,
           uint64_t lease);
 
@@ -55,7 +55,7 @@
   asio::io_context& io_;
   const config::Settings& settings_;
   const config::Derived derived_;
-  lease::Elector& elector_;
+  election::Elector& elector_;
   const kvstore::Mirror& mirror_;
   const JobTable& jobs_;
   net::StallWatch& stalls_;
--- a/include/mosspath/service/job_table.h
+++ b/include/mosspath/service/job_table.h
@@ -52,7 +52,7 @@
   void RecordFinal(const std::string& id, Known state) { directory_.Over(id, state); }
 
   // What this node knows to be durable, and may have told.
-  const lease::Cancelled& cancelled() const { return directory_.cancelled(); }
+  const election::Cancelled& cancelled() const { return directory_.cancelled(); }
   // A job that is accepted and, as far as is known, not over.
   const jobs::Accepted* FindLive(const std::string& id) const { return directory_.FindLive(id); }
 
--- a/include/mosspath/service/leader.h
+++ b/include/mosspath/service/leader.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "mosspath/block/desk.h"
-#include "mosspath/lease/elector.h"
+#include "mosspath/election/elector.h"
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/place/dispatcher.h"
 #include "mosspath/service/cloud.h"
@@ -24,7 +24,7 @@
 class Leader : public std::enable_shared_from_this<Leader> {
  public:
   Leader(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-         kvstore::Client& state, CloudClient& cloud, lease::Elector& elector, net::StallWatch& stalls,
+         kvstore::Client& state, CloudClient& cloud, election::Elector& elector, net::StallWatch& stalls,
          const JobTable& jobs, FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets,
          uint64_t token);
 
@@ -82,7 +82,7 @@
   const config::Derived derived_;
   kvstore::Client& state_;
   CloudClient& cloud_;
-  lease::Elector& elector_;
+  election::Elector& elector_;
   net::StallWatch& stalls_;
   const JobTable& jobs_;
   const uint64_t token_;
--- a/include/mosspath/service/node.h
+++ b/include/mosspath/service/node.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/block/routes.h"
 #include "mosspath/config/operator_settings.h"
-#include "mosspath/lease/elector.h"
+#include "mosspath/election/elector.h"
 #include "mosspath/net/http_server.h"
 #include "mosspath/service/cloud.h"
 #include "mosspath/service/frame_links.h"
@@ -68,7 +68,7 @@
   kvstore::Mirror mirror_;
   Admission admission_;
   JobTable jobs_;
-  lease::Elector elector_;
+  election::Elector elector_;
   net::StallWatch stalls_;
   std::shared_ptr<Leader> leader_;
   std::shared_ptr<Holding> holding_;
--- a/include/mosspath/service/peers.h
+++ b/include/mosspath/service/peers.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/lease/elector.h"
-#include "mosspath/lease/liveness.h"
+#include "mosspath/election/elector.h"
+#include "mosspath/election/liveness.h"
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/http_server.h"
 #include "mosspath/net/understood.h"
@@ -30,7 +30,7 @@
   };
 
   Peers(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-        lease::Elector& elector, JobTable& jobs, Admission& admission, Own own,
+        election::Elector& elector, JobTable& jobs, Admission& admission, Own own,
         const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
   void Start();
 
@@ -40,7 +40,7 @@
   void StoodStill(double from, double now) { liveness_.StoodStill(from, now); }
   // Not heard of lately, though it was.
   bool Silent(const std::string& node) const { return liveness_.Silent(node, net::Now()); }
-  // See lease::Liveness.
+  // See election::Liveness.
   bool FitForUsers(double state_contact, double patience_s) const {
     return liveness_.FitForUsers(state_contact, patience_s, net::Now());
   }
@@ -68,13 +68,13 @@
 
   const config::Settings& settings_;
   const config::Derived derived_;
-  lease::Elector& elector_;
+  election::Elector& elector_;
   JobTable& jobs_;
   Admission& admission_;
   const Own own_;
   const std::shared_ptr<net::SocketBudget> sockets_;
   const net::OnMalformed on_malformed_;
-  lease::Liveness liveness_;
+  election::Liveness liveness_;
   std::vector<std::unique_ptr<Link>> links_;
   net::Timer presence_timer_;
   net::Timer digest_timer_;
--- a/include/mosspath/service/type_keeper.h
+++ b/include/mosspath/service/type_keeper.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/lease/elector.h"
+#include "mosspath/election/elector.h"
 #include "mosspath/net/timer.h"
 #include "mosspath/service/cloud.h"
 #include "mosspath/kvstore/client.h"
@@ -19,7 +19,7 @@
   using Types = std::vector<wire::MachineType>;
 
   TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
-             const lease::Elector& elector, const config::Derived& derived,
+             const election::Elector& elector, const config::Derived& derived,
              std::function<void(const Types&)> learned);
 
   const Types& types() const { return types_; }
@@ -35,7 +35,7 @@
 
   kvstore::Client& state_;
   CloudClient& cloud_;
-  const lease::Elector& elector_;
+  const election::Elector& elector_;
   const config::Derived derived_;
   const std::function<void(const Types&)> learned_;
   Types types_;
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -59,7 +59,7 @@
       wire::VouchAnswer{promise.promised, directory_->cancelled().Since(question.seen)});
 }
 
-void Controller::Told(const lease::Leadership::Lost& lost) {
+void Controller::Told(const election::Leadership::Lost& lost) {
   if (!lost) return;
   desk_.reset();
   dispatcher_.reset();
@@ -240,7 +240,7 @@
   const Pairs& pairs = view.pairs;
   if (revision_ == 0) directory_->MayHaveTold(view.revision);  // the life before this one
   revision_ = std::max(revision_, view.revision);
-  lease::Leadership::Key leads;
+  election::Leadership::Key leads;
   if (const auto leader = pairs.find(kLeader); leader != pairs.end()) {
     leads = {leader->second.value.value("node", ""), leader->second.grant, leader->second.version};
   }
@@ -248,7 +248,7 @@
   Told(lead_->Loaded(pairs.empty()));
   SeeJobs(pairs);
   if (settings_.lease_blocks) SeeBlocks(pairs);
-  using Kind = lease::Leadership::Step::Kind;
+  using Kind = election::Leadership::Step::Kind;
   const auto step = lead_->Next(Now());
   lead_->Seen(sent, revision_);
   if (step.kind == Kind::kElected) return Elected(token(), pairs);
--- a/rehearsal/controller.h
+++ b/rehearsal/controller.h
@@ -12,8 +12,8 @@
 #include "mosspath/block/holder.h"
 #include "mosspath/block/routes.h"
 #include "mosspath/jobs/directory.h"
-#include "mosspath/lease/leadership.h"
-#include "mosspath/lease/liveness.h"
+#include "mosspath/election/leadership.h"
+#include "mosspath/election/liveness.h"
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/place/dispatcher.h"
 #include "mosspath/service/admission.h"
@@ -72,7 +72,7 @@
   void Running(std::function<void()> f);
   std::optional<std::string> Vouch(const std::string& question);
   void AskToVouch();
-  void Told(const lease::Leadership::Lost& lost);
+  void Told(const election::Leadership::Lost& lost);
   // Runs at the state service, then back here unless this life has ended.
   template <typename R>
   void Ask(std::function<R()> at_service, std::function<void(R)> back);
@@ -131,7 +131,7 @@
   const config::Derived derived_;
   uint64_t life_ = 0;
   bool alive_ = false;
-  std::optional<lease::Leadership> lead_;  // of this life
+  std::optional<election::Leadership> lead_;  // of this life
   double unread_until_ = 0;
   net::TurnClock turns_;
   double frozen_until_ = 0;
@@ -149,7 +149,7 @@
   std::map<std::string, uint64_t> seen_packs_;
   uint64_t revision_ = 0;  // of the state service, as last read
   std::optional<jobs::Directory> directory_;
-  std::optional<lease::Liveness> liveness_;
+  std::optional<election::Liveness> liveness_;
   bool offering_ = false;
   std::set<std::string> framing_;  // a frame to them is under way
   uint64_t held_starts_ = 0;
--- a/src/lease/cancelled.cc
+++ b/src/election/cancelled.cc
@@ -1,8 +1,8 @@
-#include "mosspath/lease/cancelled.h"
+#include "mosspath/election/cancelled.h"
 
 #include <algorithm>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 void Cancelled::MayHaveTold(uint64_t revision) {
   newest_ = std::max(newest_, revision);
@@ -39,4 +39,4 @@
   return part;
 }
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/src/lease/elector.cc
+++ b/src/election/elector.cc
@@ -1,10 +1,10 @@
-#include "mosspath/lease/elector.h"
+#include "mosspath/election/elector.h"
 
 #include <spdlog/spdlog.h>
 
 #include <utility>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 
 Elector::Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
                  const config::Derived& derived, std::string key, Handlers handlers)
@@ -125,4 +125,4 @@
   handlers_.lost();
 }
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/src/lease/leadership.cc
+++ b/src/election/leadership.cc
@@ -1,8 +1,8 @@
-#include "mosspath/lease/leadership.h"
+#include "mosspath/election/leadership.h"
 
 #include <utility>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 namespace {
 
 // A revision is counted once a change, and changes are limited for all controllers together; grants
@@ -159,4 +159,4 @@
   return out;
 }
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/src/lease/liveness.cc
+++ b/src/election/liveness.cc
@@ -1,8 +1,8 @@
-#include "mosspath/lease/liveness.h"
+#include "mosspath/election/liveness.h"
 
 #include <algorithm>
 
-namespace mosspath::lease {
+namespace mosspath::election {
 namespace {
 
 constexpr double kSilentIntervals = 3;
@@ -95,4 +95,4 @@
   return out;
 }
 
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/src/service/holding.cc
+++ b/src/service/holding.cc
@@ -28,7 +28,7 @@
 }  // namespace
 
 Holding::Holding(asio::io_context& io, const config::Settings& settings,
-                 const config::Derived& derived, lease::Elector& elector,
+                 const config::Derived& derived, election::Elector& elector,
                  const kvstore::Mirror& mirror, const JobTable& jobs, net::StallWatch& stalls,
                  FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets, uint64_t lease)
     : io_(io),
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -21,7 +21,7 @@
 
 Leader::Leader(asio::io_context& io, const config::Settings& settings,
                const config::Derived& derived, kvstore::Client& state, CloudClient& cloud,
-               lease::Elector& elector, net::StallWatch& stalls, const JobTable& jobs,
+               election::Elector& elector, net::StallWatch& stalls, const JobTable& jobs,
                FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets, uint64_t token)
     : io_(io),
       settings_(settings),
--- a/src/service/peers.cc
+++ b/src/service/peers.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 Peers::Peers(asio::io_context& io, const config::Settings& settings, const config::Derived& derived,
-             lease::Elector& elector, JobTable& jobs, Admission& admission, Own own,
+             election::Elector& elector, JobTable& jobs, Admission& admission, Own own,
              const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed)
     : settings_(settings),
       derived_(derived),
@@ -201,7 +201,7 @@
 }
 
 void Peers::OnVouch(const net::HttpRequest& r, const Responder& respond) {
-  lease::Leadership::Promise promise;
+  election::Leadership::Promise promise;
   wire::VouchQuestion question;
   try {
     question = wire::DecodeVouchQuestion(r.body);
--- a/src/service/type_keeper.cc
+++ b/src/service/type_keeper.cc
@@ -11,7 +11,7 @@
 using wire::Json;
 
 TypeKeeper::TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
-                       const lease::Elector& elector, const config::Derived& derived,
+                       const election::Elector& elector, const config::Derived& derived,
                        std::function<void(const Types&)> learned)
     : state_(state),
       cloud_(cloud),
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -1,7 +1,7 @@
 // Who leads, who promises, and what a leader learns from its peers while the state service is
 // silent: each decision by itself, and the first of the meetings in docs/meetings.md in every
 // order.
-#include "mosspath/lease/leadership.h"
+#include "mosspath/election/leadership.h"
 
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
@@ -9,10 +9,10 @@
 #include <array>
 #include <functional>
 
-#include "mosspath/lease/cancelled.h"
+#include "mosspath/election/cancelled.h"
 #include "rehearsal/cluster.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 namespace {
 
 using Kind = Leadership::Step::Kind;
@@ -618,4 +618,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/tests/lease_test.cc
+++ b/tests/lease_test.cc
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
-#include "mosspath/lease/liveness.h"
-#include "mosspath/lease/reluctance.h"
+#include "mosspath/election/liveness.h"
+#include "mosspath/election/reluctance.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 namespace {
 
 config::Settings Settings() {
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
--- a/tests/view_test.cc
+++ b/tests/view_test.cc
@@ -1,11 +1,11 @@
 // How old the leader's view may be: each way of being behind by itself.
-#include "mosspath/lease/view.h"
+#include "mosspath/election/view.h"
 
 #include <gtest/gtest.h>
 
-#include "mosspath/lease/vouching.h"
+#include "mosspath/election/vouching.h"
 
-namespace mosspath::lease {
+namespace mosspath::election {
 namespace {
 
 TEST(View, IsAsOldAsTheLastCompleteLook) {
@@ -49,4 +49,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::lease
+}  // namespace mosspath::election
