--- a/include/mosspath/picture/away.h
+++ b/include/mosspath/cluster/away.h
@@ -12,7 +12,7 @@
 
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 class Away {
  public:
@@ -40,4 +40,4 @@
   size_t size_ = 0;
 };
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/include/mosspath/picture/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -11,7 +11,7 @@
 
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 // An attempt of a task that is, or may be, on a machine.
 struct Slot {
@@ -161,4 +161,4 @@
   }
 };
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/include/mosspath/picture/picture.h
+++ b/include/mosspath/cluster/picture.h
@@ -19,12 +19,12 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/picture/away.h"
-#include "mosspath/picture/machine.h"
-#include "mosspath/picture/team_use.h"
-#include "mosspath/picture/types.h"
+#include "mosspath/cluster/away.h"
+#include "mosspath/cluster/machine.h"
+#include "mosspath/cluster/team_use.h"
+#include "mosspath/cluster/types.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 using Jobs = std::map<std::string, std::unique_ptr<jobs::Job>>;
 using Machines = std::map<std::string, Machine>;
@@ -86,4 +86,4 @@
 // The worker is to be told to stop it.
 void Stop(Machine& m, Slot& slot, double grace_s);
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/include/mosspath/picture/team_use.h
+++ b/include/mosspath/cluster/team_use.h
@@ -10,7 +10,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/jobs/job.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 class TeamUse {
  public:
@@ -32,4 +32,4 @@
   size_t unknown_ = 0;
 };
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/include/mosspath/picture/types.h
+++ b/include/mosspath/cluster/types.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/picture/machine.h"
+#include "mosspath/cluster/machine.h"
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 class Types {
  public:
@@ -43,4 +43,4 @@
   double best_fetch_ = 0;
 };
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/include/mosspath/place/dispatcher.h
+++ b/include/mosspath/place/dispatcher.h
@@ -12,7 +12,7 @@
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/fleet/planner.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 #include "mosspath/place/activity.h"
 #include "mosspath/place/aims.h"
 #include "mosspath/place/health.h"
@@ -41,7 +41,7 @@
 };
 
 // Seconds that what is in the slot is taken to run yet.
-double LeftToRun(const picture::Slot& slot, double now);
+double LeftToRun(const cluster::Slot& slot, double now);
 
 class Dispatcher {
  public:
@@ -150,7 +150,7 @@
   // Gives back what has waited for room for so long, and machines that are lost or asked back.
   void GiveBack(double patience_s, bool leader_hears, double now);
   wire::BlockItem Load(uint64_t applied) const;
-  wire::BlockItem News(const picture::Machine& m, double now) const;
+  wire::BlockItem News(const cluster::Machine& m, double now) const;
 
   void Apply(const config::OperatorSettings& s);
   // See Placer.
@@ -163,8 +163,8 @@
   // Jobs tried and machines looked at for them, so far.
   uint64_t placements() const { return placer_.placements(); }
   uint64_t looked_at() const { return placer_.looked_at(); }
-  const picture::Machines& machines() const { return picture_.machines; }
-  const picture::Jobs& jobs() const { return picture_.jobs; }
+  const cluster::Machines& machines() const { return picture_.machines; }
+  const cluster::Jobs& jobs() const { return picture_.jobs; }
 
  private:
   struct Tuning {
@@ -173,29 +173,29 @@
   };
 
   // --- What workers tell ---
-  picture::Machine& MachineFor(const wire::Report& r, double now);
-  void NewSession(picture::Machine& m, uint64_t session, double now);
-  void Reconcile(picture::Machine& m, const wire::Report& r, bool regular, double now);
-  void Doubt(picture::Machine& m);
-  void Adopt(picture::Machine& m, const wire::TaskReport& t, double now);
-  void OnExited(picture::Machine& m, const picture::SlotKey& key, picture::Slot& slot, double now);
-  void OnAsked(picture::Machine& m, const DirectOrder& order, DirectOutcome outcome,
+  cluster::Machine& MachineFor(const wire::Report& r, double now);
+  void NewSession(cluster::Machine& m, uint64_t session, double now);
+  void Reconcile(cluster::Machine& m, const wire::Report& r, bool regular, double now);
+  void Doubt(cluster::Machine& m);
+  void Adopt(cluster::Machine& m, const wire::TaskReport& t, double now);
+  void OnExited(cluster::Machine& m, const cluster::SlotKey& key, cluster::Slot& slot, double now);
+  void OnAsked(cluster::Machine& m, const DirectOrder& order, DirectOutcome outcome,
                const wire::Report* report, double now);
   bool Heeds(const wire::Report& r) const;
   void OnStranger(const wire::Report& r, double now);
-  void RuleOut(picture::Machine& m);
+  void RuleOut(cluster::Machine& m);
   // Nothing is on it any more, though it has not said so itself.
-  void EndAll(picture::Machine& m, double now);
+  void EndAll(cluster::Machine& m, double now);
   void LookForStrays();
   void TaskDone(jobs::Job& job, uint32_t index);
-  void Judge(const picture::Machine& m, const jobs::Job& job, Health::Verdict verdict, double now);
+  void Judge(const cluster::Machine& m, const jobs::Job& job, Health::Verdict verdict, double now);
   // --- What they are told ---
-  std::vector<wire::Command> CommandsFor(picture::Machine& m, double now);
+  std::vector<wire::Command> CommandsFor(cluster::Machine& m, double now);
   void RaiseTokens();
   // --- The fleet ---
   void MoveOff(double now);
   // Every machine that can be used or be told about, whoever commands it.
-  picture::Machine* FindAny(const std::string& id);
+  cluster::Machine* FindAny(const std::string& id);
   // --- Blocks ---
   void Claim(uint64_t lease, const wire::BlockItem& item, double now);
   void DoneAt(uint64_t lease, const wire::BlockItem& item, double now);
@@ -203,9 +203,9 @@
   void GivenBack(uint64_t lease, const wire::BlockItem& item, double now);
   void TellKept();
   void HandOverSome(double now);
-  void Hand(picture::Machine& m, double now);
+  void Hand(cluster::Machine& m, double now);
   void AskBackSome(double now);
-  picture::Machine& TakeIn(const picture::Machine& lent, uint64_t past_lease, double last_acted);
+  cluster::Machine& TakeIn(const cluster::Machine& lent, uint64_t past_lease, double last_acted);
   void KnownOrGone(const std::string& machine);
   void StopHeld(const std::string& job, uint32_t index);
   bool Readopt(jobs::Job& job, uint32_t index);
@@ -221,7 +221,7 @@
   const uint64_t token_;
   const Aims aims_;
   Activity activity_;
-  picture::Picture picture_;
+  cluster::Picture picture_;
   Takeover takeover_;
   Search search_;
   Leased leased_;
--- a/include/mosspath/place/health.h
+++ b/include/mosspath/place/health.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "mosspath/config/settings.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 
 namespace mosspath::place {
 
@@ -22,15 +22,15 @@
   };
   // A task of the job ran on the machine for so long, and completed. Owners' estimates are often
   // wrong, so machines are compared by tasks of the same job.
-  Verdict Timed(picture::Machine& m, jobs::Job& job, double ran_s) const;
+  Verdict Timed(cluster::Machine& m, jobs::Job& job, double ran_s) const;
   // A task of the job failed on the machine.
-  Verdict Failed(picture::Machine& m, jobs::Job& job, picture::Machines& machines,
+  Verdict Failed(cluster::Machine& m, jobs::Job& job, cluster::Machines& machines,
                  double now) const;
   // One completed: true if the job was doubted.
-  bool Succeeded(picture::Machine& m, jobs::Job& job) const;
+  bool Succeeded(cluster::Machine& m, jobs::Job& job) const;
   // Whether what has run for so long on a machine that is far too slow should rather begin again
   // elsewhere.
-  bool BetterElsewhere(const picture::Machine& m, const jobs::Job& job, double ran_s) const;
+  bool BetterElsewhere(const cluster::Machine& m, const jobs::Job& job, double ran_s) const;
 
  private:
   const double report_s_;
--- a/include/mosspath/place/hires.h
+++ b/include/mosspath/place/hires.h
@@ -8,7 +8,7 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/fleet/planner.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 
 namespace mosspath::place {
 
@@ -23,7 +23,7 @@
   };
   const std::map<std::string, Booting>& booting() const { return booting_; }
 
-  using Fleet = std::vector<picture::Machines*>;  // all that are up
+  using Fleet = std::vector<cluster::Machines*>;  // all that are up
 
   void Rented(const std::vector<std::string>& ids, const fleet::Wish& offer, const Fleet& fleet,
               double now);
@@ -41,9 +41,9 @@
   // An urgent job's size: the next should find room at once.
   void Urgent(double submitted, double cpus) { arrivals_.push_back({submitted, cpus}); }
   // The largest lately.
-  double Burst(double now, const picture::Types& types);
+  double Burst(double now, const cluster::Types& types);
   // Machines on their way; those that are given up go to `hopeless`.
-  void Plan(double now, const picture::Types& types, std::vector<fleet::Unit>& units,
+  void Plan(double now, const cluster::Types& types, std::vector<fleet::Unit>& units,
             std::vector<std::string>& hopeless) const;
 
  private:
--- a/include/mosspath/place/leased.h
+++ b/include/mosspath/place/leased.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "mosspath/jobs/job.h"
-#include "mosspath/picture/machine.h"
+#include "mosspath/cluster/machine.h"
 #include "mosspath/wire/block_frame.h"
 
 namespace mosspath::place {
@@ -51,13 +51,13 @@
   // The lease of a block whose holder is ready; 0: none.
   uint64_t ReadyFor(size_t block) const;
   // A task goes to the holder of this machine, which probably puts it there.
-  void Give(picture::Machine& m, const jobs::Job& job, uint32_t index);
+  void Give(cluster::Machine& m, const jobs::Job& job, uint32_t index);
   // More than there is room for, so that the holder has work when room comes free.
   void GiveAhead(uint64_t lease, const jobs::Job& job, uint32_t index);
   // CPUs of work that the holder may still be given ahead.
   double AheadRoom(const Lease& l, double share) const;
   // What its holder tells of a machine, with all gives up to `applied` counted in.
-  void News(picture::Machine& m, const picture::MachineNews& news, uint64_t applied, double now);
+  void News(cluster::Machine& m, const cluster::MachineNews& news, uint64_t applied, double now);
   void ToHolder(uint64_t lease, wire::BlockItem item);
 
   // --- As a holder ---
--- a/include/mosspath/place/placer.h
+++ b/include/mosspath/place/placer.h
@@ -7,7 +7,7 @@
 
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 #include "mosspath/place/aims.h"
 #include "mosspath/place/blocks.h"
 #include "mosspath/place/leased.h"
@@ -22,7 +22,7 @@
 class Placer {
  public:
   // All that it refers to outlives it. `token`: what attempts begin with.
-  Placer(const config::Settings& settings, picture::Picture& picture, const Aims& aims,
+  Placer(const config::Settings& settings, cluster::Picture& picture, const Aims& aims,
          const Takeover& takeover, Records& records, Leased& leased, uint64_t token);
 
   // `ahead`: work that holders are given beyond their room, as a share of their CPUs.
@@ -39,7 +39,7 @@
   // A pass over the waiting jobs, if anything has changed since the last.
   void Place(double now);
   // Room came free on a machine, while work waits for just that.
-  void Refill(picture::Machine& m, double now);
+  void Refill(cluster::Machine& m, double now);
   // Makes room for waiting work of a higher rank by stopping lower work that loses least.
   void Preempt(double now);
   // The job is over.
@@ -58,12 +58,12 @@
   // Nobody else can have started what is waiting of it: all machines are known, it was accepted
   // under our token, or no earlier leader has marked it.
   bool MayStart(const jobs::Job& job) const;
-  bool Allowed(const jobs::Job& job, const picture::Machine& m, double now) const;
+  bool Allowed(const jobs::Job& job, const cluster::Machine& m, double now) const;
   // Whether its tasks may be given to holders of blocks. What needs one view is the leader's:
   // gangs, services, tasks that must be together or apart, jobs that fail everywhere.
   bool Givable(const jobs::Job& job) const;
   // Where the machine is placed: what the leader or a holder commands is one block.
-  size_t BlockOf(const picture::Machine& m) const {
+  size_t BlockOf(const cluster::Machine& m) const {
     return leased_.role() == Leased::Role::kAlone ? blocks_.Of(m.id, m.zone) : leased_.own();
   }
 
@@ -72,7 +72,7 @@
   uint64_t looked_at() const { return looked_at_; }
 
  private:
-  using Pool = std::vector<picture::Machine*>;
+  using Pool = std::vector<cluster::Machine*>;
 
   std::vector<jobs::Job*> Order(double now);
   size_t ChooseBlock(const jobs::Job& job, const Pool& pool, double now) const;
@@ -87,19 +87,19 @@
   size_t Turn(const jobs::Job& job) const;
   // At most so many tasks. False when it found too little room.
   bool PlaceJob(jobs::Job& job, const Pool& pool, size_t most, double now);
-  bool Put(jobs::Job& job, picture::Machine& m, double now);
+  bool Put(jobs::Job& job, cluster::Machine& m, double now);
   // Gives holders work beyond their room, so that they have some when room comes free.
   void PlaceAhead(double now);
   bool IsMarked(const jobs::Job& job) const;
   // Whether the job may be started as far as its mark goes; asks for the mark if not.
   bool Cleared(jobs::Job& job);
-  double MissingGb(const jobs::Job& job, const picture::Machine& m) const;
-  double FetchTime(const jobs::Job& job, const picture::Machine& m) const;
+  double MissingGb(const jobs::Job& job, const cluster::Machine& m) const;
+  double FetchTime(const jobs::Job& job, const cluster::Machine& m) const;
   // How many of the job's tasks may be placed now, room aside.
   size_t MayPlace(const jobs::Job& job) const;
 
   const config::Settings& settings_;
-  picture::Picture& picture_;
+  cluster::Picture& picture_;
   const Aims& aims_;
   const Takeover& takeover_;
   Records& records_;
--- a/include/mosspath/place/records.h
+++ b/include/mosspath/place/records.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "mosspath/jobs/job.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 #include "mosspath/kvstore/packed_map.h"
 
 namespace mosspath::place {
@@ -56,7 +56,7 @@
   void Forget(const jobs::Job& job);
   void AddMachine(const std::string& id, const std::string& address);
   // The machine is held under that lease from when this is durable; 0: by the leader.
-  void AssignMachine(picture::Machine& m, const std::string& address, uint64_t lease);
+  void AssignMachine(cluster::Machine& m, const std::string& address, uint64_t lease);
   // The same entry without the lease that is over; with the next write.
   void ForgetLease(const std::string& id, const std::string& address) {
     machines_.Replace(id, ToText({address}));
@@ -68,9 +68,9 @@
   bool machines_wait() const { return machines_.dirty() && writing_.empty(); }
 
   // --- Writing ---
-  Batch Take(size_t most, size_t bytes, picture::Picture& picture);
+  Batch Take(size_t most, size_t bytes, cluster::Picture& picture);
   // The machines whose entries have become durable with it.
-  std::vector<std::string> Written(uint64_t revision, picture::Picture& picture);
+  std::vector<std::string> Written(uint64_t revision, cluster::Picture& picture);
   void Failed();
   void SeenProgress(int pack, uint64_t version) { Of(pack).Seen(Own(pack), version); }
   void SeenMachines(int pack, uint64_t version) { machines_.Seen(pack, version); }
--- a/include/mosspath/place/reserve.h
+++ b/include/mosspath/place/reserve.h
@@ -10,8 +10,8 @@
 
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/picture/machine.h"
-#include "mosspath/picture/types.h"
+#include "mosspath/cluster/machine.h"
+#include "mosspath/cluster/types.h"
 
 namespace mosspath::place {
 
@@ -30,19 +30,19 @@
     double cpus = 0;
     double memory_gb = 0;
   };
-  Size Kept(double now, const picture::Types& types);
+  Size Kept(double now, const cluster::Types& types);
 
   // --- Through one pass of placing ---
-  void Begin(double now, const picture::Types& types) {
+  void Begin(double now, const cluster::Types& types) {
     kept_ = Kept(now, types);
     free_ = {};
   }
   // A machine that takes new work.
-  void Add(const picture::Machine& m);
+  void Add(const cluster::Machine& m);
   // Whether a task may take its room on the machine.
-  bool MayTake(const wire::JobSpec& spec, const picture::Machine& m) const;
+  bool MayTake(const wire::JobSpec& spec, const cluster::Machine& m) const;
   // It did. Or, negative, room came free.
-  void Took(const wire::JobSpec& spec, const picture::Machine& m);
+  void Took(const wire::JobSpec& spec, const cluster::Machine& m);
 
  private:
   struct Arrival {
--- a/include/mosspath/place/strays.h
+++ b/include/mosspath/place/strays.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 
 namespace mosspath::place {
 
@@ -37,11 +37,11 @@
   void Listed(const std::vector<wire::ListedMachine>& listed, double asked);
   // Tasks that no other machine can have, which are forgotten here. Machines that must show a
   // higher token for others go to `doubted`.
-  std::vector<wire::TaskId> RuledOut(const picture::Picture& picture,
+  std::vector<wire::TaskId> RuledOut(const cluster::Picture& picture,
                                      std::set<std::string>& doubted);
 
  private:
-  bool Possible(const Start& start, const picture::Picture& picture,
+  bool Possible(const Start& start, const cluster::Picture& picture,
                 std::set<std::string>& doubted) const;
 
   const double list_lag_s_;
--- a/include/mosspath/place/takeover.h
+++ b/include/mosspath/place/takeover.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 #include "mosspath/place/orders.h"
 #include "mosspath/place/search.h"
 
@@ -35,30 +35,30 @@
 
   // A machine of the predecessor's list, or one that another controller commanded until now, which
   // only that controller's tasks wait for (`counted` false).
-  void Inherit(picture::Machine& m, bool counted = true);
+  void Inherit(cluster::Machine& m, bool counted = true);
   // The holder of this lease has not told yet what it has.
   void Await(uint64_t lease) { awaited_.insert(lease); }
   bool Awaits(uint64_t lease) const { return awaited_.contains(lease); }
   // It has, or its machines are asked instead. True: nothing else is waited for.
   bool Heard(uint64_t lease) { return awaited_.erase(lease) > 0 && settled(); }
   // The machine is known, or certainly has nothing of earlier leaders; true if it was the last.
-  bool RuleOut(picture::Machine& m);
+  bool RuleOut(cluster::Machine& m);
 
   // Questions that are due, up to `most` orders in all.
-  void Ask(picture::Machines& machines, double now, size_t most, std::vector<DirectOrder>& out);
+  void Ask(cluster::Machines& machines, double now, size_t most, std::vector<DirectOrder>& out);
   // A question has ended, however.
   void Asked() { asking_ -= asking_ > 0 ? 1 : 0; }
   // What the worker answered, if anything. False: nothing can be concluded from it.
-  bool Learned(picture::Machine& m, const DirectOrder& order, DirectOutcome outcome,
+  bool Learned(cluster::Machine& m, const DirectOrder& order, DirectOutcome outcome,
                const wire::Report* report, double now) const;
   // Workers may not have found us yet: asked again until they have.
   bool searching(double now) const { return now - begun_ < search_s_; }
   // Machines that are given up so that the others needn't wait.
-  std::vector<std::string> Stragglers(const picture::Machines& machines, const Search& search,
+  std::vector<std::string> Stragglers(const cluster::Machines& machines, const Search& search,
                                       double now) const;
 
   // Most workers that were heard are silent now, all at once.
-  bool Blind(const picture::Machines& machines, double now);
+  bool Blind(const cluster::Machines& machines, double now);
   void StoodStill(double now);
 
  private:
--- a/src/picture/away.cc
+++ b/src/cluster/away.cc
@@ -1,6 +1,6 @@
-#include "mosspath/picture/away.h"
+#include "mosspath/cluster/away.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 uint64_t Away::Under(const wire::TaskId& task) const {
   const auto job = jobs_.find(task.job);
@@ -46,4 +46,4 @@
   return out;
 }
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/src/picture/machine.cc
+++ b/src/cluster/machine.cc
@@ -1,6 +1,6 @@
-#include "mosspath/picture/machine.h"
+#include "mosspath/cluster/machine.h"
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 ImageCache::ImageCache(const ImageCache& other) : order_(other.order_), total_(other.total_) {
   for (auto it = order_.begin(); it != order_.end(); ++it) index_[it->first] = it;
@@ -32,4 +32,4 @@
   total_ = 0;
 }
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/src/picture/picture.cc
+++ b/src/cluster/picture.cc
@@ -1,9 +1,9 @@
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 using jobs::Job;
 using jobs::Phase;
@@ -145,4 +145,4 @@
   slot.stop_sent = -1e18;
 }
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/src/picture/team_use.cc
+++ b/src/cluster/team_use.cc
@@ -1,9 +1,9 @@
-#include "mosspath/picture/team_use.h"
+#include "mosspath/cluster/team_use.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace mosspath::picture {
+namespace mosspath::cluster {
 
 void TeamUse::Add(const std::string& team, double cpus, double gpus) {
   auto& use = use_[team];
@@ -44,4 +44,4 @@
   return static_cast<size_t>(std::max(0.0, room));
 }
 
-}  // namespace mosspath::picture
+}  // namespace mosspath::cluster
--- a/src/place/dispatcher.cc
+++ b/src/place/dispatcher.cc
@@ -12,9 +12,9 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
-using picture::SlotKey;
+using cluster::Machine;
+using cluster::Slot;
+using cluster::SlotKey;
 
 namespace {
 
@@ -144,7 +144,7 @@
       if (slot->second.state == Slot::State::kIntended) {
         picture_.Gone(m, slot, now);
       } else {
-        picture::Stop(m, slot->second, 0);
+        cluster::Stop(m, slot->second, 0);
       }
       slot = next;
     }
@@ -274,10 +274,10 @@
         const Job* job = slot.orphan ? nullptr : picture_.Find(key.first.job);
         if (job == nullptr || slot.stop || slot.exited()) continue;
         const double ran = slot.running_since > 0 ? now - slot.running_since : 0;
-        if (health_.BetterElsewhere(m, *job, ran)) picture::Stop(m, slot, job->spec.save_s);
+        if (health_.BetterElsewhere(m, *job, ran)) cluster::Stop(m, slot, job->spec.save_s);
         if (m.notice_at && job->spec.checkpoint_s > 0) {
           if ((*m.notice_at - now) / kNoticeError < job->spec.save_s + 2 * settings_.report_s) {
-            picture::Stop(m, slot, job->spec.save_s);
+            cluster::Stop(m, slot, job->spec.save_s);
           }
         }
       }
--- a/src/place/dispatcher_blocks.cc
+++ b/src/place/dispatcher_blocks.cc
@@ -11,8 +11,8 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
+using cluster::Machine;
+using cluster::Slot;
 using Item = wire::BlockItem;
 using Kind = wire::BlockItem::Kind;
 
@@ -415,7 +415,7 @@
     picture_.types.Fit(m);
     hires_.Up(m.id);
   }
-  picture::MachineNews news;
+  cluster::MachineNews news;
   news.usable = told.usable;
   news.idle = told.idle;
   news.needed = told.needed;
--- a/src/place/dispatcher_fleet.cc
+++ b/src/place/dispatcher_fleet.cc
@@ -11,9 +11,9 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
-using picture::SlotKey;
+using cluster::Machine;
+using cluster::Slot;
+using cluster::SlotKey;
 
 namespace {
 
@@ -58,7 +58,7 @@
       if (slot.exited()) continue;
       Job* job = picture_.Find(key.first.job);
       job->tasks[key.first.index].moved = true;
-      picture::Stop(m, slot, job->spec.save_s);
+      cluster::Stop(m, slot, job->spec.save_s);
     }
     room -= m.used_cpus;
     spdlog::debug("fleet: moving the tasks of {} elsewhere", id);
--- a/src/place/dispatcher_holder.cc
+++ b/src/place/dispatcher_holder.cc
@@ -9,8 +9,8 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
+using cluster::Machine;
+using cluster::Slot;
 using Item = wire::BlockItem;
 using Kind = wire::BlockItem::Kind;
 
@@ -143,7 +143,7 @@
       auto& n = job->placed_in[m.zone];
       if (n > 0) --n;
       slot.orphan = true;
-      picture::Stop(m, slot, 0);
+      cluster::Stop(m, slot, 0);
     }
   }
   job->pending.erase(index);
--- a/src/place/dispatcher_reports.cc
+++ b/src/place/dispatcher_reports.cc
@@ -11,9 +11,9 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
-using picture::SlotKey;
+using cluster::Machine;
+using cluster::Slot;
+using cluster::SlotKey;
 
 namespace {
 
@@ -187,7 +187,7 @@
       if (slot.state == Slot::State::kIntended) {
         if (!may_start) continue;
         slot.state = Slot::State::kSent;
-        slot.sent_seq = picture::kNoReport;
+        slot.sent_seq = cluster::kNoReport;
         slot.direct = true;
         slot.direct_at = now;
         slot.sent_token = m.token;
@@ -402,7 +402,7 @@
     slot.orphan = true;
     if (job != nullptr) picture_.AddCopy(t.task, m.id);
     found = job != nullptr;
-    picture::Stop(m, slot, 0);
+    cluster::Stop(m, slot, 0);
     spdlog::info("place: stopping {} on {}: {}", wire::TaskName(t.task), m.id,
                  job == nullptr ? "its job is over" : "it is elsewhere or done");
   }
--- a/src/place/health.cc
+++ b/src/place/health.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Health::Verdict Health::Timed(picture::Machine& m, jobs::Job& job, double ran_s) const {
+Health::Verdict Health::Timed(cluster::Machine& m, jobs::Job& job, double ran_s) const {
   auto verdict = Verdict::kNone;
   if (job.timed >= kTimedToCompare && job.mean_run_s() > report_s_) {
     const double ratio = ran_s / job.mean_run_s();
@@ -33,7 +33,7 @@
   return verdict;
 }
 
-Health::Verdict Health::Failed(picture::Machine& m, jobs::Job& job, picture::Machines& machines,
+Health::Verdict Health::Failed(cluster::Machine& m, jobs::Job& job, cluster::Machines& machines,
                                double now) const {
   const std::string& id = job.spec.id;
   job.failed_on[m.id] = now;
@@ -64,14 +64,14 @@
   return verdict;
 }
 
-bool Health::Succeeded(picture::Machine& m, jobs::Job& job) const {
+bool Health::Succeeded(cluster::Machine& m, jobs::Job& job) const {
   job.failures = 0;
   job.not_before = 0;
   m.errors.clear();
   return std::exchange(job.doubted, false);
 }
 
-bool Health::BetterElsewhere(const picture::Machine& m, const jobs::Job& job, double ran_s) const {
+bool Health::BetterElsewhere(const cluster::Machine& m, const jobs::Job& job, double ran_s) const {
   const double usual = job.mean_run_s();
   return m.condemned && usual > 0 && m.slowness * usual - ran_s > kWorthMoving * usual;
 }
--- a/src/place/hires.cc
+++ b/src/place/hires.cc
@@ -12,8 +12,8 @@
 constexpr double kLatelyReports = 10;  // reports, over which the largest urgent job counts
 constexpr double kUpPatience = 4;      // leases, for a machine that is up to find us
 
-picture::Machine* Find(const Hires::Fleet& fleet, const std::string& id) {
-  for (picture::Machines* machines : fleet) {
+cluster::Machine* Find(const Hires::Fleet& fleet, const std::string& id) {
+  for (cluster::Machines* machines : fleet) {
     if (const auto it = machines->find(id); it != machines->end()) return &it->second;
   }
   return nullptr;
@@ -31,7 +31,7 @@
                    const Fleet& fleet, double now) {
   for (const auto& id : ids) {
     if (dead_.contains(id)) continue;
-    const picture::Machine* m = Find(fleet, id);
+    const cluster::Machine* m = Find(fleet, id);
     if (m != nullptr && !m->address.empty()) continue;
     booting_[id] = {{offer.type, offer.zone, offer.spot, 1}, now, false};
   }
@@ -57,7 +57,7 @@
     names.insert(l.id);
     if (dead_.contains(l.id)) continue;
     const bool failed = l.state == wire::MachineState::kFailed;
-    if (picture::Machine* m = Find(fleet, l.id)) {
+    if (cluster::Machine* m = Find(fleet, l.id)) {
       m->failed = failed;
       m->unlisted = false;
       if (!m->address.empty() || m->inherited || m->lease != 0) continue;
@@ -79,7 +79,7 @@
   // The list lags, but keeps what it has shown until it is gone: a silent machine that it no
   // longer shows has been taken.
   const double settled_by = asked - 2 * list_lag_s_ - report_s_;
-  for (picture::Machines* machines : fleet) {
+  for (cluster::Machines* machines : fleet) {
     for (auto& [id, m] : *machines) {
       const double known = m.address.empty() ? m.last_answered : m.first_heard;
       const double heard = std::max(m.last_heard, known);
@@ -90,7 +90,7 @@
   }
 }
 
-double Hires::Burst(double now, const picture::Types& types) {
+double Hires::Burst(double now, const cluster::Types& types) {
   double boot_s = 0;
   for (const auto& [name, t] : types.all()) boot_s = std::max(boot_s, t.boot_s);
   const double lately = std::max(kLatelyBoots * boot_s, kLatelyReports * report_s_);
@@ -100,7 +100,7 @@
   return most;
 }
 
-void Hires::Plan(double now, const picture::Types& types, std::vector<fleet::Unit>& units,
+void Hires::Plan(double now, const cluster::Types& types, std::vector<fleet::Unit>& units,
                  std::vector<std::string>& hopeless) const {
   for (const auto& [id, b] : booting_) {
     const auto* t = types.Find(b.offer.type);
--- a/src/place/leased.cc
+++ b/src/place/leased.cc
@@ -32,7 +32,7 @@
   return 0;
 }
 
-void Leased::Give(picture::Machine& m, const jobs::Job& job, uint32_t index) {
+void Leased::Give(cluster::Machine& m, const jobs::Job& job, uint32_t index) {
   Lease* l = Find(m.lease);
   if (l == nullptr) return;
   l->giving[job.spec.id].push_back(index);
@@ -56,7 +56,7 @@
   return share * l.cpus - waiting;
 }
 
-void Leased::News(picture::Machine& m, const picture::MachineNews& news, uint64_t applied,
+void Leased::News(cluster::Machine& m, const cluster::MachineNews& news, uint64_t applied,
                   double now) {
   m.news = news;
   m.news_at = now;
--- a/src/place/placer.cc
+++ b/src/place/placer.cc
@@ -12,9 +12,9 @@
 
 using jobs::Job;
 using jobs::Phase;
-using picture::Machine;
-using picture::Slot;
-using picture::SlotKey;
+using cluster::Machine;
+using cluster::Slot;
+using cluster::SlotKey;
 
 namespace {
 
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-Placer::Placer(const config::Settings& settings, picture::Picture& picture, const Aims& aims,
+Placer::Placer(const config::Settings& settings, cluster::Picture& picture, const Aims& aims,
                const Takeover& takeover, Records& records, Leased& leased, uint64_t token)
     : settings_(settings),
       picture_(picture),
@@ -630,7 +630,7 @@
           ran > kCheapLoss * ExpectedRun(*v.job)) {
         continue;
       }
-      picture::Stop(*v.machine, *v.slot, v.job->spec.save_s);
+      cluster::Stop(*v.machine, *v.slot, v.job->spec.save_s);
       turns_.Stopped(*v.job, v.slot->cpus);
       short_of -= v.slot->cpus;
       spdlog::debug("place: preempting a task of {} on {} for {}", v.job->spec.id, v.machine->id,
--- a/src/place/records.cc
+++ b/src/place/records.cc
@@ -112,7 +112,7 @@
   if (!machines_.Has(id)) machines_.Set(id, address);
 }
 
-void Records::AssignMachine(picture::Machine& m, const std::string& address, uint64_t lease) {
+void Records::AssignMachine(cluster::Machine& m, const std::string& address, uint64_t lease) {
   // Something was written between two hand-overs, if only that the machine came back.
   m.handed = newest_revision_;
   machines_.Replace(m.id, ToText({address, lease, m.handed}));
@@ -123,7 +123,7 @@
 
 void Records::DropMachine(const std::string& id) { machines_.Erase(id, /*lazily=*/false); }
 
-Records::Batch Records::Take(size_t most, size_t bytes, picture::Picture& picture) {
+Records::Batch Records::Take(size_t most, size_t bytes, cluster::Picture& picture) {
   if (!writing_.empty()) return {};
   for (const auto& [id, segment] : unstaged_) {
     if (const Job* job = picture.Find(id)) {
@@ -183,7 +183,7 @@
   return writing_;
 }
 
-std::vector<std::string> Records::Written(uint64_t revision, picture::Picture& picture) {
+std::vector<std::string> Records::Written(uint64_t revision, cluster::Picture& picture) {
   newest_revision_ = std::max(newest_revision_, revision);
   for (const auto& w : writing_.machines) machines_.Seen(w.pack, revision);
   for (const auto& w : writing_.progress) SeenProgress(w.pack, revision);
--- a/src/place/strays.cc
+++ b/src/place/strays.cc
@@ -18,7 +18,7 @@
   }
 }
 
-bool Strays::Possible(const Start& start, const picture::Picture& picture,
+bool Strays::Possible(const Start& start, const cluster::Picture& picture,
                       std::set<std::string>& doubted) const {
   // What was up when the order left is listed by then, unless it is gone.
   if (asked_ < start.sent + kMostLag * list_lag_s_ * (1 + 2 * config::kDrift)) return true;
@@ -42,7 +42,7 @@
   return possible;
 }
 
-std::vector<wire::TaskId> Strays::RuledOut(const picture::Picture& picture,
+std::vector<wire::TaskId> Strays::RuledOut(const cluster::Picture& picture,
                                            std::set<std::string>& doubted) {
   std::vector<wire::TaskId> out;
   for (auto it = starts_.begin(); it != starts_.end();) {
--- a/src/place/takeover.cc
+++ b/src/place/takeover.cc
@@ -7,7 +7,7 @@
 
 namespace mosspath::place {
 
-using picture::Machine;
+using cluster::Machine;
 
 namespace {
 
@@ -45,7 +45,7 @@
   return true;
 }
 
-void Takeover::Ask(picture::Machines& machines, double now, size_t most,
+void Takeover::Ask(cluster::Machines& machines, double now, size_t most,
                    std::vector<DirectOrder>& out) {
   for (auto& [id, m] : machines) {
     if (asking_ >= kMostAsked || out.size() >= most) return;
@@ -81,7 +81,7 @@
 // A successor starts nothing of earlier jobs before it has heard from every machine it took over.
 // At any time some of many machines have just been taken by the cloud, so once nearly all have been
 // heard the others are deleted: that is answered at once, and rules them out.
-std::vector<std::string> Takeover::Stragglers(const picture::Machines& machines,
+std::vector<std::string> Takeover::Stragglers(const cluster::Machines& machines,
                                               const Search& search, double now) const {
   std::vector<std::string> late;
   const bool few =
@@ -102,7 +102,7 @@
   return late;
 }
 
-bool Takeover::Blind(const picture::Machines& machines, double now) {
+bool Takeover::Blind(const cluster::Machines& machines, double now) {
   size_t known = 0;
   size_t heard = 0;
   // A successor that asks in vain can't do the work either. What answered it is within reach,
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -15,7 +15,7 @@
 #include "mosspath/jobs/directory.h"
 #include "mosspath/jobs/job.h"
 #include "mosspath/jobs/ledger.h"
-#include "mosspath/picture/picture.h"
+#include "mosspath/cluster/picture.h"
 #include "mosspath/place/records.h"
 #include "mosspath/service/keys.h"
 #include "mosspath/wire/json.h"
@@ -288,7 +288,7 @@
 };
 
 TEST_F(GoldenPacks, Written) {
-  picture::Picture picture(settings_, derived_);
+  cluster::Picture picture(settings_, derived_);
   place::Records records(settings_, kToken);
   jobs::Job& job = *(picture.jobs["req-000412"] = NewJob());
   for (const uint32_t index : kDoneTasks) {
@@ -298,7 +298,7 @@
   records.Doubt("req-000412", kTries);
   records.Mark(job);
   records.AddMachine("vm-1", "10.0.0.1:9001");
-  picture::Machine lent;
+  cluster::Machine lent;
   lent.id = "vm-2";
   records.AssignMachine(lent, "10.0.0.2:9002", kLease);
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1054,7 +1054,7 @@
     return std::find(back.begin(), back.end(), id) != back.end();
   }
   bool Usable(const std::string& id, double now) {
-    return picture::Picture(settings_, derived_).Usable(d_.machines().at(id), now);
+    return cluster::Picture(settings_, derived_).Usable(d_.machines().at(id), now);
   }
 };
 
@@ -1230,12 +1230,12 @@
   Ready("vm-1", 0);
   wire::Report copy = Written("vm-1", 1);
   Report("vm-1", 2);
-  const picture::Machine before = d_.machines().at("vm-1");
+  const cluster::Machine before = d_.machines().at("vm-1");
   copy.address = "10.0.0.7:1";
   copy.notice_s = 5;
   copy.tasks = {{{"req-1", 0}, 77, wire::TaskState::kRunning, wire::Why::kNone, false}};
   EXPECT_FALSE(d_.OnReport(copy, 30).accepted);
-  const picture::Machine& after = d_.machines().at("vm-1");
+  const cluster::Machine& after = d_.machines().at("vm-1");
   EXPECT_EQ(after.address, before.address);
   EXPECT_EQ(after.last_heard, before.last_heard);
   EXPECT_EQ(after.last_answered, before.last_answered);
@@ -1378,7 +1378,7 @@
 // It may be running, so its team's limit counts it, also when its job is over.
 TEST(Withheld, CountsTowardsItsTeam) {
   const config::Settings settings = rehearsal::SmallSettings();  // "tight" may use 10 CPUs
-  picture::Picture p(settings, config::Derived(settings));
+  cluster::Picture p(settings, config::Derived(settings));
   wire::JobSpec spec;
   spec.id = "req-1";
   spec.team = "tight";
