--- a/include/mosspath/block/desk.h
+++ b/include/mosspath/block/desk.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/block/channel.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
 namespace mosspath::block {
 
@@ -18,7 +18,7 @@
  public:
   // All that it refers to outlives it.
   Desk(const config::Settings& settings, const config::Derived& derived,
-       place::Dispatcher& dispatcher, uint64_t token);
+       scheduler::Dispatcher& dispatcher, uint64_t token);
 
   // Leases are given out, or taken back.
   void Allow(bool lease_blocks) { allowed_ = lease_blocks; }
@@ -77,7 +77,7 @@
 
   const config::Settings settings_;
   const config::Derived derived_;
-  place::Dispatcher& dispatcher_;
+  scheduler::Dispatcher& dispatcher_;
   const uint64_t token_;
   bool allowed_ = true;
   std::map<std::string, Block> blocks_;   // by their controllers
--- a/include/mosspath/block/holder.h
+++ b/include/mosspath/block/holder.h
@@ -14,7 +14,7 @@
 
 #include "mosspath/block/channel.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
 namespace mosspath::block {
 
@@ -32,8 +32,8 @@
          uint64_t lease, double now, FindJob find_job);
 
   uint64_t lease() const { return lease_; }
-  place::Dispatcher& dispatcher() { return dispatcher_; }
-  const place::Dispatcher& dispatcher() const { return dispatcher_; }
+  scheduler::Dispatcher& dispatcher() { return dispatcher_; }
+  const scheduler::Dispatcher& dispatcher() const { return dispatcher_; }
 
   // --- What the state service shows ---
   // The machine is the block's; `version` of the record that says so is its token, `handed` which
@@ -52,8 +52,8 @@
   void JobOver(const std::string& id, double now) { dispatcher_.RemoveJob(id, now); }
 
   // --- Workers ---
-  place::ReportAnswer OnReport(const wire::Report& r, double now);
-  void OnDirect(const place::DirectOrder& order, place::DirectOutcome outcome,
+  scheduler::ReportAnswer OnReport(const wire::Report& r, double now);
+  void OnDirect(const scheduler::DirectOrder& order, scheduler::DirectOutcome outcome,
                 const wire::Report* report, double now);
 
   // --- The leader ---
@@ -81,7 +81,7 @@
   const config::Derived derived_;
   const uint64_t lease_;
   const FindJob find_job_;
-  place::Dispatcher dispatcher_;
+  scheduler::Dispatcher dispatcher_;
   Channel channel_;
   uint64_t leader_ = 0;
   bool told_all_ = false;  // this leader has been sent all that is held
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -133,7 +133,7 @@
       false;  // that may be durable: its holder may count from there, so it is not answered
   bool retoken = false;     // its holder is gone: nothing is said to it before its token is raised
   uint64_t past_lease = 0;  // its entry names this lease, which is over, until it is known
-  uint64_t handed = 0;      // which time it is handed over; see place/records.h
+  uint64_t handed = 0;      // which time it is handed over; see scheduler/records.h
   uint64_t entry_no = 0;    // changes of its entry in the record
   bool asked_back = false;  // its holder is to give it back
   double kept_until = -1e18;  // not handed over before
--- a/include/mosspath/place/activity.h
+++ b/include/mosspath/scheduler/activity.h
@@ -13,7 +13,7 @@
 #include "mosspath/jobs/job.h"
 #include "mosspath/wire/digest.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Activity {
  public:
@@ -48,4 +48,4 @@
   double next_log_ = -1e18;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/aims.h
+++ b/include/mosspath/scheduler/aims.h
@@ -8,7 +8,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/jobs/job.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 // Seconds that a task of the job is taken to run.
 double ExpectedRun(const jobs::Job& job);
@@ -37,4 +37,4 @@
   const double no_aim_s_;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/blocks.h
+++ b/include/mosspath/scheduler/blocks.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/config/settings.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Blocks {
  public:
@@ -26,4 +26,4 @@
   std::map<std::string, std::vector<size_t>> zones_;  // zone -> its controllers' blocks
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/dispatcher.h
+++ b/include/mosspath/scheduler/dispatcher.h
@@ -13,21 +13,21 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/fleet/planner.h"
 #include "mosspath/cluster/picture.h"
-#include "mosspath/place/activity.h"
-#include "mosspath/place/aims.h"
-#include "mosspath/place/health.h"
-#include "mosspath/place/hires.h"
-#include "mosspath/place/leased.h"
-#include "mosspath/place/orders.h"
-#include "mosspath/place/placer.h"
-#include "mosspath/place/records.h"
-#include "mosspath/place/search.h"
-#include "mosspath/place/strays.h"
-#include "mosspath/place/takeover.h"
+#include "mosspath/scheduler/activity.h"
+#include "mosspath/scheduler/aims.h"
+#include "mosspath/scheduler/health.h"
+#include "mosspath/scheduler/hires.h"
+#include "mosspath/scheduler/leased.h"
+#include "mosspath/scheduler/orders.h"
+#include "mosspath/scheduler/placer.h"
+#include "mosspath/scheduler/records.h"
+#include "mosspath/scheduler/search.h"
+#include "mosspath/scheduler/strays.h"
+#include "mosspath/scheduler/takeover.h"
 #include "mosspath/wire/digest.h"
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 struct ReportAnswer {
   bool accepted = false;  // false: answer 503, the lease is not renewed
@@ -236,4 +236,4 @@
   bool wants_plan_ = false;                            // something came since the last plan
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/health.h
+++ b/include/mosspath/scheduler/health.h
@@ -6,7 +6,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/cluster/picture.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Health {
  public:
@@ -37,4 +37,4 @@
   const double lease_s_;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/hires.h
+++ b/include/mosspath/scheduler/hires.h
@@ -10,7 +10,7 @@
 #include "mosspath/fleet/planner.h"
 #include "mosspath/cluster/picture.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Hires {
  public:
@@ -62,4 +62,4 @@
   std::vector<Arrival> arrivals_;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/leased.h
+++ b/include/mosspath/scheduler/leased.h
@@ -15,7 +15,7 @@
 #include "mosspath/cluster/machine.h"
 #include "mosspath/wire/block_frame.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Leased {
  public:
@@ -90,4 +90,4 @@
 std::vector<wire::BlockItem> TaskItems(wire::BlockItem::Kind kind, const std::string& job,
                                        const std::vector<uint32_t>& tasks);
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/locality.h
+++ b/include/mosspath/scheduler/locality.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <vector>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 struct Policy {
   double gamma = 1.5;     // a machine may hold up to gamma/M of the block's layer bytes
@@ -60,4 +60,4 @@
 std::vector<size_t> BestDistinct(const std::vector<Candidate>& candidates, size_t replicas,
                                  double pool_gb, size_t block_size, const Policy& policy);
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/orders.h
+++ b/include/mosspath/scheduler/orders.h
@@ -7,7 +7,7 @@
 
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 // Commands to go straight to a worker, so that they needn't wait for its next report. Without
 // commands: a question what it has.
@@ -25,4 +25,4 @@
   kUnsure,    // executed, or not, or later, until the token or the session rises
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/placer.h
+++ b/include/mosspath/scheduler/placer.h
@@ -8,16 +8,16 @@
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/cluster/picture.h"
-#include "mosspath/place/aims.h"
-#include "mosspath/place/blocks.h"
-#include "mosspath/place/leased.h"
-#include "mosspath/place/locality.h"
-#include "mosspath/place/records.h"
-#include "mosspath/place/reserve.h"
-#include "mosspath/place/takeover.h"
-#include "mosspath/place/turns.h"
+#include "mosspath/scheduler/aims.h"
+#include "mosspath/scheduler/blocks.h"
+#include "mosspath/scheduler/leased.h"
+#include "mosspath/scheduler/locality.h"
+#include "mosspath/scheduler/records.h"
+#include "mosspath/scheduler/reserve.h"
+#include "mosspath/scheduler/takeover.h"
+#include "mosspath/scheduler/turns.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Placer {
  public:
@@ -121,4 +121,4 @@
   uint64_t looked_at_ = 0;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/records.h
+++ b/include/mosspath/scheduler/records.h
@@ -17,7 +17,7 @@
 #include "mosspath/cluster/picture.h"
 #include "mosspath/kvstore/packed_map.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 // A machine's entry: its worker's address, the lease under which another controller holds it, and
 // which time it was handed over: a revision that rises with each. Its holder may never see what the
@@ -100,4 +100,4 @@
   uint64_t newest_revision_;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/reserve.h
+++ b/include/mosspath/scheduler/reserve.h
@@ -13,7 +13,7 @@
 #include "mosspath/cluster/machine.h"
 #include "mosspath/cluster/types.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Reserve {
  public:
@@ -55,4 +55,4 @@
   Size free_;  // on ordinary machines
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/search.h
+++ b/include/mosspath/scheduler/search.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Search {
  public:
@@ -30,4 +30,4 @@
   std::map<std::string, std::set<uint64_t>> by_machine_;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/strays.h
+++ b/include/mosspath/scheduler/strays.h
@@ -17,7 +17,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/cluster/picture.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Strays {
  public:
@@ -50,4 +50,4 @@
   std::vector<std::pair<std::string, std::string>> where_;  // in it: address, machine
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/takeover.h
+++ b/include/mosspath/scheduler/takeover.h
@@ -14,10 +14,10 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/cluster/picture.h"
-#include "mosspath/place/orders.h"
-#include "mosspath/place/search.h"
+#include "mosspath/scheduler/orders.h"
+#include "mosspath/scheduler/search.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 // Times that a machine is asked in vain before it counts as a straggler.
 inline constexpr int kAskedInVain = 2;
@@ -77,4 +77,4 @@
   size_t asking_ = 0;           // of them, how many are being asked
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/place/turns.h
+++ b/include/mosspath/scheduler/turns.h
@@ -24,7 +24,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/jobs/job.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 class Turns {
  public:
@@ -74,4 +74,4 @@
   bool any_owed_ = false;
 };
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/include/mosspath/service/holding.h
+++ b/include/mosspath/service/holding.h
@@ -39,7 +39,7 @@
   // May act at this moment: the view that shows its lease is fresh.
   bool MayAct() const;
   bool Commands(const std::string& machine) const { return holder_.dispatcher().Commands(machine); }
-  place::ReportAnswer OnReport(const wire::Report& r);
+  scheduler::ReportAnswer OnReport(const wire::Report& r);
   std::optional<wire::BlockFrame> OnFrame(const wire::BlockFrame& frame);
   void Kick();
 
--- a/include/mosspath/service/leader.h
+++ b/include/mosspath/service/leader.h
@@ -11,7 +11,7 @@
 #include "mosspath/block/desk.h"
 #include "mosspath/election/elector.h"
 #include "mosspath/net/stall_watch.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/service/cloud.h"
 #include "mosspath/service/frame_links.h"
 #include "mosspath/service/job_table.h"
@@ -28,7 +28,7 @@
          const JobTable& jobs, FrameLinks& frames, std::shared_ptr<net::SocketBudget> sockets,
          uint64_t token);
 
-  place::Dispatcher& dispatcher() { return dispatcher_; }
+  scheduler::Dispatcher& dispatcher() { return dispatcher_; }
   // Null where blocks are not leased.
   block::Desk* desk() { return desk_.get(); }
   // A frame of a holder; none: refused.
@@ -86,7 +86,7 @@
   net::StallWatch& stalls_;
   const JobTable& jobs_;
   const uint64_t token_;
-  place::Dispatcher dispatcher_;
+  scheduler::Dispatcher dispatcher_;
   std::unique_ptr<block::Desk> desk_;
   FrameLinks& frames_;
   net::Timer tick_timer_;
--- a/include/mosspath/service/node.h
+++ b/include/mosspath/service/node.h
@@ -57,7 +57,7 @@
   bool AnswerForBlock(const wire::Report& report, const Responder& respond);
   std::optional<wire::Digest> OwnDigest() const;
   wire::Presence OwnPresence() const;
-  place::JobCounts CountsOf(const std::string& id) const;
+  scheduler::JobCounts CountsOf(const std::string& id) const;
 
   asio::io_context& io_;
   const config::Settings settings_;
--- a/include/mosspath/service/order_links.h
+++ b/include/mosspath/service/order_links.h
@@ -12,7 +12,7 @@
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/socket_budget.h"
 #include "mosspath/net/understood.h"
-#include "mosspath/place/orders.h"
+#include "mosspath/scheduler/orders.h"
 #include "mosspath/wire/messages.h"
 
 namespace mosspath::service {
@@ -27,9 +27,9 @@
   // The link to a machine. Owned here, valid until the next call; null: its address is unusable.
   net::HttpClient* To(const std::string& machine, const std::string& address);
   // Sends the order, and tells what became of it with the worker's report; null: it never left.
-  using Done = std::function<void(const place::DirectOrder&, place::DirectOutcome,
+  using Done = std::function<void(const scheduler::DirectOrder&, scheduler::DirectOutcome,
                                   const wire::Report* report)>;
-  void Send(place::DirectOrder order, double timeout_s, net::OnMalformed on_malformed, Done done,
+  void Send(scheduler::DirectOrder order, double timeout_s, net::OnMalformed on_malformed, Done done,
             net::HttpClient::StillWanted still_wanted);
   // Ends the links that `gone` says are of no use any more.
   template <typename F>
--- a/include/mosspath/service/peers.h
+++ b/include/mosspath/service/peers.h
@@ -14,7 +14,7 @@
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/http_server.h"
 #include "mosspath/net/understood.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/service/admission.h"
 #include "mosspath/service/job_table.h"
 #include "mosspath/wire/digest.h"
@@ -46,7 +46,7 @@
   }
   // What this node knows, its own or the leader's last word.
   wire::Status Status() const;
-  place::JobCounts CountsOf(const std::string& id) const;
+  scheduler::JobCounts CountsOf(const std::string& id) const;
 
  private:
   void SendPresence();
@@ -82,7 +82,7 @@
   bool bad_question_ = false;  // the last one could not be understood, which was told
   wire::Digest digest_;        // the leader's last word; display only
   double digest_at_ = -1e18;
-  std::map<std::string, place::JobCounts> counts_;  // from it
+  std::map<std::string, scheduler::JobCounts> counts_;  // from it
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -7,7 +7,7 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_server.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/service/job_table.h"
 #include "mosspath/service/type_keeper.h"
 #include "mosspath/kvstore/mirror.h"
@@ -21,7 +21,7 @@
 class UserApi {
  public:
   using Responder = net::HttpServer::Responder;
-  using Counts = std::function<place::JobCounts(const std::string& id)>;
+  using Counts = std::function<scheduler::JobCounts(const std::string& id)>;
 
   UserApi(const config::Settings& settings, JobTable& jobs, Admission& admission,
           const kvstore::Mirror& mirror, const TypeKeeper& types, Counts counts)
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -302,7 +302,7 @@
   const uint64_t lease = block->second.version;
   if (!holder_ || holder_->lease() != lease) {
     size_t own = 0;
-    const place::Blocks blocks(settings_);
+    const scheduler::Blocks blocks(settings_);
     while (blocks.controller(own) != name_) ++own;
     holder_ = std::make_unique<block::Holder>(
         settings_, derived_, own, lease, Now(),
@@ -456,7 +456,7 @@
   // One that leads holds no block: what it held is asked what it has, like all that is inherited.
   holder_.reset();
   desk_.reset();
-  dispatcher_ = std::make_unique<place::Dispatcher>(settings_, derived_, token, Now());
+  dispatcher_ = std::make_unique<scheduler::Dispatcher>(settings_, derived_, token, Now());
   dispatcher_->SetTypes(world_.types);
   dispatcher_->MarkedSince(0);
   dispatcher_->Apply({});
@@ -486,7 +486,7 @@
   if (StandsStill()) return Running([this, r, answer] { OnReport(r, answer); });
   if (holder_ && holder_->dispatcher().Commands(r.machine)) {
     if (!MayHold()) return answer(503, 0, {}, "");
-    place::ReportAnswer a = holder_->OnReport(r, Now());
+    scheduler::ReportAnswer a = holder_->OnReport(r, Now());
     if (!a.accepted) return answer(503, 0, {}, "");
     for (const auto& c : a.commands) held_starts_ += c.op == wire::Op::kStart ? 1 : 0;
     answer(200, a.token, a.commands, "");
@@ -503,7 +503,7 @@
     if (dispatcher_ || leader == name_) return answer(503, 0, {}, "");
     return answer(421, 0, {}, liveness_->Silent(leader, Now()) ? "" : leader);
   }
-  place::ReportAnswer a = dispatcher_->OnReport(r, Now());
+  scheduler::ReportAnswer a = dispatcher_->OnReport(r, Now());
   if (!a.accepted) return answer(503, 0, {}, "");
   vouched_ += lead_->GrantHolds(Now()) ? 0 : 1;
   answer(200, a.token, a.commands, "");
@@ -660,7 +660,7 @@
   if (holder_ && MayHold()) SendOrders(holder_->dispatcher(), holder_->lease());
 }
 
-void Controller::SendOrders(place::Dispatcher& dispatcher, uint64_t lease) {
+void Controller::SendOrders(scheduler::Dispatcher& dispatcher, uint64_t lease) {
   for (auto& order : dispatcher.TakeDirect(Now())) {
     const uint64_t life = life_;
     const uint64_t token = lead_->token();
@@ -670,7 +670,7 @@
     world_.decisions.Ordered(world_.clock.now(), order.machine, order.address, order.token,
                              order.session, order.commands);
     auto answered = std::make_shared<bool>(false);
-    const auto finish = [this, life, token, lease, answered, order](place::DirectOutcome outcome,
+    const auto finish = [this, life, token, lease, answered, order](scheduler::DirectOutcome outcome,
                                                                     const wire::Report* r) {
       if (*answered || life != life_) return;
       *answered = true;
@@ -681,7 +681,7 @@
       }
     };
     world_.clock.After(world_.settings.report_s, [this, finish] {
-      Running([finish] { finish(place::DirectOutcome::kUnsure, nullptr); });
+      Running([finish] { finish(scheduler::DirectOutcome::kUnsure, nullptr); });
     });
     // A connection is to whoever is there, which need not be the machine that is meant; what is
     // held back on it is never for another one that is up under the address later.
@@ -700,7 +700,7 @@
         world_.network.Send(w->id(), name_, [this, w, status, r, finish] {
           world_.late_answers += w->heard_seq() > r.seq ? 1 : 0;
           Running([status, r, finish] {
-            finish(status == 200 ? place::DirectOutcome::kExecuted : place::DirectOutcome::kRefused,
+            finish(status == 200 ? scheduler::DirectOutcome::kExecuted : scheduler::DirectOutcome::kRefused,
                    &r);
           });
         });
--- a/rehearsal/controller.h
+++ b/rehearsal/controller.h
@@ -15,7 +15,7 @@
 #include "mosspath/election/leadership.h"
 #include "mosspath/election/liveness.h"
 #include "mosspath/net/stall_watch.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/service/admission.h"
 #include "rehearsal/world.h"
 
@@ -27,7 +27,7 @@
 
   const std::string& name() const { return name_; }
   bool leading() const { return dispatcher_ != nullptr && Entitled(); }
-  place::Dispatcher* dispatcher() { return dispatcher_.get(); }
+  scheduler::Dispatcher* dispatcher() { return dispatcher_.get(); }
   uint64_t token() const { return lead_->token(); }
   block::Holder* holder() { return holder_.get(); }
   bool up() const { return alive_ && !StandsStill(); }
@@ -92,7 +92,7 @@
   void Flush();
   void WriteCompletions();
   void SendDirect();
-  void SendOrders(place::Dispatcher& dispatcher, uint64_t lease);
+  void SendOrders(scheduler::Dispatcher& dispatcher, uint64_t lease);
 
   // --- Users ---
   struct Waiting {
@@ -141,7 +141,7 @@
   int resigned_ = 0;
   int vouched_ = 0;
   int learned_ = 0;
-  std::unique_ptr<place::Dispatcher> dispatcher_;
+  std::unique_ptr<scheduler::Dispatcher> dispatcher_;
   config::Settings settings_;  // with this controller's name and its peers
   std::unique_ptr<block::Desk> desk_;
   std::unique_ptr<block::Holder> holder_;
--- a/src/block/desk.cc
+++ b/src/block/desk.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "mosspath/place/blocks.h"
+#include "mosspath/scheduler/blocks.h"
 
 namespace mosspath::block {
 namespace {
@@ -18,9 +18,9 @@
 }  // namespace
 
 Desk::Desk(const config::Settings& settings, const config::Derived& derived,
-           place::Dispatcher& dispatcher, uint64_t token)
+           scheduler::Dispatcher& dispatcher, uint64_t token)
     : settings_(settings), derived_(derived), dispatcher_(dispatcher), token_(token) {
-  const place::Blocks blocks(settings);
+  const scheduler::Blocks blocks(settings);
   for (size_t i = 0; i < blocks.size(); ++i) {
     if (blocks.controller(i) == settings.node) {
       dispatcher_.LeadBlocks(i);
--- a/src/block/holder.cc
+++ b/src/block/holder.cc
@@ -80,13 +80,13 @@
   for (const auto& t : r.tasks) Know(t.task.job);
 }
 
-place::ReportAnswer Holder::OnReport(const wire::Report& r, double now) {
+scheduler::ReportAnswer Holder::OnReport(const wire::Report& r, double now) {
   if (!dispatcher_.Commands(r.machine)) return {};
   Know(r);
   return dispatcher_.OnReport(r, now);
 }
 
-void Holder::OnDirect(const place::DirectOrder& order, place::DirectOutcome outcome,
+void Holder::OnDirect(const scheduler::DirectOrder& order, scheduler::DirectOutcome outcome,
                       const wire::Report* report, double now) {
   if (report != nullptr) Know(*report);
   dispatcher_.OnDirect(order, outcome, report, now);
--- a/src/block/routes.cc
+++ b/src/block/routes.cc
@@ -1,6 +1,6 @@
 #include "mosspath/block/routes.h"
 
-#include "mosspath/place/records.h"
+#include "mosspath/scheduler/records.h"
 
 namespace mosspath::block {
 
@@ -14,7 +14,7 @@
   if (value == nullptr || !value->is_object()) return;
   auto& entries = packs_[pack];
   for (const auto& [id, text] : value->items()) {
-    auto [address, lease, handed] = place::ReadMachineEntry(text);
+    auto [address, lease, handed] = scheduler::ReadMachineEntry(text);
     if (lease != 0) entries[id] = {std::move(address), lease, version, handed};
   }
 }
--- a/src/place/activity.cc
+++ b/src/scheduler/activity.cc
@@ -1,6 +1,6 @@
-#include "mosspath/place/activity.h"
+#include "mosspath/scheduler/activity.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr size_t kMaxTroubles = 20;
@@ -71,4 +71,4 @@
   return true;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/aims.cc
+++ b/src/scheduler/aims.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/aims.h"
+#include "mosspath/scheduler/aims.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr double kNoAimLeases = 8;
@@ -47,4 +47,4 @@
   return next;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/blocks.cc
+++ b/src/scheduler/blocks.cc
@@ -1,6 +1,6 @@
-#include "mosspath/place/blocks.h"
+#include "mosspath/scheduler/blocks.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 // The same on every controller and in every build, unlike std::hash.
@@ -27,4 +27,4 @@
   return it == zones_.end() ? h % controllers_.size() : it->second[h % it->second.size()];
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/dispatcher.cc
+++ b/src/scheduler/dispatcher.cc
@@ -1,6 +1,6 @@
 // The picture that the leader keeps: takeover, jobs, slots, machines, records and the passing of
 // time.
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <utility>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -447,4 +447,4 @@
                dear, draining, hires_.booting().size(), used, cpus, queues);
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/dispatcher_blocks.cc
+++ b/src/scheduler/dispatcher_blocks.cc
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -452,4 +452,4 @@
   picture_.changed = wants_plan_ = true;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/dispatcher_fleet.cc
+++ b/src/scheduler/dispatcher_fleet.cc
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <utility>
 
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -240,4 +240,4 @@
   return plan;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/dispatcher_holder.cc
+++ b/src/scheduler/dispatcher_holder.cc
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -260,4 +260,4 @@
   return item;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/dispatcher_reports.cc
+++ b/src/scheduler/dispatcher_reports.cc
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <utility>
 
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -510,4 +510,4 @@
   return out;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/health.cc
+++ b/src/scheduler/health.cc
@@ -1,9 +1,9 @@
-#include "mosspath/place/health.h"
+#include "mosspath/scheduler/health.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr uint32_t kTimedToCompare = 3;  // tasks of a job
@@ -76,4 +76,4 @@
   return m.condemned && usual > 0 && m.slowness * usual - ran_s > kWorthMoving * usual;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/hires.cc
+++ b/src/scheduler/hires.cc
@@ -1,9 +1,9 @@
-#include "mosspath/place/hires.h"
+#include "mosspath/scheduler/hires.h"
 
 #include <algorithm>
 #include <set>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr size_t kMaxDead = 4096;
@@ -121,4 +121,4 @@
   }
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/leased.cc
+++ b/src/scheduler/leased.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/leased.h"
+#include "mosspath/scheduler/leased.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr size_t kMostTasksPerItem = 2000;
@@ -111,4 +111,4 @@
   return items;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/locality.cc
+++ b/src/scheduler/locality.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/locality.h"
+#include "mosspath/scheduler/locality.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 double Share(const Candidate& c, double pool_gb) { return pool_gb > 0 ? c.held_gb / pool_gb : 0; }
@@ -120,4 +120,4 @@
   return chosen;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/placer.cc
+++ b/src/scheduler/placer.cc
@@ -1,5 +1,5 @@
 // The passes of placing: see the header.
-#include "mosspath/place/placer.h"
+#include "mosspath/scheduler/placer.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 #include <set>
 #include <utility>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 using jobs::Phase;
@@ -639,4 +639,4 @@
   }
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/records.cc
+++ b/src/scheduler/records.cc
@@ -1,9 +1,9 @@
-#include "mosspath/place/records.h"
+#include "mosspath/scheduler/records.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using jobs::Job;
 
@@ -226,4 +226,4 @@
   writing_marks_.clear();
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/reserve.cc
+++ b/src/scheduler/reserve.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/reserve.h"
+#include "mosspath/scheduler/reserve.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 void Reserve::Came(const wire::JobSpec& spec, double submitted) {
   if (For(spec)) {
     arrivals_.push_back({submitted, {spec.tasks * spec.cpus, spec.tasks * spec.memory_gb}});
@@ -39,4 +39,4 @@
   free_.memory_gb -= spec.memory_gb;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/search.cc
+++ b/src/scheduler/search.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/search.h"
+#include "mosspath/scheduler/search.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 bool Search::Begin(uint64_t key, const std::vector<std::string>& machines) {
   if (machines.empty()) return false;
@@ -40,4 +40,4 @@
   });
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/strays.cc
+++ b/src/scheduler/strays.cc
@@ -1,6 +1,6 @@
-#include "mosspath/place/strays.h"
+#include "mosspath/scheduler/strays.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 constexpr double kMostLag = 2;  // times the list's usual lag
@@ -56,4 +56,4 @@
   return out;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/takeover.cc
+++ b/src/scheduler/takeover.cc
@@ -1,11 +1,11 @@
-#include "mosspath/place/takeover.h"
+#include "mosspath/scheduler/takeover.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 using cluster::Machine;
 
@@ -132,4 +132,4 @@
   listening_since_ = now;
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/place/turns.cc
+++ b/src/scheduler/turns.cc
@@ -1,8 +1,8 @@
-#include "mosspath/place/turns.h"
+#include "mosspath/scheduler/turns.h"
 
 #include <algorithm>
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 
 double Turns::Weight(const std::string& name) const {
   const auto it = weights_.find(name);
@@ -77,4 +77,4 @@
          (cls == class_.end() || cls->second.floor <= 0 || above(cls->second));
 }
 
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/src/service/holding.cc
+++ b/src/service/holding.cc
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "mosspath/place/blocks.h"
+#include "mosspath/scheduler/blocks.h"
 
 namespace mosspath::service {
 namespace {
@@ -15,7 +15,7 @@
 constexpr double kPauseRatio = 3;  // between passes, in the time that the last one took
 
 size_t OwnBlock(const config::Settings& settings) {
-  const place::Blocks blocks(settings);
+  const scheduler::Blocks blocks(settings);
   size_t own = 0;
   while (blocks.controller(own) != settings.node) ++own;
   return own;
@@ -93,8 +93,8 @@
   holder_.LeaderIs(token);
 }
 
-place::ReportAnswer Holding::OnReport(const wire::Report& r) {
-  place::ReportAnswer answer = holder_.OnReport(r, net::Now());
+scheduler::ReportAnswer Holding::OnReport(const wire::Report& r) {
+  scheduler::ReportAnswer answer = holder_.OnReport(r, net::Now());
   Kick();
   return answer;
 }
@@ -138,11 +138,11 @@
 }
 
 void Holding::SendDirect() {
-  for (place::DirectOrder& order : holder_.dispatcher().TakeDirect(net::Now(), links_.Room())) {
+  for (scheduler::DirectOrder& order : holder_.dispatcher().TakeDirect(net::Now(), links_.Room())) {
     const double timeout = order.commands.empty() ? derived_.ask_s : settings_.report_s;
     links_.Send(
         std::move(order), timeout, on_malformed,
-        [self = shared_from_this()](const place::DirectOrder& o, place::DirectOutcome outcome,
+        [self = shared_from_this()](const scheduler::DirectOrder& o, scheduler::DirectOutcome outcome,
                                     const wire::Report* report) {
           if (self->stopped_) return;
           self->holder_.OnDirect(o, outcome, report, net::Now());
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -143,11 +143,11 @@
 }
 
 void Leader::SendDirect() {
-  for (place::DirectOrder& order : dispatcher_.TakeDirect(net::Now(), OrderRoom())) {
+  for (scheduler::DirectOrder& order : dispatcher_.TakeDirect(net::Now(), OrderRoom())) {
     const double timeout = order.commands.empty() ? derived_.ask_s : settings_.report_s;
     links_.Send(
         std::move(order), timeout, on_malformed,
-        [self = shared_from_this()](const place::DirectOrder& o, place::DirectOutcome outcome,
+        [self = shared_from_this()](const scheduler::DirectOrder& o, scheduler::DirectOutcome outcome,
                                     const wire::Report* report) {
           if (self->stopped_) return;
           self->dispatcher_.OnDirect(o, outcome, report, net::Now());
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -213,7 +213,7 @@
                                        frames_, sockets_, lease);
   holding_->on_malformed = on_malformed_;
   holding_->on_blind = [this] { GiveUpBlock(); };
-  place::Dispatcher& d = holding_->holder().dispatcher();
+  scheduler::Dispatcher& d = holding_->holder().dispatcher();
   d.Apply(desk_.settings());
   if (!types_.empty()) d.SetTypes(types_.types());
   holding_->AllAssigned(routes_);
@@ -278,7 +278,7 @@
       return true;
     }
     last_report_ = net::Now();
-    place::ReportAnswer answer = holding_->OnReport(report);
+    scheduler::ReportAnswer answer = holding_->OnReport(report);
     respond(answer.accepted
                 ? HttpAnswer{200, wire::ReportAnswer(answer.token, answer.commands).dump()}
                 : Later("late report"));
@@ -344,7 +344,7 @@
   leader_->on_malformed = on_malformed_;
   leader_->on_types = [this](const std::vector<wire::MachineType>& types) { types_.Told(types); };
   admission_.Leads(token, now);
-  place::Dispatcher& d = leader_->dispatcher();
+  scheduler::Dispatcher& d = leader_->dispatcher();
   d.Apply(desk_.settings());
   d.MarkedSince(speakers_.all_since());
   if (!types_.empty()) d.SetTypes(types_.types());
@@ -482,7 +482,7 @@
   return p;
 }
 
-place::JobCounts Node::CountsOf(const std::string& id) const {
+scheduler::JobCounts Node::CountsOf(const std::string& id) const {
   return leader_ ? leader_->dispatcher().Counts(id) : peers_.CountsOf(id);
 }
 
@@ -495,7 +495,7 @@
   const double now = net::Now();
   if (leader_ && elector_.Entitled(now)) {
     last_report_ = now;
-    place::ReportAnswer answer = leader_->dispatcher().OnReport(report, now);
+    scheduler::ReportAnswer answer = leader_->dispatcher().OnReport(report, now);
     if (!answer.accepted) return respond(Later("late report"));
     leader_->Kick();
     return respond({200, wire::ReportAnswer(answer.token, answer.commands).dump()});
--- a/src/service/order_links.cc
+++ b/src/service/order_links.cc
@@ -42,24 +42,24 @@
   return links_.front().client.get();
 }
 
-void OrderLinks::Send(place::DirectOrder order, double timeout_s, net::OnMalformed on_malformed,
+void OrderLinks::Send(scheduler::DirectOrder order, double timeout_s, net::OnMalformed on_malformed,
                       Done done, net::HttpClient::StillWanted still_wanted) {
   net::HttpClient* worker = To(order.machine, order.address);
-  if (worker == nullptr) return done(order, place::DirectOutcome::kRefused, nullptr);
+  if (worker == nullptr) return done(order, scheduler::DirectOutcome::kRefused, nullptr);
   std::string body = wire::DirectCommands(order.token, order.session, order.commands).dump();
   worker->Send(
       "POST", "/commands", std::move(body), timeout_s,
       [order = std::move(order), on_malformed = std::move(on_malformed),
        done = std::move(done)](const net::HttpResult& r) {
-        auto outcome = place::DirectOutcome::kUnsure;
+        auto outcome = scheduler::DirectOutcome::kUnsure;
         wire::Report report;
         const bool told = r.status == 200 || r.status == 409;
         const bool understood = told && net::Understood("worker", "commands", on_malformed,
                                                         [&] { report = wire::ReadReport(r.body); });
         if (!r.sent || r.status == 409) {
-          outcome = place::DirectOutcome::kRefused;
+          outcome = scheduler::DirectOutcome::kRefused;
         } else if (understood) {
-          outcome = place::DirectOutcome::kExecuted;
+          outcome = scheduler::DirectOutcome::kExecuted;
         }
         done(order, outcome, &report);
       },
--- a/src/service/peers.cc
+++ b/src/service/peers.cc
@@ -153,9 +153,9 @@
   return s;
 }
 
-place::JobCounts Peers::CountsOf(const std::string& id) const {
+scheduler::JobCounts Peers::CountsOf(const std::string& id) const {
   const auto it = counts_.find(id);
-  return it == counts_.end() ? place::JobCounts{} : it->second;
+  return it == counts_.end() ? scheduler::JobCounts{} : it->second;
 }
 
 // While the state service is silent, a leader asks all peers to vouch that they won't lead.
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -10,7 +10,7 @@
 #include "mosspath/admission/fair_queue.h"
 #include "mosspath/admission/gate.h"
 #include "mosspath/admission/plan.h"
-#include "mosspath/place/turns.h"
+#include "mosspath/scheduler/turns.h"
 
 namespace mosspath::admission {
 namespace {
@@ -356,7 +356,7 @@
 }  // namespace
 }  // namespace mosspath::admission
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 jobs::Job Waiting(const std::string& team, const std::string& job_class, uint32_t tasks,
@@ -413,4 +413,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/tests/block_test.cc
+++ b/tests/block_test.cc
@@ -130,7 +130,7 @@
 }
 
 TEST(BlockSearch, EndsWithTheLastMachine) {
-  place::Search s;
+  scheduler::Search s;
   EXPECT_FALSE(s.Begin(1, {}));
   EXPECT_TRUE(s.Begin(2, {"a", "b"}));
   EXPECT_TRUE(s.Begin(3, {"b"}));
@@ -235,7 +235,7 @@
     // A machine has one commander at most whose orders it would take.
     for (const auto& [id, w] : workers_) {
       int valid = 0;
-      const auto count = [&](const place::Dispatcher& d) {
+      const auto count = [&](const scheduler::Dispatcher& d) {
         const auto m = d.machines().find(id);
         if (m == d.machines().end() || m->second.retoken) return;
         valid += m->second.confirmed && m->second.token == w.token ? 1 : 0;
@@ -252,7 +252,7 @@
   std::string Print() {
     std::string out;
     const auto put = [&](uint64_t v) { out += std::to_string(v) + ","; };
-    const auto of = [&](const place::Dispatcher& d) {
+    const auto of = [&](const scheduler::Dispatcher& d) {
       for (const auto& [id, m] : d.machines()) {
         out += id + ":";
         put(m.lease), put(m.leaving), put(m.confirmed), put(m.retoken), put(m.inherited);
@@ -351,7 +351,7 @@
   // The worker reports to whoever commands it, as the record says.
   bool Report(const std::string& id, bool quietly) {
     Worker& w = workers_[id];
-    place::ReportAnswer a;
+    scheduler::ReportAnswer a;
     bool held = false;
     for (int i : {1, 2}) {
       if (!holders_[i] || !holders_[i]->dispatcher().Commands(id)) continue;
@@ -364,17 +364,17 @@
   }
 
   template <typename F>
-  void Orders(place::Dispatcher& d, F done) {
+  void Orders(scheduler::Dispatcher& d, F done) {
     for (auto& o : d.TakeDirect(now_)) {
       Worker& w = workers_[o.machine];
       if (o.token < w.token || o.session != 1) {
         const wire::Report r = ReportOf(w);
-        done(o, place::DirectOutcome::kRefused, &r);
+        done(o, scheduler::DirectOutcome::kRefused, &r);
         continue;
       }
       Execute(w, o.token, o.commands);
       const wire::Report r = ReportOf(w);
-      done(o, place::DirectOutcome::kExecuted, &r);
+      done(o, scheduler::DirectOutcome::kExecuted, &r);
     }
   }
 
@@ -428,7 +428,7 @@
   const config::Derived derived_;
   double now_ = 1;
   uint64_t revision_ = kToken + 1;
-  place::Dispatcher leader_;
+  scheduler::Dispatcher leader_;
   Desk desk_;
   Routes routes_;
   std::vector<wire::MachineType> types_;
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -16,7 +16,7 @@
 #include "mosspath/jobs/job.h"
 #include "mosspath/jobs/ledger.h"
 #include "mosspath/cluster/picture.h"
-#include "mosspath/place/records.h"
+#include "mosspath/scheduler/records.h"
 #include "mosspath/service/keys.h"
 #include "mosspath/wire/json.h"
 
@@ -289,7 +289,7 @@
 
 TEST_F(GoldenPacks, Written) {
   cluster::Picture picture(settings_, derived_);
-  place::Records records(settings_, kToken);
+  scheduler::Records records(settings_, kToken);
   jobs::Job& job = *(picture.jobs["req-000412"] = NewJob());
   for (const uint32_t index : kDoneTasks) {
     job.MarkDone(index);
@@ -314,7 +314,7 @@
 }
 
 TEST_F(GoldenPacks, ProgressTakenOver) {
-  place::Records records(settings_, kToken);
+  scheduler::Records records(settings_, kToken);
   records.LoadProgress(0, Json::parse(kProgress), 51);
   records.LoadProgress(kMarksPack, Json::parse(kMarks), 52);
   const auto job = NewJob();
@@ -330,18 +330,18 @@
 
 TEST_F(GoldenPacks, MachineEntries) {
   const Json machines = Json::parse(kMachines);
-  const place::MachineEntry own = place::ReadMachineEntry(machines.at("vm-1"));
+  const scheduler::MachineEntry own = scheduler::ReadMachineEntry(machines.at("vm-1"));
   EXPECT_EQ(own.address, "10.0.0.1:9001");
   EXPECT_EQ(own.lease, 0u);
   EXPECT_EQ(own.handed, 0u);
-  EXPECT_EQ(place::ToText(own), "10.0.0.1:9001");
-  const place::MachineEntry lent = place::ReadMachineEntry(machines.at("vm-2"));
+  EXPECT_EQ(scheduler::ToText(own), "10.0.0.1:9001");
+  const scheduler::MachineEntry lent = scheduler::ReadMachineEntry(machines.at("vm-2"));
   EXPECT_EQ(lent.address, "10.0.0.2:9002");
   EXPECT_EQ(lent.lease, kLease);
   EXPECT_EQ(lent.handed, kToken);
-  EXPECT_EQ(place::ToText(lent), "10.0.0.2:9002/77/41");
+  EXPECT_EQ(scheduler::ToText(lent), "10.0.0.2:9002/77/41");
   // Of a version that did not say which time the machine was handed over.
-  const place::MachineEntry older = place::ReadMachineEntry("10.0.0.3:9003/78");
+  const scheduler::MachineEntry older = scheduler::ReadMachineEntry("10.0.0.3:9003/78");
   EXPECT_EQ(older.address, "10.0.0.3:9003");
   EXPECT_EQ(older.lease, 78u);
   EXPECT_EQ(older.handed, 0u);
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -13,11 +13,11 @@
 #include <vector>
 
 #include "mosspath/jobs/job.h"
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "rehearsal/cluster.h"
 #include "standins/plain_worker.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 using standins::PlainWorker;
@@ -376,4 +376,4 @@
 TEST(LateWritesModel, WithoutConditionsItIsBroken) { EXPECT_NE(Walk(false, 30'000, 9).broken, ""); }
 
 }  // namespace
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -5,11 +5,11 @@
 #include <algorithm>
 #include <random>
 
-#include "mosspath/place/dispatcher.h"
-#include "mosspath/place/locality.h"
+#include "mosspath/scheduler/dispatcher.h"
+#include "mosspath/scheduler/locality.h"
 #include "rehearsal/cluster.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 // Layers by name on every machine; images as lists of layers.
@@ -1558,4 +1558,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
--- a/tests/report_model_test.cc
+++ b/tests/report_model_test.cc
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/place/dispatcher.h"
+#include "mosspath/scheduler/dispatcher.h"
 #include "rehearsal/cluster.h"
 #include "standins/plain_worker.h"
 
-namespace mosspath::place {
+namespace mosspath::scheduler {
 namespace {
 
 const wire::TaskId kTask{"req-1", 0};
@@ -241,4 +241,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::place
+}  // namespace mosspath::scheduler
