--- a/include/mosspath/service/holding.h
+++ b/include/mosspath/service/holding.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "mosspath/block/holder.h"
-#include "mosspath/block/routes.h"
+#include "mosspath/shard/holder.h"
+#include "mosspath/shard/routes.h"
 #include "mosspath/election/elector.h"
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/service/frame_links.h"
@@ -25,13 +25,13 @@
           uint64_t lease);
 
   uint64_t lease() const { return holder_.lease(); }
-  block::Holder& holder() { return holder_; }
+  shard::Holder& holder() { return holder_; }
   void Start();
   void Stop();
 
   // The machines that the state service shows under this lease, in one pack or in all.
-  void Assigned(const block::Routes& routes, int pack);
-  void AllAssigned(const block::Routes& routes);
+  void Assigned(const shard::Routes& routes, int pack);
+  void AllAssigned(const shard::Routes& routes);
   // Jobs that ended while the mirror was loaded anew left no event.
   void DropEnded();
   void LeaderIs(const std::string& node, uint64_t token);
@@ -60,7 +60,7 @@
   const JobTable& jobs_;
   net::StallWatch& stalls_;
   FrameLinks& frames_;
-  block::Holder holder_;
+  shard::Holder holder_;
   net::Timer tick_timer_;
   net::Timer kick_timer_;
   OrderLinks links_;
--- a/include/mosspath/service/leader.h
+++ b/include/mosspath/service/leader.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/block/desk.h"
+#include "mosspath/shard/desk.h"
 #include "mosspath/election/elector.h"
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/scheduler/dispatcher.h"
@@ -30,7 +30,7 @@
 
   scheduler::Dispatcher& dispatcher() { return dispatcher_; }
   // Null where blocks are not leased.
-  block::Desk* desk() { return desk_.get(); }
+  shard::Desk* desk() { return desk_.get(); }
   // A frame of a holder; none: refused.
   std::optional<wire::BlockFrame> OnFrame(const wire::BlockFrame& frame);
   void Start();
@@ -87,7 +87,7 @@
   const JobTable& jobs_;
   const uint64_t token_;
   scheduler::Dispatcher dispatcher_;
-  std::unique_ptr<block::Desk> desk_;
+  std::unique_ptr<shard::Desk> desk_;
   FrameLinks& frames_;
   net::Timer tick_timer_;
   net::Timer kick_timer_;
--- a/include/mosspath/service/node.h
+++ b/include/mosspath/service/node.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/block/routes.h"
+#include "mosspath/shard/routes.h"
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/election/elector.h"
 #include "mosspath/net/http_server.h"
@@ -84,7 +84,7 @@
   net::OnMalformed on_malformed_;
   Peers peers_;
   FrameLinks frames_;
-  block::Routes routes_;
+  shard::Routes routes_;
   struct OfferSeen {
     uint64_t version = 0;
     uint64_t grant = 0;
--- a/include/mosspath/block/channel.h
+++ b/include/mosspath/shard/channel.h
@@ -9,7 +9,7 @@
 
 #include "mosspath/wire/block_frame.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 
 class Channel {
  public:
@@ -40,4 +40,4 @@
   uint64_t room_ = wire::kMaxBlockFrame / 2;  // what the other takes, as it last said
 };
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/include/mosspath/block/desk.h
+++ b/include/mosspath/shard/desk.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/block/channel.h"
+#include "mosspath/shard/channel.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 
 class Desk {
  public:
@@ -84,4 +84,4 @@
   std::map<uint64_t, std::string> held_;  // leases of this leadership that are over: by whom
 };
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/include/mosspath/block/holder.h
+++ b/include/mosspath/shard/holder.h
@@ -12,11 +12,11 @@
 #include <set>
 #include <string>
 
-#include "mosspath/block/channel.h"
+#include "mosspath/shard/channel.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/scheduler/dispatcher.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 
 class Holder {
  public:
@@ -95,4 +95,4 @@
   std::map<std::string, GivenBack> given_back_;  // though the record still has them here
 };
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/include/mosspath/block/routes.h
+++ b/include/mosspath/shard/routes.h
@@ -9,7 +9,7 @@
 
 #include "mosspath/wire/json.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 
 class Routes {
  public:
@@ -44,4 +44,4 @@
   std::map<uint64_t, std::string> leases_;
 };
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -304,12 +304,12 @@
     size_t own = 0;
     const scheduler::Blocks blocks(settings_);
     while (blocks.controller(own) != name_) ++own;
-    holder_ = std::make_unique<block::Holder>(
+    holder_ = std::make_unique<shard::Holder>(
         settings_, derived_, own, lease, Now(),
-        [this](const std::string& id) -> std::optional<block::Holder::Known> {
+        [this](const std::string& id) -> std::optional<shard::Holder::Known> {
           const jobs::Accepted* job = directory_->FindLive(id);
           if (job == nullptr) return std::nullopt;
-          return block::Holder::Known{job->spec, job->version, Now()};
+          return shard::Holder::Known{job->spec, job->version, Now()};
         });
     holder_->dispatcher().SetTypes(world_.types);
   }
@@ -461,7 +461,7 @@
   dispatcher_->MarkedSince(0);
   dispatcher_->Apply({});
   if (settings_.lease_blocks) {
-    desk_ = std::make_unique<block::Desk>(settings_, derived_, *dispatcher_, token);
+    desk_ = std::make_unique<shard::Desk>(settings_, derived_, *dispatcher_, token);
     for (const auto& [lease, node] : routes_.leases()) desk_->Inherited(node, lease);
     Ask<uint64_t>(
         [this, token] {
--- a/rehearsal/controller.h
+++ b/rehearsal/controller.h
@@ -8,9 +8,9 @@
 #include <string>
 
 #include "mosspath/admission/fair_queue.h"
-#include "mosspath/block/desk.h"
-#include "mosspath/block/holder.h"
-#include "mosspath/block/routes.h"
+#include "mosspath/shard/desk.h"
+#include "mosspath/shard/holder.h"
+#include "mosspath/shard/routes.h"
 #include "mosspath/jobs/directory.h"
 #include "mosspath/election/leadership.h"
 #include "mosspath/election/liveness.h"
@@ -29,7 +29,7 @@
   bool leading() const { return dispatcher_ != nullptr && Entitled(); }
   scheduler::Dispatcher* dispatcher() { return dispatcher_.get(); }
   uint64_t token() const { return lead_->token(); }
-  block::Holder* holder() { return holder_.get(); }
+  shard::Holder* holder() { return holder_.get(); }
   bool up() const { return alive_ && !StandsStill(); }
   // It leads, or tries to.
   bool electing() const { return alive_ && (lead_->campaigning() || token() != 0); }
@@ -143,9 +143,9 @@
   int learned_ = 0;
   std::unique_ptr<scheduler::Dispatcher> dispatcher_;
   config::Settings settings_;  // with this controller's name and its peers
-  std::unique_ptr<block::Desk> desk_;
-  std::unique_ptr<block::Holder> holder_;
-  block::Routes routes_;
+  std::unique_ptr<shard::Desk> desk_;
+  std::unique_ptr<shard::Holder> holder_;
+  shard::Routes routes_;
   std::map<std::string, uint64_t> seen_packs_;
   uint64_t revision_ = 0;  // of the state service, as last read
   std::optional<jobs::Directory> directory_;
--- a/src/service/holding.cc
+++ b/src/service/holding.cc
@@ -40,11 +40,11 @@
       stalls_(stalls),
       frames_(frames),
       holder_(settings, derived, OwnBlock(settings), lease, net::Now(),
-              [this](const std::string& id) -> std::optional<block::Holder::Known> {
+              [this](const std::string& id) -> std::optional<shard::Holder::Known> {
                 const jobs::Accepted* job = jobs_.FindLive(id);
                 if (job == nullptr) return std::nullopt;
                 const double age = std::max(0.0, WallSeconds() - job->submitted_wall_s);
-                return block::Holder::Known{job->spec, job->version, net::Now() - age};
+                return shard::Holder::Known{job->spec, job->version, net::Now() - age};
               }),
       tick_timer_(io),
       kick_timer_(io),
@@ -61,7 +61,7 @@
 
 bool Holding::MayAct() const { return !stopped_ && elector_.ViewFresh(net::Now()); }
 
-void Holding::Assigned(const block::Routes& routes, int pack) {
+void Holding::Assigned(const shard::Routes& routes, int pack) {
   for (const auto& [id, e] : routes.Under(lease(), pack)) {
     holder_.Assigned(id, e.address, e.version, e.handed, net::Now());
   }
@@ -73,7 +73,7 @@
   Kick();
 }
 
-void Holding::AllAssigned(const block::Routes& routes) {
+void Holding::AllAssigned(const shard::Routes& routes) {
   for (const auto& [id, e] : routes.Under(lease())) {
     holder_.Assigned(id, e.address, e.version, e.handed, net::Now());
   }
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -43,7 +43,7 @@
       types_timer_(io),
       links_(io, std::move(sockets)) {
   if (settings_.lease_blocks) {
-    desk_ = std::make_unique<block::Desk>(settings_, derived_, dispatcher_, token_);
+    desk_ = std::make_unique<shard::Desk>(settings_, derived_, dispatcher_, token_);
   }
 }
 
--- a/src/service/node.cc
+++ b/src/service/node.cc
@@ -187,7 +187,7 @@
   if (!offer && !e.key.starts_with(keys::kBlocks)) return false;
   const std::string node = e.key.substr((offer ? keys::kHolders : keys::kBlocks).size());
   const uint64_t grant = e.value ? e.value->value("grant", uint64_t{0}) : 0;
-  block::Desk* desk = leader_ ? leader_->desk() : nullptr;
+  shard::Desk* desk = leader_ ? leader_->desk() : nullptr;
   if (offer) {
     offers_[node] = {e.value ? e.version : 0, grant};
     if (desk != nullptr) desk->Offered(node, offers_[node].version, grant, net::Now());
@@ -284,7 +284,7 @@
                 : Later("late report"));
     return true;
   }
-  const block::Desk* desk = leader_ ? leader_->desk() : nullptr;
+  const shard::Desk* desk = leader_ ? leader_->desk() : nullptr;
   const std::string holder =
       desk != nullptr ? desk->HolderOf(report.machine) : routes_.HolderOf(report.machine);
   if (holder.empty() || holder == settings_.node) return false;
@@ -348,7 +348,7 @@
   d.Apply(desk_.settings());
   d.MarkedSince(speakers_.all_since());
   if (!types_.empty()) d.SetTypes(types_.types());
-  if (block::Desk* desk = leader_->desk()) {
+  if (shard::Desk* desk = leader_->desk()) {
     desk->Allow(desk_.settings().lease_blocks);
     for (const auto& [lease, node] : routes_.leases()) desk->Inherited(node, lease);
     for (const auto& [node, offer] : offers_) desk->Offered(node, offer.version, offer.grant, now);
--- a/src/block/channel.cc
+++ b/src/shard/channel.cc
@@ -1,10 +1,10 @@
-#include "mosspath/block/channel.h"
+#include "mosspath/shard/channel.h"
 
 #include <algorithm>
 
 #include "mosspath/wire/json.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 namespace {
 
 constexpr size_t kHeader = 512;      // of a frame, at most
@@ -54,4 +54,4 @@
   return fresh;
 }
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/src/block/desk.cc
+++ b/src/shard/desk.cc
@@ -1,4 +1,4 @@
-#include "mosspath/block/desk.h"
+#include "mosspath/shard/desk.h"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 
 #include "mosspath/scheduler/blocks.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 namespace {
 
 constexpr double kReadyGrants = 1;     // a holder unheard for so long is given nothing
@@ -179,4 +179,4 @@
   for (auto& [node, b] : blocks_) b.heard = std::max(b.heard, now);
 }
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/src/block/holder.cc
+++ b/src/shard/holder.cc
@@ -1,4 +1,4 @@
-#include "mosspath/block/holder.h"
+#include "mosspath/shard/holder.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace mosspath::block {
+namespace mosspath::shard {
 namespace {
 
 using Kind = wire::BlockItem::Kind;
@@ -181,4 +181,4 @@
   Absorb();
 }
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/src/block/routes.cc
+++ b/src/shard/routes.cc
@@ -1,8 +1,8 @@
-#include "mosspath/block/routes.h"
+#include "mosspath/shard/routes.h"
 
 #include "mosspath/scheduler/records.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 
 void Routes::LeaseTold(const std::string& node, uint64_t lease) {
   std::erase_if(leases_, [&](const auto& l) { return l.second == node; });
@@ -64,4 +64,4 @@
   return false;
 }
 
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
--- a/tests/block_test.cc
+++ b/tests/block_test.cc
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/block/channel.h"
-#include "mosspath/block/desk.h"
-#include "mosspath/block/holder.h"
-#include "mosspath/block/routes.h"
+#include "mosspath/shard/channel.h"
+#include "mosspath/shard/desk.h"
+#include "mosspath/shard/holder.h"
+#include "mosspath/shard/routes.h"
 #include "mosspath/wire/json.h"
 
-namespace mosspath::block {
+namespace mosspath::shard {
 namespace {
 
 using Item = wire::BlockItem;
@@ -524,4 +524,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::block
+}  // namespace mosspath::shard
