--- a/include/mosspath/fleet/planner.h
+++ b/include/mosspath/autoscaler/planner.h
@@ -8,7 +8,7 @@
 
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::fleet {
+namespace mosspath::autoscaler {
 
 // Tasks alike in where they may run.
 struct Demand {
@@ -74,4 +74,4 @@
 
 Plan MakePlan(const PlannerInput& in, const PlannerTuning& tuning);
 
-}  // namespace mosspath::fleet
+}  // namespace mosspath::autoscaler
--- a/include/mosspath/scheduler/dispatcher.h
+++ b/include/mosspath/scheduler/dispatcher.h
@@ -11,7 +11,7 @@
 
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/fleet/planner.h"
+#include "mosspath/autoscaler/planner.h"
 #include "mosspath/cluster/picture.h"
 #include "mosspath/scheduler/activity.h"
 #include "mosspath/scheduler/aims.h"
@@ -80,10 +80,10 @@
     hires_.Listed(machines, {&picture_.machines, &picture_.lent}, asked, now);
     strays_.Listed(machines, asked);
   }
-  void Rented(const std::vector<std::string>& ids, const fleet::Wish& offer, double now) {
+  void Rented(const std::vector<std::string>& ids, const autoscaler::Wish& offer, double now) {
     hires_.Rented(ids, offer, {&picture_.machines, &picture_.lent}, now);
   }
-  void RentRefused(const fleet::Wish& offer, double until) { hires_.Refused(offer, until); }
+  void RentRefused(const autoscaler::Wish& offer, double until) { hires_.Refused(offer, until); }
 
   // --- Time ---
   // Most workers that this leader heard are silent now, all at once: it can't do its work, though
@@ -95,7 +95,7 @@
   void Tick(double now);
   // Places what can be placed now.
   void Place(double now) { placer_.Place(now); }
-  fleet::Plan PlanFleet(double now);
+  autoscaler::Plan PlanFleet(double now);
   // Something came that no plan has seen yet: jobs, or machines that must be ruled out.
   bool wants_plan() const { return wants_plan_; }
 
@@ -168,7 +168,7 @@
 
  private:
   struct Tuning {
-    fleet::PlannerTuning fleet;
+    autoscaler::PlannerTuning fleet;
     bool preemption = true;
   };
 
--- a/include/mosspath/scheduler/hires.h
+++ b/include/mosspath/scheduler/hires.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/fleet/planner.h"
+#include "mosspath/autoscaler/planner.h"
 #include "mosspath/cluster/picture.h"
 
 namespace mosspath::scheduler {
@@ -17,7 +17,7 @@
   Hires(const config::Settings& settings, const config::Derived& derived);
 
   struct Booting {
-    fleet::Wish offer;
+    autoscaler::Wish offer;
     double since = 0;  // the rental, or when it was first seen up
     bool up = false;
   };
@@ -25,10 +25,10 @@
 
   using Fleet = std::vector<cluster::Machines*>;  // all that are up
 
-  void Rented(const std::vector<std::string>& ids, const fleet::Wish& offer, const Fleet& fleet,
+  void Rented(const std::vector<std::string>& ids, const autoscaler::Wish& offer, const Fleet& fleet,
               double now);
-  void Refused(const fleet::Wish& offer, double until);
-  const std::map<fleet::Offer, double>& closed_until() const { return closed_until_; }
+  void Refused(const autoscaler::Wish& offer, double until);
+  const std::map<autoscaler::Offer, double>& closed_until() const { return closed_until_; }
   // The machine reports.
   void Up(const std::string& id) { booting_.erase(id); }
   // It was deleted: late reports of it are void.
@@ -43,7 +43,7 @@
   // The largest lately.
   double Burst(double now, const cluster::Types& types);
   // Machines on their way; those that are given up go to `hopeless`.
-  void Plan(double now, const cluster::Types& types, std::vector<fleet::Unit>& units,
+  void Plan(double now, const cluster::Types& types, std::vector<autoscaler::Unit>& units,
             std::vector<std::string>& hopeless) const;
 
  private:
@@ -58,7 +58,7 @@
   const double silent_s_;
   std::map<std::string, Booting> booting_;
   std::map<std::string, double> dead_;  // and when
-  std::map<fleet::Offer, double> closed_until_;
+  std::map<autoscaler::Offer, double> closed_until_;
   std::vector<Arrival> arrivals_;
 };
 
--- a/include/mosspath/service/leader.h
+++ b/include/mosspath/service/leader.h
@@ -72,7 +72,7 @@
   void PlanSoon();
   void SendRents();
   // Nothing more of this offer is asked for after a refusal.
-  void DropRents(const fleet::Wish& offer);
+  void DropRents(const autoscaler::Wish& offer);
   void RefreshTypes();
   void ListMachines();
   void ListPage(const std::string& after);
--- a/rehearsal/controller.cc
+++ b/rehearsal/controller.cc
@@ -530,7 +530,7 @@
   WriteCompletions();
   Flush();
   SendDirect();
-  const fleet::Plan plan = dispatcher_->PlanFleet(Now());
+  const autoscaler::Plan plan = dispatcher_->PlanFleet(Now());
   for (const auto& wish : plan.rent) {
     for (int i = 0; i < wish.count; ++i) {
       const std::string id = world_.Rent(wish.type, wish.zone, wish.spot);
--- a/src/fleet/planner.cc
+++ b/src/autoscaler/planner.cc
@@ -1,10 +1,10 @@
-#include "mosspath/fleet/planner.h"
+#include "mosspath/autoscaler/planner.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 
-namespace mosspath::fleet {
+namespace mosspath::autoscaler {
 namespace {
 
 struct Choice {
@@ -220,4 +220,4 @@
   return plan;
 }
 
-}  // namespace mosspath::fleet
+}  // namespace mosspath::autoscaler
--- a/src/scheduler/dispatcher.cc
+++ b/src/scheduler/dispatcher.cc
@@ -357,7 +357,7 @@
   };
   tell(classes, activity_.classes(), d.queues);
   tell(teams, activity_.teams(), d.teams);
-  std::map<fleet::Offer, wire::Digest::Machines> groups;
+  std::map<autoscaler::Offer, wire::Digest::Machines> groups;
   const auto group = [&](const std::string& type, const std::string& zone, bool spot) -> auto& {
     auto& g = groups[{type, zone, spot}];
     g.type = type;
--- a/src/scheduler/dispatcher_fleet.cc
+++ b/src/scheduler/dispatcher_fleet.cc
@@ -65,8 +65,8 @@
   }
 }
 
-fleet::Plan Dispatcher::PlanFleet(double now) {
-  fleet::PlannerInput in;
+autoscaler::Plan Dispatcher::PlanFleet(double now) {
+  autoscaler::PlannerInput in;
   in.now = now;
   for (const auto& [name, t] : picture_.types.all()) in.types.push_back(t);
   in.closed_until = hires_.closed_until();
@@ -76,7 +76,7 @@
     if (job->pending.empty() || now < job->not_before) continue;
     // What fails everywhere is no reason to rent, but must be tried.
     if (job->doubted && !picture_.machines.empty()) continue;
-    fleet::Demand d;
+    autoscaler::Demand d;
     d.spot_ok = s.spot;
     if (s.types) d.types = *s.types;
     if (s.zone) d.zone = *s.zone;
@@ -113,7 +113,7 @@
   const Reserve::Size kept = placer_.reserve().Kept(now, picture_.types);
   in.ordinary_cpus = kept.cpus;
   if (kept.cpus > 0) {
-    fleet::Demand d;
+    autoscaler::Demand d;
     d.spot_ok = false;
     d.cpus = 1;
     d.memory_gb = kept.memory_gb / kept.cpus;
@@ -129,7 +129,7 @@
       if (now - m.last_answered > derived_.silent_s) doomed.insert(id);
       continue;
     }
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = id;
     u.type = m.type;
     u.zone = m.zone;
@@ -167,7 +167,7 @@
   }
   for (auto& [id, m] : picture_.lent) {
     if (m.deleting || m.type.empty()) continue;
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = id;
     u.type = m.type;
     u.zone = m.zone;
@@ -192,7 +192,7 @@
   std::vector<std::string> hopeless;
   hires_.Plan(now, picture_.types, in.units, hopeless);
   in.burst_cpus = hires_.Burst(now, picture_.types);
-  fleet::Plan plan = MakePlan(in, tuning_.fleet);
+  autoscaler::Plan plan = MakePlan(in, tuning_.fleet);
   wants_plan_ = false;
   std::map<std::string, uint64_t> before;  // as their holders know
   for (auto& [id, m] : picture_.lent) before[id] = (m.draining ? 1U : 0U) + (m.resting ? 1U : 0U);
--- a/src/scheduler/hires.cc
+++ b/src/scheduler/hires.cc
@@ -27,7 +27,7 @@
       list_lag_s_(settings.list_lag_s),
       silent_s_(derived.silent_s) {}
 
-void Hires::Rented(const std::vector<std::string>& ids, const fleet::Wish& offer,
+void Hires::Rented(const std::vector<std::string>& ids, const autoscaler::Wish& offer,
                    const Fleet& fleet, double now) {
   for (const auto& id : ids) {
     if (dead_.contains(id)) continue;
@@ -37,7 +37,7 @@
   }
 }
 
-void Hires::Refused(const fleet::Wish& offer, double until) {
+void Hires::Refused(const autoscaler::Wish& offer, double until) {
   closed_until_[{offer.type, offer.zone, offer.spot}] = until;
 }
 
@@ -100,7 +100,7 @@
   return most;
 }
 
-void Hires::Plan(double now, const cluster::Types& types, std::vector<fleet::Unit>& units,
+void Hires::Plan(double now, const cluster::Types& types, std::vector<autoscaler::Unit>& units,
                  std::vector<std::string>& hopeless) const {
   for (const auto& [id, b] : booting_) {
     const auto* t = types.Find(b.offer.type);
@@ -111,7 +111,7 @@
       hopeless.push_back(id);
       continue;
     }
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = id;
     u.type = b.offer.type;
     u.zone = b.offer.zone;
--- a/src/service/leader.cc
+++ b/src/service/leader.cc
@@ -357,11 +357,11 @@
   stalls_.Look();
   if (!Entitled()) return;
   const double now = net::Now();
-  fleet::Plan plan = dispatcher_.PlanFleet(now);
+  autoscaler::Plan plan = dispatcher_.PlanFleet(now);
   const double planned = net::Now();
   next_plan_ = planned + std::max(derived_.plan_gap_s, kPauseRatio * (planned - now));
   if (rents_.empty() && dispatcher_.settled()) {
-    for (const fleet::Wish& w : plan.rent) {
+    for (const autoscaler::Wish& w : plan.rent) {
       for (int left = w.count; left > 0; left -= kMostPerRent) {
         PendingRent p;
         p.request = {
@@ -420,7 +420,7 @@
             return other.request.request == r.request;
           });
           if (it == rents.end()) return;
-          const fleet::Wish offer{r.type, r.zone, r.spot, r.count};
+          const autoscaler::Wish offer{r.type, r.zone, r.spot, r.count};
           const double closed_until = at + self->settings_.lease_s;
           switch (outcome) {
             case CloudClient::Outcome::kDone:
@@ -454,7 +454,7 @@
 
 // A plan asks for fifties. Without this the rest of them kept asking for what is sold out, and took
 // the cloud's calls from lists and returns: idle machines were paid for minutes.
-void Leader::DropRents(const fleet::Wish& offer) {
+void Leader::DropRents(const autoscaler::Wish& offer) {
   std::erase_if(rents_, [&](const PendingRent& p) {
     return !p.in_flight && p.not_before == 0 && p.request.type == offer.type &&
            p.request.zone == offer.zone && p.request.spot == offer.spot;
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -382,10 +382,10 @@
 // Free room on cheap machines is no reason to return the ordinary one that is kept.
 TEST_F(DispatcherTest, CheapRoomIsNoStandInForOrdinaryRoom) {
   d_type_.spot_price = 0.3;
-  fleet::PlannerInput in;
+  autoscaler::PlannerInput in;
   in.types = {d_type_};
   for (const bool spot : {false, true, true}) {
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = "vm-" + std::to_string(in.units.size());
     u.type = "box";
     u.zone = "a";
@@ -394,7 +394,7 @@
     u.idle_s = 1000;
     in.units.push_back(u);
   }
-  const auto returned = [&] { return fleet::MakePlan(in, {}).give_back; };
+  const auto returned = [&] { return autoscaler::MakePlan(in, {}).give_back; };
   EXPECT_EQ(returned().size(), 3u);
   in.ordinary_cpus = 2;
   const auto back = returned();
@@ -407,10 +407,10 @@
 // nothing was rented: it waited for ever (`rehearse addition`, seed 45).
 TEST_F(DispatcherTest, RoomInPiecesIsRentedFor) {
   d_type_.spot_price = 0.3;
-  fleet::PlannerInput in;
+  autoscaler::PlannerInput in;
   in.types = {d_type_};
   for (const bool spot : {false, false, false, false, true}) {
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = "vm-" + std::to_string(in.units.size());
     u.type = "box";
     u.zone = "a";
@@ -419,14 +419,14 @@
     u.used_cpus = spot ? 0 : d_type_.cpus - 1;
     in.units.push_back(u);
   }
-  fleet::Demand d;
+  autoscaler::Demand d;
   d.spot_ok = false;
   d.cpus = 2;
   d.memory_gb = 1;
   d.waiting = 1;
   d.urgent = true;
   in.demand = {d};
-  const auto rent = [&] { return fleet::MakePlan(in, {}).rent; };
+  const auto rent = [&] { return autoscaler::MakePlan(in, {}).rent; };
   ASSERT_EQ(rent().size(), 1u);
   EXPECT_EQ(rent()[0].count, 1);
   EXPECT_FALSE(rent()[0].spot);
@@ -439,10 +439,10 @@
 TEST_F(DispatcherTest, RoomThatWorkWaitsForDoesNotRest) {
   d_type_.spot_price = 0.3;
   d_type_.zones = {"a", "b"};
-  fleet::PlannerInput in;
+  autoscaler::PlannerInput in;
   in.types = {d_type_};
   const auto add = [&](const std::string& zone, bool spot, double used) {
-    fleet::Unit u;
+    autoscaler::Unit u;
     u.id = zone + std::to_string(in.units.size());
     u.type = "box";
     u.zone = zone;
@@ -453,7 +453,7 @@
   };
   for (const double used : {3.5, 2.0, 3.0}) add("a", false, used);
   for (int i = 0; i < 6; ++i) add("b", i % 2 == 0, 0);
-  fleet::Demand d;
+  autoscaler::Demand d;
   d.spot_ok = false;
   d.zone = "a";
   d.cpus = 1;
@@ -461,7 +461,7 @@
   d.waiting = 3;
   d.waiting_s = 300;
   in.demand = {d};
-  const fleet::Plan plan = fleet::MakePlan(in, {});
+  const autoscaler::Plan plan = autoscaler::MakePlan(in, {});
   const auto rests = [&](const std::string& id) {
     return std::find(plan.rest.begin(), plan.rest.end(), id) != plan.rest.end() ||
            std::find(plan.drain.begin(), plan.drain.end(), id) != plan.drain.end();
