--- a/tests/acceptor_test.cc
+++ b/tests/acceptor_test.cc
@@ -6,8 +6,8 @@
 #include <optional>
 
 #include "mosspath/service/keys.h"
-#include "standins/http_services.h"
-#include "standins/one_controller.h"
+#include "fakes/http_services.h"
+#include "fakes/one_controller.h"
 
 namespace mosspath::service {
 namespace {
@@ -15,12 +15,12 @@
 class AcceptorTest : public ::testing::Test {
  protected:
   static wire::JobSpec Spec(int i) {
-    return standins::SmallJob("req-" + std::to_string(100000 + i), 10);
+    return fakes::SmallJob("req-" + std::to_string(100000 + i), 10);
   }
 
   AcceptorTest()
       : store_(io_),
-        settings_(standins::OneController(store_.address())),
+        settings_(fakes::OneController(store_.address())),
         derived_(settings_),
         client_(io_, settings_, derived_, nullptr),
         acceptor_(io_, client_, settings_, derived_) {}
@@ -45,7 +45,7 @@
   }
 
   asio::io_context io_;
-  standins::HttpState store_;
+  fakes::HttpState store_;
   const config::Settings settings_;
   const config::Derived derived_;
   kvstore::Client client_;
--- a/tests/standins/http_services.cc
+++ b/tests/fakes/http_services.cc
@@ -1,9 +1,9 @@
-#include "standins/http_services.h"
+#include "fakes/http_services.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace mosspath::standins {
+namespace mosspath::fakes {
 namespace {
 
 using nlohmann::json;
@@ -333,4 +333,4 @@
   reply(200, json::object());  // deletions are ignored: machines stay as they are
 }
 
-}  // namespace mosspath::standins
+}  // namespace mosspath::fakes
--- a/tests/standins/http_services.h
+++ b/tests/fakes/http_services.h
@@ -14,7 +14,7 @@
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/http_server.h"
 
-namespace mosspath::standins {
+namespace mosspath::fakes {
 
 class HttpState {
  public:
@@ -115,4 +115,4 @@
   std::unique_ptr<net::HttpServer> server_;
 };
 
-}  // namespace mosspath::standins
+}  // namespace mosspath::fakes
--- a/tests/standins/one_controller.h
+++ b/tests/fakes/one_controller.h
@@ -6,7 +6,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::standins {
+namespace mosspath::fakes {
 
 inline config::Settings OneController(const std::string& state_address) {
   config::Settings s;
@@ -36,4 +36,4 @@
   return s;
 }
 
-}  // namespace mosspath::standins
+}  // namespace mosspath::fakes
--- a/tests/standins/plain_worker.h
+++ b/tests/fakes/plain_worker.h
@@ -10,7 +10,7 @@
 
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::standins {
+namespace mosspath::fakes {
 
 struct PlainWorker {
   std::string id;
@@ -80,4 +80,4 @@
   }
 };
 
-}  // namespace mosspath::standins
+}  // namespace mosspath::fakes
--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -18,7 +18,7 @@
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
 #include "mosspath/service/node.h"
-#include "standins/http_services.h"
+#include "fakes/http_services.h"
 
 namespace mosspath {
 namespace {
@@ -160,8 +160,8 @@
   asio::io_context io_;
   const std::string public_[kControllers];
   const std::string peer_[kControllers];
-  standins::HttpState state_;
-  standins::HttpCloud cloud_;
+  fakes::HttpState state_;
+  fakes::HttpCloud cloud_;
   std::vector<config::Settings> settings_;
   std::vector<std::unique_ptr<net::HttpClient>> public_clients_;
   std::vector<std::unique_ptr<net::HttpClient>> peer_clients_;
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -5,8 +5,8 @@
 
 #include <chrono>
 
-#include "standins/http_services.h"
-#include "standins/one_controller.h"
+#include "fakes/http_services.h"
+#include "fakes/one_controller.h"
 
 namespace mosspath::service {
 namespace {
@@ -16,12 +16,12 @@
 class JobTableTest : public ::testing::Test {
  protected:
   static config::Settings Settings(const std::string& state) {
-    config::Settings s = standins::OneController(state);
+    config::Settings s = fakes::OneController(state);
     s.lease_s = 6;  // calls time out soon
     s.memory_mb = 64;
     return s;
   }
-  static wire::JobSpec Spec(const std::string& id) { return standins::SmallJob(id, 2); }
+  static wire::JobSpec Spec(const std::string& id) { return fakes::SmallJob(id, 2); }
 
   JobTableTest()
       : store_(io_),
@@ -69,7 +69,7 @@
   }
 
   asio::io_context io_;
-  standins::HttpState store_;
+  fakes::HttpState store_;
   const config::Settings settings_;
   const config::Derived derived_;
   kvstore::Client client_;
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -15,12 +15,12 @@
 #include "mosspath/jobs/job.h"
 #include "mosspath/scheduler/dispatcher.h"
 #include "rehearsal/cluster.h"
-#include "standins/plain_worker.h"
+#include "fakes/plain_worker.h"
 
 namespace mosspath::scheduler {
 namespace {
 
-using standins::PlainWorker;
+using fakes::PlainWorker;
 
 enum class Event {
   kWrite,      // the leader sends what it has to write
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -9,7 +9,7 @@
 #include <asio/ip/tcp.hpp>
 #include <fstream>
 
-#include "standins/http_services.h"
+#include "fakes/http_services.h"
 
 namespace mosspath {
 namespace {
@@ -145,8 +145,8 @@
   std::string address_[kNodes];
   std::string back_[kNodes];
   pid_t pid_[kNodes] = {};
-  standins::HttpState state_;
-  standins::HttpCloud cloud_;
+  fakes::HttpState state_;
+  fakes::HttpCloud cloud_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
 };
 
--- a/tests/report_model_test.cc
+++ b/tests/report_model_test.cc
@@ -13,14 +13,14 @@
 
 #include "mosspath/scheduler/dispatcher.h"
 #include "rehearsal/cluster.h"
-#include "standins/plain_worker.h"
+#include "fakes/plain_worker.h"
 
 namespace mosspath::scheduler {
 namespace {
 
 const wire::TaskId kTask{"req-1", 0};
 
-using standins::PlainWorker;
+using fakes::PlainWorker;
 
 enum class Event {
   kAnswered,     // the machine reports, and is answered
