--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -1,6 +1,6 @@
 // Who leads, as one controller knows it, and what it may do: campaign, lead, go on in an outage,
 // promise another not to lead, step down. Events and the time come in; what is to be done comes
-// out. Pure: the service (election/elector) and the rehearsal drive it. docs/design.md, rules 1, 2 and
+// out. Pure: the service (election/elector) and the simulation drive it. docs/design.md, rules 1, 2 and
 // 12, "State outages longer than a grant" and "The state service refuses the leader alone" say why
 // it is safe.
 //
--- a/include/mosspath/jobs/directory.h
+++ b/include/mosspath/jobs/directory.h
@@ -1,6 +1,6 @@
 // What a controller may tell of a job, and how it ends one: from the records that it has read, from
 // what others have told it, and from looks at the state service. Pure: the service (job_table) and
-// the rehearsal carry out its looks and changes.
+// the simulation carry out its looks and changes.
 //
 // Invariants: whatever any controller has told of a job, nothing older is told here after a look
 // that began with the question; what is over stays over; a job is cancelled or done by one change
--- a/rehearsal/addition.cc
+++ b/simulation/addition.cc
@@ -1,11 +1,11 @@
-#include "rehearsal/addition.h"
+#include "simulation/addition.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 constexpr double kWorkUntil = 130;   // jobs are submitted
@@ -140,4 +140,4 @@
   return out;
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/addition.h
+++ b/simulation/addition.h
@@ -1,4 +1,4 @@
-// The rehearsal of the addition to the rules: users who ask about every accepted job, services and
+// The simulation of the addition to the rules: users who ask about every accepted job, services and
 // arrays from one task to hundreds, and troubles of every kind. What is checked stands in the
 // world's checker: nothing is forgotten once the troubles are over, nobody is served by less than
 // half, the largest begin in time.
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/overload.h"
+#include "simulation/overload.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 class AdditionDay : public Cluster {
  public:
@@ -43,4 +43,4 @@
   Users users_;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/cluster.cc
+++ b/simulation/cluster.cc
@@ -1,10 +1,10 @@
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 constexpr const char* kNames[] = {
@@ -356,4 +356,4 @@
   }
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/cluster.h
+++ b/simulation/cluster.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/controller.h"
+#include "simulation/controller.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 // Three controllers, teams without and with limits, quick reports: what days are made of.
 config::Settings SmallSettings();
@@ -106,4 +106,4 @@
   double back_after_s_ = 0;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/controller.cc
+++ b/simulation/controller.cc
@@ -1,11 +1,11 @@
-#include "rehearsal/controller.h"
+#include "simulation/controller.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "mosspath/admission/runnable.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 const std::string kState = "state";
@@ -934,4 +934,4 @@
   return wire::Encode(plan);
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/controller.h
+++ b/simulation/controller.h
@@ -17,9 +17,9 @@
 #include "mosspath/net/stall_watch.h"
 #include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/service/admission.h"
-#include "rehearsal/world.h"
+#include "simulation/world.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 class Controller {
  public:
@@ -162,4 +162,4 @@
   uint64_t refused_ = 0;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/decisions.cc
+++ b/simulation/decisions.cc
@@ -1,9 +1,9 @@
-#include "rehearsal/decisions.h"
+#include "simulation/decisions.h"
 
 #include <bit>
 #include <boost/container_hash/hash.hpp>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 void Decisions::Answered(double now, const std::string& machine, int status, uint64_t token,
                          const std::vector<wire::Command>& commands, const std::string& to) {
@@ -66,4 +66,4 @@
   boost::hash_combine(number_, boost::hash_range(text.begin(), text.end()));
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/decisions.h
+++ b/simulation/decisions.h
@@ -10,7 +10,7 @@
 #include "mosspath/wire/json.h"
 #include "mosspath/wire/messages.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 // Folded in the order in which it happens, with its simulated time and in the protocol's own words,
 // so that no name inside the code counts. The number is the same in every build with the same
@@ -48,4 +48,4 @@
   size_t number_ = 0;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/main.cc
+++ b/simulation/main.cc
@@ -1,4 +1,4 @@
-// rehearse WHAT: many days of several controllers under seeds, in simulated time, each in a thread.
+// simulate WHAT: many days of several controllers under seeds, in simulated time, each in a thread.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -11,17 +11,17 @@
 #include <mutex>
 #include <thread>
 
-#include "rehearsal/meetings.h"
+#include "simulation/meetings.h"
 
 namespace {
 
-using mosspath::rehearsal::AdditionDay;
-using mosspath::rehearsal::Fault;
-using mosspath::rehearsal::MeetingDay;
-using mosspath::rehearsal::Outcome;
-using mosspath::rehearsal::OverloadDay;
+using mosspath::simulation::AdditionDay;
+using mosspath::simulation::Fault;
+using mosspath::simulation::MeetingDay;
+using mosspath::simulation::Outcome;
+using mosspath::simulation::OverloadDay;
 
-// What is rehearsed.
+// What is simulated.
 struct Matter {
   std::function<std::vector<Fault>(uint64_t seed)> faults;
   std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> play;
--- a/rehearsal/meetings.cc
+++ b/simulation/meetings.cc
@@ -1,11 +1,11 @@
-#include "rehearsal/meetings.h"
+#include "simulation/meetings.h"
 
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 using Kind = Fault::Kind;
@@ -451,4 +451,4 @@
   return out;
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/meetings.h
+++ b/simulation/meetings.h
@@ -1,4 +1,4 @@
-// The rehearsal of meetings: two or three troubles tied in time and in whom they hit, beside the
+// The simulation of meetings: two or three troubles tied in time and in whom they hit, beside the
 // users of the addition and users who cancel just then. Each seed plays one meeting, its offsets
 // swept from none to above a lease; whether its condition really came about is counted.
 #pragma once
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/addition.h"
+#include "simulation/addition.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 class MeetingDay : public AdditionDay {
  public:
@@ -71,4 +71,4 @@
   double end_until_ = -1e18;                   // users call off jobs as they end
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/overload.cc
+++ b/simulation/overload.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/overload.h"
+#include "simulation/overload.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -7,7 +7,7 @@
 #include <boost/accumulators/statistics/stats.hpp>
 #include <boost/accumulators/statistics/tail_quantile.hpp>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 constexpr double kFloodFrom = 10;
@@ -220,4 +220,4 @@
   return out;
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/overload.h
+++ b/simulation/overload.h
@@ -1,4 +1,4 @@
-// The rehearsal of overload: a flood beside what others ask for, and controllers that fail
+// The simulation of overload: a flood beside what others ask for, and controllers that fail
 // meanwhile. The controllers' own gates, plans and queues decide; users retry as the protocol says.
 #pragma once
 
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "rehearsal/users.h"
+#include "simulation/users.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 // What a day came to.
 struct Outcome {
@@ -57,4 +57,4 @@
   std::vector<std::string> breaches_;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/users.cc
+++ b/simulation/users.cc
@@ -1,10 +1,10 @@
-#include "rehearsal/users.h"
+#include "simulation/users.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 constexpr double kGiveUpS = 60;       // after the first attempt to submit
@@ -147,4 +147,4 @@
   });
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/users.h
+++ b/simulation/users.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 struct User {
   wire::JobSpec spec;
@@ -57,4 +57,4 @@
   size_t refused_ = 0;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/world.cc
+++ b/simulation/world.cc
@@ -1,4 +1,4 @@
-#include "rehearsal/world.h"
+#include "simulation/world.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -7,7 +7,7 @@
 
 #include "mosspath/jobs/directory.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 using wire::TaskState;
 using wire::Why;
@@ -758,4 +758,4 @@
   if (auto it = workers.find(id); it != workers.end()) it->second->Die();
 }
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/rehearsal/world.h
+++ b/simulation/world.h
@@ -18,9 +18,9 @@
 #include "mosspath/wire/block_frame.h"
 #include "mosspath/wire/json.h"
 #include "mosspath/wire/messages.h"
-#include "rehearsal/decisions.h"
+#include "simulation/decisions.h"
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 
 // Events in the order of their times; equal times in the order they were added.
 class Clock {
@@ -413,4 +413,4 @@
   size_t booting_ = 0;
 };
 
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/tests/decisions_test.cc
+++ b/tests/decisions_test.cc
@@ -1,11 +1,11 @@
-#include "rehearsal/decisions.h"
+#include "simulation/decisions.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <set>
 
-namespace mosspath::rehearsal {
+namespace mosspath::simulation {
 namespace {
 
 using wire::Command;
@@ -76,4 +76,4 @@
 }
 
 }  // namespace
-}  // namespace mosspath::rehearsal
+}  // namespace mosspath::simulation
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -14,7 +14,7 @@
 
 #include "mosspath/jobs/job.h"
 #include "mosspath/scheduler/dispatcher.h"
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 #include "fakes/plain_worker.h"
 
 namespace mosspath::scheduler {
@@ -121,7 +121,7 @@
     token_ = ++revision_;
     waiting_ = false;
     leader_ = std::make_unique<Dispatcher>(settings_, derived_, token_, now_);
-    leader_->SetTypes({rehearsal::SmallType()});
+    leader_->SetTypes({simulation::SmallType()});
     for (const auto& [key, pair] : pairs_) {
       const int pack = std::stoi(key.substr(1));
       if (key[0] == 'm') {
@@ -302,7 +302,7 @@
   }
 
   const bool conditions_;
-  const config::Settings settings_ = rehearsal::SmallSettings();
+  const config::Settings settings_ = simulation::SmallSettings();
   const config::Derived derived_{settings_};
   double now_ = 1;
   wire::JobSpec job_;
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -10,7 +10,7 @@
 #include <functional>
 
 #include "mosspath/election/cancelled.h"
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 
 namespace mosspath::election {
 namespace {
@@ -18,7 +18,7 @@
 using Kind = Leadership::Step::Kind;
 
 config::Settings Settings(const std::string& node = "hut-0") {
-  config::Settings s = rehearsal::SmallSettings();
+  config::Settings s = simulation::SmallSettings();
   s.node = node;
   for (const std::string other : {"hut-0", "hut-1", "hut-2"}) {
     if (other != node) s.peers.push_back({other, "east", other});
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -7,7 +7,7 @@
 
 #include "mosspath/scheduler/dispatcher.h"
 #include "mosspath/scheduler/locality.h"
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 
 namespace mosspath::scheduler {
 namespace {
@@ -404,7 +404,7 @@
 
 // With slow reports, waiting for one before anything is stopped missed the aim for starts.
 // Ordinary machines had a CPU free each, a cheap one stood idle that the replica may not use, and
-// nothing was rented: it waited for ever (`rehearse addition`, seed 45).
+// nothing was rented: it waited for ever (`simulate addition`, seed 45).
 TEST_F(DispatcherTest, RoomInPiecesIsRentedFor) {
   d_type_.spot_price = 0.3;
   autoscaler::PlannerInput in;
@@ -435,7 +435,7 @@
 }
 
 // Cheap machines and the other zone had room enough, so all that the work may use rested; that room
-// was counted on, so nothing was rented, and it waited for ever (`rehearse meetings`, seed 161).
+// was counted on, so nothing was rented, and it waited for ever (`simulate meetings`, seed 161).
 TEST_F(DispatcherTest, RoomThatWorkWaitsForDoesNotRest) {
   d_type_.spot_price = 0.3;
   d_type_.zones = {"a", "b"};
@@ -1061,10 +1061,10 @@
 // The job of a task that a new leader finds was cancelled, so nothing tells its team or size; and
 // one machine can't be asked. A team with a limit starts nothing before both are known to be gone.
 TEST(Limits, ACancelledTaskOfAnEarlierLeaderCounts) {
-  config::Settings s = rehearsal::SmallSettings();
+  config::Settings s = simulation::SmallSettings();
   const config::Derived derived(s);
   Dispatcher d(s, derived, 10, 0);
-  d.SetTypes({rehearsal::SmallType()});
+  d.SetTypes({simulation::SmallType()});
   d.LoadMachines(0, {{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "vm-3:1"}}, 1);
   std::map<std::string, uint64_t> seq;
   const auto reports = [&](const std::string& id, double now, std::vector<wire::TaskReport> tasks) {
@@ -1377,7 +1377,7 @@
 
 // It may be running, so its team's limit counts it, also when its job is over.
 TEST(Withheld, CountsTowardsItsTeam) {
-  const config::Settings settings = rehearsal::SmallSettings();  // "tight" may use 10 CPUs
+  const config::Settings settings = simulation::SmallSettings();  // "tight" may use 10 CPUs
   cluster::Picture p(settings, config::Derived(settings));
   wire::JobSpec spec;
   spec.id = "req-1";
--- a/tests/report_model_test.cc
+++ b/tests/report_model_test.cc
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "mosspath/scheduler/dispatcher.h"
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 #include "fakes/plain_worker.h"
 
 namespace mosspath::scheduler {
@@ -39,7 +39,7 @@
 
 class Model {
  public:
-  Model() : settings_(rehearsal::SmallSettings()), derived_(settings_) {
+  Model() : settings_(simulation::SmallSettings()), derived_(settings_) {
     Lead(10);
     Step(Event::kAnswered);
     Step(Event::kOther);
@@ -94,7 +94,7 @@
  private:
   void Lead(uint64_t token) {
     leader_ = std::make_unique<Dispatcher>(settings_, derived_, token, now_);
-    leader_->SetTypes({rehearsal::SmallType()});
+    leader_->SetTypes({simulation::SmallType()});
   }
   void Durable() {
     for (;;) {
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -5,15 +5,15 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/cluster.h"
+#include "simulation/cluster.h"
 
 namespace mosspath {
 namespace {
 
-using rehearsal::Controller;
-using rehearsal::SmallSettings;
-using rehearsal::SmallType;
-using rehearsal::World;
+using simulation::Controller;
+using simulation::SmallSettings;
+using simulation::SmallType;
+using simulation::World;
 
 struct Trouble {
   bool crashes = false;
@@ -34,7 +34,7 @@
   return s;
 }
 
-class Day : public rehearsal::Cluster {
+class Day : public simulation::Cluster {
  public:
   Day(uint64_t seed, Trouble trouble)
       : Cluster(With(SmallSettings(), trouble), {SmallType()}, 3, seed), blocks_(trouble.blocks) {
@@ -401,7 +401,7 @@
   }
   // Every so-manieth machine that the test picks.
   void Each(size_t step, size_t most, const std::function<bool(size_t i)>& pick,
-            const std::function<void(const std::string&, rehearsal::Worker&)>& f) {
+            const std::function<void(const std::string&, simulation::Worker&)>& f) {
     size_t i = 0;
     for (auto& [id, w] : world.workers) {
       if (most > 0 && i % step == 0 && pick(i) && w->alive()) {
@@ -444,7 +444,7 @@
   world.clock.At(30, [&] { world.network.Slow("state", 10, 30); });
   world.clock.At(45, [&] { day.Leader().Crash(4); });
   world.clock.At(70, [&] {
-    day.Each(10, 40, kAny, [](const std::string&, rehearsal::Worker& w) { w.Die(); });
+    day.Each(10, 40, kAny, [](const std::string&, simulation::Worker& w) { w.Die(); });
   });
   world.clock.At(75, [&] { day.CrashAll(); });
   world.clock.At(105, [&] {
@@ -462,13 +462,13 @@
 TEST(Simulation, AThirdOfTheFleetFallsWithAllControllers) {
   LargeDay day(22, 600, 40);
   day.world.clock.At(60, [&] {
-    day.Each(6, 200, kAny, [](const std::string&, rehearsal::Worker& w) { w.Die(); });
+    day.Each(6, 200, kAny, [](const std::string&, simulation::Worker& w) { w.Die(); });
     day.Each(
         6, 200, [](size_t i) { return i % 12 == 0; },
-        [&](const std::string& id, rehearsal::Worker&) { day.CutOff(id, 20); });
+        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 20); });
     day.Each(
         1, 200, [](size_t i) { return i % 6 == 3; },
-        [&](const std::string& id, rehearsal::Worker&) { day.CutOff(id, 20); });
+        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 20); });
     day.CrashAll();
   });
   day.Expect(330);
@@ -480,7 +480,7 @@
   day.world.clock.At(60, [&] {
     day.Each(
         1, 600, [](size_t i) { return i % 2 == 0; },
-        [&](const std::string& id, rehearsal::Worker&) { day.CutOff(id, 60); });
+        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 60); });
   });
   day.world.clock.At(75, [&] { day.world.state.Outage(15); });
   day.Expect(330);
@@ -492,7 +492,7 @@
   day.world.clock.At(60, [&] {
     day.Each(
         1, 600, [](size_t i) { return i % 5 < 3; },
-        [](const std::string&, rehearsal::Worker& w) { w.Die(); });
+        [](const std::string&, simulation::Worker& w) { w.Die(); });
     Controller& leader = day.Leader();
     leader.Freeze(25);
     for (auto& [name, c] : day.controllers) {
