--- a/include/mosspath/admission/gate.h
+++ b/include/mosspath/admission/admission_controller.h
@@ -28,84 +28,85 @@
 
 // How much of what its team has left a class may have, and how often it is next among its team's:
 // work that others wait for has room longest.
-double RankWeight(wire::Rank rank);
+double PriorityWeight(wire::Priority rank);
 
-struct Verdict {
+struct AdmissionVerdict {
   bool admit = false;
   double retry_after_s = 0;  // when room is expected; spread, so that retries don't come at once
-  std::string why;           // which budget, of whom; for people
+  std::string reason;        // which budget, of whom; for people
 };
 
-class Gate {
+class AdmissionController {
  public:
   // `budget`: tasks of live jobs. Refused users are to come back within `least_s` to `most_s`.
-  Gate(double budget, std::vector<std::string> teams, double least_s, double most_s);
+  AdmissionController(double budget, std::vector<std::string> teams, double least_s, double most_s);
 
   // Weights of teams ("name") and classes ("team/class"), 1 if not named; 0: one job at a time.
-  void Weigh(std::map<std::string, double> weights);
+  void SetWeights(std::map<std::string, double> weights);
   // Tasks that the team may have whatever others have.
   double Assured(const std::string& team) const;
 
   // --- The view ---
   void Clear();
-  void Came(const wire::JobSpec& spec);
-  void Ended(const std::string& id, double now);
+  void OnAccepted(const wire::JobSpec& spec);
+  void OnEnded(const std::string& id, double now);
   // The view has been loaded anew: it shows all that was durable until then.
-  void Loaded(uint64_t revision);
+  void OnLoaded(uint64_t revision);
 
   // --- Requests ---
   // If admitted it counts as under way, until the view shows it or one of the next two is called.
-  Verdict Ask(const wire::JobSpec& spec, double part, double now);
+  AdmissionVerdict Request(const wire::JobSpec& spec, double part, double now);
   // It is durable since that revision.
-  void Accepted(const std::string& id, uint64_t revision);
+  void OnDurable(const std::string& id, uint64_t revision);
   // It was not accepted, as far as is known here.
-  void Dropped(const std::string& id);
+  void OnDropped(const std::string& id);
 
   double live() const { return live_; }
-  double under_way() const { return out_; }
+  double in_flight() const { return in_flight_; }
   double budget() const { return budget_; }
   // Tasks of a team in the view or under way.
-  double Of(const std::string& team) const;
+  double TasksOf(const std::string& team) const;
 
   struct Count {
-    uint64_t asked = 0;    // jobs
-    uint64_t refused = 0;  // of them
+    uint64_t requested = 0;  // jobs
+    uint64_t refused = 0;    // of them
   };
   // Since this process began, by team and class; beyond a thousand, of all others of a team.
   const std::map<std::pair<std::string, std::string>, Count>& counts() const { return counts_; }
 
  private:
-  using Of2 = std::pair<std::string, std::string>;
+  using ClassKey = std::pair<std::string, std::string>;
   struct Entry {
-    Of2 of;
+    ClassKey group;
     double tasks = 0;
     uint64_t revision = 0;  // under way: since when it is durable; 0: not known to be
   };
 
   // What the team is assured and has not taken.
-  double Untaken(const std::string& team) const;
-  void Take(const Of2& of, double tasks);
+  double UnusedAssured(const std::string& team) const;
+  void Take(const ClassKey& of, double tasks);
   void Forget(const std::string& id);  // not under way any more
   double Weight(const std::string& name) const;
-  Verdict Refuse(const wire::JobSpec& spec, std::string why, double over, double now) const;
+  AdmissionVerdict Refuse(const wire::JobSpec& spec, std::string why, double over,
+                          double now) const;
 
   const double budget_;
   const std::vector<std::string> names_;
-  const double least_s_;
-  const double most_s_;
+  const double min_retry_s_;
+  const double max_retry_s_;
   std::map<std::string, double> weights_;
   std::map<std::string, double> assured_;
-  double untaken_ = 0;  // by all teams
+  double unused_assured_ = 0;  // by all teams
   std::unordered_map<std::string, Entry> live_jobs_;
-  std::unordered_map<std::string, Entry> out_jobs_;
+  std::unordered_map<std::string, Entry> in_flight_jobs_;
   double live_ = 0;
-  double out_ = 0;
+  double in_flight_ = 0;
   std::map<std::string, double> teams_;  // in the view or under way
-  std::map<Of2, double> classes_;
+  std::map<ClassKey, double> classes_;
   // Tasks of jobs that ended lately, by second: how fast room comes free.
   double drained_ = 0;
   double drained_at_ = 0;
-  std::map<Of2, Count> counts_;
+  std::map<ClassKey, Count> counts_;
 };
 
 }  // namespace mosspath::admission
--- a/include/mosspath/admission/plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -17,40 +17,40 @@
 
 namespace mosspath::admission {
 
-inline constexpr double kPlanned = 0.5;  // the other half is for views that lag
+inline constexpr double kPlannedFraction = 0.5;  // the other half is for views that lag
 
 // What a controller may always fill, whatever any plan says.
-double LeastPart(size_t controllers);
+double MinimumShare(size_t controllers);
 
-struct Plan {
+struct AdmissionPlan {
   uint64_t token = 0;    // the leadership that made it
   uint64_t version = 0;  // of that leadership, rising
   double life_s = 0;     // from when it was asked for
-  double part = 0;
-  friend bool operator==(const Plan&, const Plan&) = default;
+  double share = 0;
+  friend bool operator==(const AdmissionPlan&, const AdmissionPlan&) = default;
 };
 
 // The leader's side.
-class Planner {
+class AdmissionPlanner {
  public:
   // `now`: when this leadership began; no plan is made for `life_s` from then.
-  Planner(std::vector<std::string> controllers, uint64_t token, double life_s, double now);
+  AdmissionPlanner(std::vector<std::string> controllers, uint64_t token, double life_s, double now);
 
   // The controller asks, and tells how many tasks it was lately asked to accept.
-  Plan For(const std::string& controller, double demand, double now);
+  AdmissionPlan PlanFor(const std::string& controller, double demand, double now);
 
  private:
-  struct Given {
-    double part = 0;
+  struct GrantedShare {
+    double share = 0;
     double until = 0;
   };
   struct Controller {
     double demand = 0;
-    double heard = -1e18;
-    std::vector<Given> given;  // that it may go by yet
+    double heard_at = -1e18;
+    std::vector<GrantedShare> granted;  // that it may go by yet
   };
   // The most that it may go by now.
-  double Holds(Controller& c, double now) const;
+  double HeldBy(Controller& c, double now) const;
 
   const uint64_t token_;
   const double life_s_;
@@ -60,18 +60,18 @@
 };
 
 // A controller's side: the plan in force here.
-class Share {
+class AdmissionShare {
  public:
-  explicit Share(size_t controllers) : least_(LeastPart(controllers)) {}
+  explicit AdmissionShare(size_t controllers) : least_(MinimumShare(controllers)) {}
   // The answer to what was asked at `asked`. Plans of earlier leaderships, or older ones of the
   // same, change nothing.
-  void Told(const Plan& plan, double asked);
-  double Part(double now) const { return now < until_ ? plan_.part : least_; }
-  const Plan& plan() const { return plan_; }
+  void OnPlan(const AdmissionPlan& plan, double asked);
+  double Current(double now) const { return now < until_ ? plan_.share : least_; }
+  const AdmissionPlan& plan() const { return plan_; }
 
  private:
   const double least_;
-  Plan plan_;
+  AdmissionPlan plan_;
   double until_ = -1e18;
 };
 
--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -18,7 +18,7 @@
   bool empty() const { return size_ == 0; }
   size_t size() const { return size_; }
   // That wait of the team.
-  size_t Of(const std::string& team) const {
+  size_t SizeOf(const std::string& team) const {
     const auto it = teams_.find(team);
     return it == teams_.end() ? 0 : it->second.size;
   }
@@ -26,9 +26,9 @@
   // `weight`: of the class among its team's.
   void Push(const std::string& team, const std::string& job_class, double weight, T item) {
     Team& t = teams_[team];
-    if (t.size++ == 0) t.tag = std::max(t.tag, now_);
+    if (t.size++ == 0) t.start_tag = std::max(t.start_tag, virtual_time_);
     Class& c = t.classes[job_class];
-    if (c.items.empty()) c.tag = std::max(c.tag, t.now);
+    if (c.items.empty()) c.start_tag = std::max(c.start_tag, t.virtual_time);
     c.weight = weight;
     c.items.push_back(std::move(item));
     ++size_;
@@ -41,19 +41,19 @@
     Class& cls = c->second;
     T item = std::move(cls.items.front());
     cls.items.pop_front();
-    now_ = t->second.tag;
-    t->second.now = cls.tag;
-    t->second.tag += 1;
-    cls.tag += 1 / std::max(cls.weight, 1e-3);
+    virtual_time_ = t->second.start_tag;
+    t->second.virtual_time = cls.start_tag;
+    t->second.start_tag += 1;
+    cls.start_tag += 1 / std::max(cls.weight, 1e-3);
     // Classes are whatever users call them: those with nothing waiting are kept only while few.
     if (cls.items.empty() && t->second.classes.size() > kMostClasses) t->second.classes.erase(c);
-    Left(t, 1);
+    OnRemoved(t, 1);
     return item;
   }
 
   // Takes out, and gives to `take`, all that `pred` holds for.
   template <typename Pred, typename Take>
-  void TakeIf(Pred pred, Take take) {
+  void RemoveIf(Pred pred, Take take) {
     for (auto t = teams_.begin(); t != teams_.end();) {
       const auto next = std::next(t);
       size_t n = 0;
@@ -68,20 +68,20 @@
           ++n;
         }
       }
-      Left(t, n);
+      OnRemoved(t, n);
       t = next;
     }
   }
 
  private:
   struct Class {
-    double tag = 0;  // when its next one starts, in its team's virtual time
+    double start_tag = 0;  // when its next one starts, in its team's virtual time
     double weight = 1;
     std::deque<T> items;
   };
   struct Team {
-    double tag = 0;
-    double now = 0;  // virtual time among its classes
+    double start_tag = 0;
+    double virtual_time = 0;  // virtual time among its classes
     size_t size = 0;
     std::map<std::string, Class> classes;
   };
@@ -91,26 +91,26 @@
   std::pair<typename Teams::iterator, typename std::map<std::string, Class>::iterator> Next() {
     auto t = teams_.end();
     for (auto it = teams_.begin(); it != teams_.end(); ++it) {
-      if (it->second.size > 0 && (t == teams_.end() || it->second.tag < t->second.tag)) t = it;
+      if (it->second.size > 0 && (t == teams_.end() || it->second.start_tag < t->second.start_tag)) t = it;
     }
     auto& classes = t->second.classes;
     auto c = classes.end();
     for (auto it = classes.begin(); it != classes.end(); ++it) {
       if (it->second.items.empty()) continue;
-      if (c == classes.end() || it->second.tag < c->second.tag) c = it;
+      if (c == classes.end() || it->second.start_tag < c->second.start_tag) c = it;
     }
     return {t, c};
   }
   // A team with nothing waiting is forgotten once its turns have been had by others too.
-  void Left(typename Teams::iterator t, size_t n) {
+  void OnRemoved(typename Teams::iterator t, size_t n) {
     size_ -= n;
     t->second.size -= n;
-    if (t->second.size == 0 && t->second.tag <= now_) teams_.erase(t);
+    if (t->second.size == 0 && t->second.start_tag <= virtual_time_) teams_.erase(t);
     if (size_ == 0) teams_.clear();
   }
 
   Teams teams_;
-  double now_ = 0;
+  double virtual_time_ = 0;
   size_t size_ = 0;
 };
 
--- a/include/mosspath/cluster/picture.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -17,73 +17,77 @@
 #include <memory>
 #include <string>
 
+#include "mosspath/cluster/delegated_tasks.h"
+#include "mosspath/cluster/machine.h"
+#include "mosspath/cluster/machine_type_catalog.h"
+#include "mosspath/cluster/quota_usage.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/cluster/away.h"
-#include "mosspath/cluster/machine.h"
-#include "mosspath/cluster/team_use.h"
-#include "mosspath/cluster/types.h"
 
 namespace mosspath::cluster {
 
 using Jobs = std::map<std::string, std::unique_ptr<jobs::Job>>;
 using Machines = std::map<std::string, Machine>;
 
-class Picture {
+class ClusterState {
  public:
-  Picture(const config::Settings& settings, const config::Derived& derived)
-      : teams(settings.teams), silent_s_(derived.silent_s), lease_s_(settings.lease_s) {}
+  ClusterState(const config::Settings& settings, const config::DerivedSettings& derived)
+      : quota(settings.teams),
+        silent_s_(derived.agent_suspect_s),
+        lease_s_(settings.agent_lease_s) {}
 
-  jobs::Job* Find(const std::string& id);
-  const jobs::Job* Find(const std::string& id) const;
+  jobs::Job* FindJob(const std::string& id);
+  const jobs::Job* FindJob(const std::string& id) const;
 
-  void Occupy(Machine& m, const SlotKey& key, Slot slot);
+  void Allocate(Machine& m, const AllocationKey& key, Allocation slot);
   // Gives back what a slot takes; its place in the machine's list stays until it is forgotten.
-  void Vacate(Machine& m, Slot& slot, const wire::TaskId& task);
+  void ReleaseResources(Machine& m, Allocation& slot, const wire::TaskId& task);
   // The attempt is certainly not on the machine any more.
-  void Gone(Machine& m, std::map<SlotKey, Slot>::iterator it, double now);
-  void AllGone(Machine& m, double now);
+  void RemoveAllocation(Machine& m, std::map<AllocationKey, Allocation>::iterator it, double now);
+  void RemoveAllAllocations(Machine& m, double now);
   // Another controller has the task from now on, under that lease.
-  void SendAway(jobs::Job& job, uint32_t index, uint64_t lease);
+  void Delegate(jobs::Job& job, uint32_t index, uint64_t lease);
   // It is certainly not with the holder of that lease; waits again unless its job is over. False:
   // it was not there.
-  bool ComeBack(const wire::TaskId& task, uint64_t lease);
+  bool ReturnDelegated(const wire::TaskId& task, uint64_t lease);
   // A second copy of a placed task is there, to be stopped.
-  void AddCopy(const wire::TaskId& task, const std::string& machine) { copies_[task] = machine; }
-  bool HasCopy(const wire::TaskId& task) const { return copies_.contains(task); }
-  void ForgetCopies(const std::string& job);
+  void AddDuplicate(const wire::TaskId& task, const std::string& machine) {
+    duplicates_[task] = machine;
+  }
+  bool HasDuplicate(const wire::TaskId& task) const { return duplicates_.contains(task); }
+  void ForgetDuplicates(const std::string& job);
   // The task, placed now, may be on a machine that nobody knows of once it is nowhere else: it goes
   // on counting towards its team, and waits for nothing, until it is certain that it is not.
   void Withhold(const wire::TaskId& task);
-  void Release(const wire::TaskId& task);
+  void ReleaseWithheld(const wire::TaskId& task);
   // Whether the machine takes new tasks.
-  bool Usable(const Machine& m, double now) const;
+  bool IsSchedulable(const Machine& m, double now) const;
 
   Jobs jobs;
-  Machines machines;     // commanded by this controller
-  Machines lent;         // commanded by others, as they tell; without their tasks
-  double begun = -1e18;  // no controller before this one answered a machine after that
-  Away away;
-  Types types;
-  TeamUse teams;
-  bool changed = true;  // since the last pass over the waiting jobs
+  Machines machines;            // commanded by this controller
+  Machines delegated_machines;  // commanded by others, as they tell; without their tasks
+  double began_at = -1e18;      // no controller before this one answered a machine after that
+  DelegatedTasks delegated_tasks;
+  MachineTypeCatalog machine_types;
+  QuotaUsage quota;
+  bool changed_since_pass = true;  // since the last pass over the waiting jobs
 
  private:
   // The task is no longer where it was placed: it waits, or is where a copy of it may still run.
-  void NowhereElse(jobs::Job& job, uint32_t index);
+  void OnAllocationRemoved(jobs::Job& job, uint32_t index);
 
-  std::map<wire::TaskId, std::string> copies_;
-  struct Size {
+  std::map<wire::TaskId, std::string> duplicates_;
+  struct QuotaCharge {
     std::string team;
     double cpus = 0;
     double gpus = 0;
   };
-  std::map<wire::TaskId, Size> withheld_;
+  std::map<wire::TaskId, QuotaCharge> withheld_;
   const double silent_s_;
   const double lease_s_;
 };
 
 // The worker is to be told to stop it.
-void Stop(Machine& m, Slot& slot, double grace_s);
+void RequestStop(Machine& m, Allocation& slot, double grace_s);
 
 }  // namespace mosspath::cluster
--- a/include/mosspath/cluster/away.h
+++ b/include/mosspath/cluster/delegated_tasks.h
@@ -14,27 +14,27 @@
 
 namespace mosspath::cluster {
 
-class Away {
+class DelegatedTasks {
  public:
-  struct Size {
+  struct QuotaCharge {
     std::string team;
     double cpus = 0;
     double gpus = 0;
   };
 
   // The lease under which the task is away; 0: it is not.
-  uint64_t Under(const wire::TaskId& task) const;
-  void Add(const wire::TaskId& task, uint64_t lease, const Size& size);
+  uint64_t LeaseOf(const wire::TaskId& task) const;
+  void Add(const wire::TaskId& task, uint64_t lease, const QuotaCharge& size);
   // What it took, if it was away under that lease.
-  std::optional<Size> Remove(const wire::TaskId& task, uint64_t lease);
-  std::vector<wire::TaskId> All(uint64_t lease) const;
-  std::vector<wire::TaskId> Of(const std::string& job) const;
+  std::optional<QuotaCharge> Remove(const wire::TaskId& task, uint64_t lease);
+  std::vector<wire::TaskId> UnderLease(uint64_t lease) const;
+  std::vector<wire::TaskId> OfJob(const std::string& job) const;
   size_t size() const { return size_; }
 
  private:
   struct JobTasks {
-    Size size;
-    std::map<uint32_t, uint64_t> under;
+    QuotaCharge charge;
+    std::map<uint32_t, uint64_t> lease_by_task;
   };
   std::map<std::string, JobTasks> jobs_;
   size_t size_ = 0;
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -14,27 +14,28 @@
 namespace mosspath::cluster {
 
 // An attempt of a task that is, or may be, on a machine.
-struct Slot {
-  enum class State { kIntended, kSent, kReported } state = State::kIntended;
+struct Allocation {
+  enum class State { kPlanned, kStartSent, kReported } state = State::kPlanned;
   // Reports after this one tell whether the start was taken. While a start that went straight to
   // the worker is unanswered, no report does.
-  uint64_t sent_seq = 0;
-  uint64_t sent_token = 0;
-  bool direct = false;   // the start went straight to the worker
-  double direct_at = 0;  // and when
-  bool unsure = false;   // such a start got no answer: it may be executed until the token rises
+  uint64_t start_sent_sequence = 0;
+  uint64_t start_sent_token = 0;
+  bool start_sent_directly = false;  // the start went straight to the worker
+  double start_sent_at = 0;          // and when
+  bool start_unconfirmed =
+      false;  // such a start got no answer: it may be executed until the token rises
   wire::TaskState reported = wire::TaskState::kFetching;
-  wire::Why why = wire::Why::kNone;
-  bool stop = false;
+  wire::ExitReason exit_reason = wire::ExitReason::kNone;
+  bool stop_requested = false;
   double grace_s = 0;
-  uint64_t seen = 0;  // the last report taken in that listed it
-  double stop_sent = -1e18;
-  uint64_t forget_seq = 0;  // the report whose answer said to forget it; 0: none
-  double since = 0;         // when it was placed
+  uint64_t last_listed_in = 0;  // the last report taken in that listed it
+  double stop_sent_at = -1e18;
+  uint64_t forget_sent_sequence = 0;  // the report whose answer said to forget it; 0: none
+  double placed_at = 0;               // when it was placed
   double running_since = 0;
-  bool adopted = false;   // begun before we knew: its run time is not known
-  bool orphan = false;    // no live job, or a second copy: only to be stopped and forgotten
-  double expected_s = 0;  // of run time
+  bool recovered = false;     // begun before we knew: its run time is not known
+  bool orphaned = false;      // no live job, or a second copy: only to be stopped and forgotten
+  double expected_run_s = 0;  // of run time
   // What it takes of the machine and of its team's limit.
   double cpus = 0;
   double gpus = 0;
@@ -45,9 +46,9 @@
   bool exited() const { return state == State::kReported && reported == wire::TaskState::kExited; }
 };
 
-inline constexpr uint64_t kNoReport = ~uint64_t{0};
+inline constexpr uint64_t kNoHeartbeat = ~uint64_t{0};
 
-using SlotKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
+using AllocationKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
 
 // Images on a machine, most recently used first; a placed task marks its image present at once.
 class ImageCache {
@@ -61,8 +62,8 @@
   ~ImageCache() = default;
 
   bool Has(const std::string& image) const { return index_.contains(image); }
-  double bytes_gb() const { return total_; }
-  void Use(const std::string& image, double gb, double capacity_gb);
+  double size_gb() const { return total_; }
+  void MarkUsed(const std::string& image, double gb, double capacity_gb);
   void Clear();
 
  private:
@@ -72,15 +73,15 @@
 };
 
 // What its holder tells of a machine (seconds, CPUs, GB).
-struct MachineNews {
-  bool usable = false;  // takes new tasks, as far as its holder knows
+struct MachineStatusUpdate {
+  bool schedulable = false;  // takes new tasks, as far as its holder knows
   bool idle = false;
-  bool needed = false;  // runs work that allows no cheap machine
-  bool silent = false;
+  bool has_on_demand_work = false;  // runs work that allows no cheap machine
+  bool unresponsive = false;
   double idle_s = 0;
-  double work_s = 0;                         // CPU seconds that its tasks are expected to take yet
-  double cpus = 0, gpus = 0, memory_gb = 0;  // used
-  friend bool operator==(const MachineNews&, const MachineNews&) = default;
+  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to take yet
+  double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;  // used
+  friend bool operator==(const MachineStatusUpdate&, const MachineStatusUpdate&) = default;
 };
 
 struct Machine {
@@ -89,70 +90,75 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  size_t block = 0;
-  uint64_t session = 0;
-  uint64_t seq = 0;
-  uint64_t least_session = 0;  // reports of earlier sessions are void
-  uint64_t token = 0;          // the one it is commanded under
-  bool confirmed = false;      // has reported under that token
-  bool calling = false;        // commands are on their way straight to the worker
-  bool inherited = false;      // was in the predecessor's list and is not ruled out yet
+  size_t shard = 0;
+  uint64_t agent_epoch = 0;
+  uint64_t heartbeat_sequence = 0;
+  uint64_t min_agent_epoch = 0;    // reports of earlier sessions are void
+  uint64_t fencing_token = 0;      // the one it is commanded under
+  bool token_confirmed = false;    // has reported under that token
+  bool command_in_flight = false;  // commands are on their way straight to the worker
+  bool awaits_recovery = false;    // was in the predecessor's list and is not ruled out yet
   // Where a predecessor says its worker is; what it answered when asked there.
   std::string recorded_address;
-  double ask_after = -1e18;
-  uint64_t ask_session = 1;
-  int asked_in_vain = 0;
-  double first_heard = 0;
-  double last_heard = -1e18;    // that it takes what we say, not only that its reports arrive
-  double last_answered = 0;     // the last 200 that any entitled controller could have sent
-  double session_seen = -1e18;  // when we learned of the session, which had begun by then
+  double next_probe_at = -1e18;
+  uint64_t probe_epoch = 1;
+  int failed_probes = 0;
+  double first_contact_at = 0;
+  double last_contact_at = -1e18;  // that it takes what we say, not only that its reports arrive
+  double lease_renewed_at = 0;     // the last 200 that any entitled controller could have sent
+  double epoch_seen_at = -1e18;    // when we learned of the session, which had begun by then
   // --- Whether what it is told reaches it ---
-  double told_at = 0;  // first answered under a token that it has not shown since; 0: it has
-  int ignored = 0;     // answers in a row whose commands had no effect
-  uint64_t doubted_token = 0;       // what it was told under this one had none
-  std::optional<double> notice_at;  // when the cloud takes it away
-  bool draining = false;            // takes no new tasks
-  bool resting = false;  // the same, but urgent work that finds no room elsewhere may come here
-  bool condemned = false;
+  double token_unconfirmed_since =
+      0;                    // first answered under a token that it has not shown since; 0: it has
+  int ignored_answers = 0;  // answers in a row whose commands had no effect
+  uint64_t unheeded_token = 0;       // what it was told under this one had none
+  std::optional<double> reclaim_at;  // when the cloud takes it away
+  bool draining = false;             // takes no new tasks
+  bool cordoned = false;  // the same, but urgent work that finds no room elsewhere may come here
+  bool quarantined = false;
   bool lost = false;  // silent beyond its lease: nothing is on it
   bool deleting = false;
-  bool failed = false;    // the cloud says that it stopped
-  bool unlisted = false;  // silent, and no longer in the cloud's list
+  bool failed = false;             // the cloud says that it stopped
+  bool missing_from_list = false;  // silent, and no longer in the cloud's list
   double idle_since = 0;
-  std::map<std::string, int> errors;  // since the last success, by job
-  double slowness = 1;  // how long tasks take here, against others of their jobs elsewhere
-  int timed = 0;
-  std::map<SlotKey, Slot> slots;
-  ImageCache images;
+  std::map<std::string, int> errors_by_job;  // since the last success, by job
+  double slowdown = 1;  // how long tasks take here, against others of their jobs elsewhere
+  int timed_tasks = 0;
+  std::map<AllocationKey, Allocation> allocations;
+  ImageCache image_cache;
 
   // --- Blocks (docs/blocks.md) ---
-  uint64_t lease = 0;    // another controller holds it under this lease; 0: this one
-  uint64_t leaving = 0;  // is being handed over under that one; takes nothing new
-  bool counted = false;  // inherited, and a takeover waits for it
-  bool silenced =
+  uint64_t shard_lease = 0;      // another controller holds it under this lease; 0: this one
+  uint64_t handover_lease = 0;   // is being handed over under that one; takes nothing new
+  bool blocks_recovery = false;  // inherited, and a takeover waits for it
+  bool answers_suspended =
       false;  // that may be durable: its holder may count from there, so it is not answered
-  bool retoken = false;     // its holder is gone: nothing is said to it before its token is raised
-  uint64_t past_lease = 0;  // its entry names this lease, which is over, until it is known
-  uint64_t handed = 0;      // which time it is handed over; see scheduler/records.h
-  uint64_t entry_no = 0;    // changes of its entry in the record
-  bool asked_back = false;  // its holder is to give it back
-  double kept_until = -1e18;  // not handed over before
-  MachineNews news;           // from its holder; as of
-  double news_at = -1e18;
-
-  bool in_record = false;  // its entry is in the record, durable or not
-  bool recorded = false;   // its entry in the record is durable
-  bool unsure = false;     // has a start that got no answer
-  bool todo = false;       // has starts or stops that a worker may still have to be told
+  bool needs_new_token =
+      false;  // its holder is gone: nothing is said to it before its token is raised
+  uint64_t expired_lease = 0;      // its entry names this lease, which is over, until it is known
+  uint64_t handover_revision = 0;  // which time it is handed over; see scheduler/durable_state.h
+  uint64_t record_change_number = 0;   // changes of its entry in the record
+  bool recall_requested = false;       // its holder is to give it back
+  double handover_not_before = -1e18;  // not handed over before
+  MachineStatusUpdate holder_status;   // from its holder; as of
+  double holder_status_at = -1e18;
+
+  bool in_record = false;               // its entry is in the record, durable or not
+  bool record_durable = false;          // its entry in the record is durable
+  bool has_unconfirmed_starts = false;  // has a start that got no answer
+  bool has_pending_commands = false;  // has starts or stops that a worker may still have to be told
 
   double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;  // of its type
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
 
   // For how long its reports have arrived without showing the token that they were answered with.
-  double DeafFor(double now) const { return told_at > 0 ? now - told_at : 0; }
+  double TokenUnconfirmedFor(double now) const {
+    return token_unconfirmed_since > 0 ? now - token_unconfirmed_since : 0;
+  }
   // Whether (session, seq) is newer than what is known.
-  bool Newer(uint64_t s, uint64_t q) const {
-    return s >= least_session && (s > session || (s == session && q > seq));
+  bool IsNewer(uint64_t s, uint64_t q) const {
+    return s >= min_agent_epoch &&
+           (s > agent_epoch || (s == agent_epoch && q > heartbeat_sequence));
   }
   bool Fits(double c, double g, double m) const {
     constexpr double kSlack = 1e-6;
--- a/include/mosspath/cluster/types.h
+++ b/include/mosspath/cluster/machine_type_catalog.h
@@ -11,11 +11,11 @@
 
 namespace mosspath::cluster {
 
-class Types {
+class MachineTypeCatalog {
  public:
   void Set(std::vector<wire::MachineType> types) {
     for (auto& t : types) {
-      best_fetch_ = std::max(best_fetch_, t.fetch_gb_per_s);
+      fastest_fetch_gb_per_s_ = std::max(fastest_fetch_gb_per_s_, t.fetch_gb_per_s);
       types_[t.name] = std::move(t);
     }
   }
@@ -26,9 +26,9 @@
   bool empty() const { return types_.empty(); }
   const std::map<std::string, wire::MachineType>& all() const { return types_; }
   // GB a second of the type that fetches fastest; 0: not known.
-  double best_fetch() const { return best_fetch_; }
+  double fastest_fetch_gb_per_s() const { return fastest_fetch_gb_per_s_; }
   // The machine has what its type says, if that is known.
-  void Fit(Machine& m) const {
+  void ApplyTo(Machine& m) const {
     const auto* t = Find(m.type);
     if (t == nullptr) return;
     m.cpus = t->cpus;
@@ -40,7 +40,7 @@
 
  private:
   std::map<std::string, wire::MachineType> types_;
-  double best_fetch_ = 0;
+  double fastest_fetch_gb_per_s_ = 0;
 };
 
 }  // namespace mosspath::cluster
--- a/include/mosspath/cluster/team_use.h
+++ b/include/mosspath/cluster/quota_usage.h
@@ -12,24 +12,24 @@
 
 namespace mosspath::cluster {
 
-class TeamUse {
+class QuotaUsage {
  public:
-  explicit TeamUse(const std::vector<config::Team>& teams) : teams_(teams) {}
+  explicit QuotaUsage(const std::vector<config::Team>& teams) : teams_(teams) {}
 
   // An empty team: a task whose size nobody knows. While any is about, nothing is added to a team
   // with a limit.
   void Add(const std::string& team, double cpus, double gpus);
   void Remove(const std::string& team, double cpus, double gpus);
-  void Unknown() { ++unknown_; }
-  bool Unlimited(const std::string& team) const;
+  void AddUnknownTask() { ++unknown_tasks_; }
+  bool IsUnlimited(const std::string& team) const;
   // How many tasks of the job its team's limit allows more. `settled`: everything that may run of
   // earlier leaders is counted.
-  size_t Room(const jobs::Job& job, bool settled) const;
+  size_t Headroom(const jobs::Job& job, bool settled) const;
 
  private:
   const std::vector<config::Team> teams_;
-  std::map<std::string, std::pair<double, double>> use_;  // cpus, gpus
-  size_t unknown_ = 0;
+  std::map<std::string, std::pair<double, double>> usage_;  // cpus, gpus
+  size_t unknown_tasks_ = 0;
 };
 
 }  // namespace mosspath::cluster
--- a/include/mosspath/election/cancelled.h
+++ b/include/mosspath/election/cancellation_log.h
@@ -11,31 +11,31 @@
 #include <string>
 #include <utility>
 
-#include "mosspath/wire/vouch_frame.h"
+#include "mosspath/wire/promise_frame.h"
 
 namespace mosspath::election {
 
-class Cancelled {
+class CancellationLog {
  public:
   // Keeps at most so many ids: the latest.
-  explicit Cancelled(size_t most) : most_(most) {}
+  explicit CancellationLog(size_t most) : max_entries_(most) {}
 
   // The process before this one may have told of any cancellation up to this revision.
-  void MayHaveTold(uint64_t revision);
+  void AssumeReportedUpTo(uint64_t revision);
   // This one is durable since that revision, and may be told from now on.
-  void Known(const std::string& id, uint64_t revision);
+  void Add(const std::string& id, uint64_t revision);
 
   uint64_t newest() const { return newest_; }
   uint64_t listed_from() const { return listed_from_; }
   // For somebody who knows all up to `seen`: what came since, the earliest first, as many as an
   // answer may hold.
-  wire::CancelledPart Since(uint64_t seen) const;
+  wire::CancellationLogSlice Since(uint64_t seen) const;
 
  private:
-  const size_t most_;
+  const size_t max_entries_;
   uint64_t newest_ = 0;
   uint64_t listed_from_ = 0;
-  std::set<std::pair<uint64_t, std::string>> listed_;
+  std::set<std::pair<uint64_t, std::string>> entries_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -22,61 +22,64 @@
   };
 
   Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
-          const config::Derived& derived, std::string key, Handlers handlers);
+          const config::DerivedSettings& derived, std::string key, Handlers handlers);
 
   void Start();
   // The mirror's view of the leader key.
-  void KeyChanged(const kvstore::Event& e);
-  void KeyReset() { lead_.Reset(); }
+  void OnLeaderKey(const kvstore::Event& e);
+  void OnReset() { leadership_.Reset(); }
   // `fresh`: there is nothing in it, so nobody has led yet.
-  void MirrorLoaded(bool fresh);
+  void OnCacheLoaded(bool fresh);
   // The mirror holds all that was written before this moment, which is up to that revision.
-  void Seen(double as_of, uint64_t revision) { lead_.Seen(as_of, revision); }
+  void OnReadUpTo(double as_of, uint64_t revision) { leadership_.OnReadUpTo(as_of, revision); }
   // Taken over from who leads.
-  void Heard(double as_of) { lead_.Heard(as_of); }
+  void OnLeaderView(double as_of) { leadership_.OnLeaderView(as_of); }
 
   // Gives the leadership up at once, for another controller to take.
   void Resign(const char* why);
-  bool MayResign(double now) const { return lead_.MayResign(now); }
+  bool MayResign(double now) const { return leadership_.MayResign(now); }
 
   // See election::Leadership.
-  bool Entitled(double now) const { return lead_.Entitled(now); }
-  bool OutOfDate(double now) const { return lead_.OutOfDate(now); }
-  bool ViewFresh(double now) const { return lead_.ViewFresh(now); }
-  double view_age_s(double now) const { return lead_.view_age_s(now); }
-  std::optional<uint64_t> AskPeers(double now) { return lead_.Ask(client_.last_contact(), now); }
-  wire::VouchQuestion Question() const { return lead_.Question(); }
-  bool PeerAnswered(uint64_t round, const std::string& peer, const wire::VouchAnswer& answer,
-                    double now, std::vector<wire::CancelledPart::Entry>& learned) {
-    return lead_.Answered(round, peer, answer, now, learned);
+  bool MayAct(double now) const { return leadership_.MayAct(now); }
+  bool IsStale(double now) const { return leadership_.IsStale(now); }
+  bool ViewIsFresh(double now) const { return leadership_.ViewIsFresh(now); }
+  double view_age_s(double now) const { return leadership_.view_age_s(now); }
+  std::optional<uint64_t> BeginPromiseRound(double now) {
+    return leadership_.BeginPromiseRound(client_.last_contact(), now);
   }
-  Leadership::Promise Asked(const wire::VouchQuestion& question, double now);
-  uint64_t token() const { return lead_.token(); }
-  const std::string& leader() const { return lead_.leader(); }
+  wire::PromiseRequest MakePromiseRequest() const { return leadership_.MakePromiseRequest(); }
+  bool OnPromiseResponse(uint64_t round, const std::string& peer,
+                         const wire::PromiseResponse& answer, double now,
+                         std::vector<wire::CancellationLogSlice::Entry>& learned) {
+    return leadership_.OnPromiseResponse(round, peer, answer, now, learned);
+  }
+  Leadership::PromiseDecision OnPromiseRequest(const wire::PromiseRequest& question, double now);
+  uint64_t token() const { return leadership_.token(); }
+  const std::string& leader() const { return leadership_.leader(); }
   // The present leader's, as far as is known; 0: nobody leads.
-  uint64_t leader_token() const { return lead_.leader_token(); }
+  uint64_t leader_token() const { return leadership_.leader_token(); }
   // This node's, 0 while it has none.
-  uint64_t grant() const { return lead_.grant(); }
+  uint64_t store_lease() const { return leadership_.store_lease(); }
   const std::string& key() const { return key_; }
 
  private:
-  void Obtain();
-  void Renew();
-  void Consider();
+  void GrantStoreLease();
+  void RenewStoreLease();
+  void Evaluate();
   void Campaign(uint64_t version);
-  void Told(const Leadership::Lost& lost);
+  void HandleLoss(const Leadership::MaybeLoss& lost);
 
   kvstore::Client& client_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   const std::string node_;
   const std::string key_;
   Handlers handlers_;
   net::Timer renew_timer_;
   net::Timer campaign_timer_;
-  net::Timer look_timer_;
+  net::Timer evaluate_timer_;
   net::Backoff backoff_;
-  Leadership lead_;
-  bool logged_lapse_ = false;
+  Leadership leadership_;
+  bool lapse_logged_ = false;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/liveness.h
+++ b/include/mosspath/election/failure_detector.h
@@ -7,44 +7,46 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/wire/presence.h"
+#include "mosspath/wire/peer_heartbeat.h"
 
 namespace mosspath::election {
 
-class Liveness {
+class FailureDetector {
  public:
-  explicit Liveness(const config::Settings& settings);
+  explicit FailureDetector(const config::Settings& settings);
 
-  void Heard(const wire::Presence& p, double now);
+  void OnHeartbeat(const wire::PeerHeartbeat& p, double now);
   // This process did not run from then until now: nobody was silent for that.
-  void StoodStill(double from, double now);
+  void OnProcessStall(double from, double now);
 
   // Not heard of for several times as long as they are to be heard of; false for one never heard.
-  bool Silent(const std::string& node, double now) const;
+  bool IsSuspected(const std::string& node, double now) const;
   // The last time the state service answered any of the others, as far as they told.
   double state_contact() const { return state_contact_; }
   // All others were heard, and none is any more.
-  bool Deserted(double now) const;
+  bool IsIsolated(double now) const;
   // Whether users should be sent here, by when the state service last answered this controller; it
   // may fail to for `patience_s`. In an outage that everybody has, leaving the load balancer would
   // only delay the users after it. One that is refused alone leaves, since the others can serve;
   // and so does one that is cut off from the others too: it can't tell these apart, and kept
   // answering 503 to users that others would have served for as long as it had them and its
   // workers.
-  bool FitForUsers(double state_contact, double patience_s, double now) const;
-  std::vector<wire::Presence::Heard> HeardAgo(double now) const;
+  bool ShouldServeUsers(double state_contact, double patience_s, double now) const;
+  std::vector<wire::PeerHeartbeat::PeerContact> PeerContacts(double now) const;
   // All of them, this one by what it says of itself.
-  std::vector<wire::ControllerState> States(const wire::Presence& own, double now) const;
+  std::vector<wire::ControllerState> ControllerStates(const wire::PeerHeartbeat& own,
+                                                      double now) const;
 
   double interval_s() const { return interval_s_; }
 
  private:
   struct Peer {
     std::string zone;
-    double at = -1e18;
-    wire::Presence said;
+    double heard_at = -1e18;
+    wire::PeerHeartbeat heartbeat;
   };
-  void Lacks(const wire::Presence& p, double later_s, wire::ControllerState& out) const;
+  void AddUnreachable(const wire::PeerHeartbeat& p, double later_s,
+                      wire::ControllerState& out) const;
 
   const std::string node_;
   const std::string zone_;
--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -1,8 +1,8 @@
 // Who leads, as one controller knows it, and what it may do: campaign, lead, go on in an outage,
 // promise another not to lead, step down. Events and the time come in; what is to be done comes
-// out. Pure: the service (election/elector) and the simulation drive it. docs/design.md, rules 1, 2 and
-// 12, "State outages longer than a grant" and "The state service refuses the leader alone" say why
-// it is safe.
+// out. Pure: the service (election/elector) and the simulation drive it. docs/design.md, rules 1, 2
+// and 12, "State outages longer than a grant" and "The state service refuses the leader alone" say
+// why it is safe.
 //
 // Invariants: it leads only under the version that the leader key has, as far as the key was read;
 // it acts only while nobody else can lead, and on a view that holds all that users were told until
@@ -17,19 +17,19 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/election/reluctance.h"
-#include "mosspath/election/view.h"
-#include "mosspath/election/vouching.h"
-#include "mosspath/wire/vouch_frame.h"
+#include "mosspath/election/leadership_promises.h"
+#include "mosspath/election/resignation_backoff.h"
+#include "mosspath/election/staleness_bound.h"
+#include "mosspath/wire/promise_frame.h"
 
 namespace mosspath::election {
 
 // What the holder of a grant may assume of it. Pure.
-class GrantClock {
+class LeaseClock {
  public:
-  GrantClock(double life_s, double margin_s) : usable_s_(life_s - margin_s) {}
-  void Renewed(double sent) { until_ = std::max(until_, sent + usable_s_); }
-  void Lost() { until_ = -1e18; }
+  LeaseClock(double life_s, double margin_s) : usable_s_(life_s - margin_s) {}
+  void OnRenewed(double sent) { until_ = std::max(until_, sent + usable_s_); }
+  void OnLost() { until_ = -1e18; }
   // The service counts from when it got the renewal, which is after it was sent.
   bool Holds(double now) const { return now < until_; }
 
@@ -42,36 +42,36 @@
  public:
   // `settings.node` is this controller, `settings.peers` all others. All times are seconds on this
   // controller's steady clock.
-  Leadership(const config::Settings& settings, const config::Derived& derived, double now);
+  Leadership(const config::Settings& settings, const config::DerivedSettings& derived, double now);
 
   // The end of this controller's leadership, and why.
-  struct Loss {
+  struct LeadershipLoss {
     uint64_t token = 0;
-    const char* why = "";
+    const char* reason = "";
   };
-  using Lost = std::optional<Loss>;
+  using MaybeLoss = std::optional<LeadershipLoss>;
 
   // --- Its grant; `sent`: when the request left ---
-  void Granted(uint64_t grant, double sent);
-  void Renewed(double sent) { clock_.Renewed(sent); }
-  Lost GrantEnded();
+  void OnStoreLeaseGranted(uint64_t grant, double sent);
+  void OnStoreLeaseRenewed(double sent) { store_lease_clock_.OnRenewed(sent); }
+  MaybeLoss OnStoreLeaseEnded();
   // Commands nothing from now on, and lets others go first.
-  Lost Resign(const char* why, double now);
-  uint64_t grant() const { return grant_; }
-  bool GrantHolds(double now) const { return clock_.Holds(now); }
+  MaybeLoss Resign(const char* why, double now);
+  uint64_t store_lease() const { return store_lease_; }
+  bool StoreLeaseHolds(double now) const { return store_lease_clock_.Holds(now); }
 
   // --- The leader key, as it is read ---
-  struct Key {
+  struct LeaderKey {
     std::string node;
-    uint64_t grant = 0;
+    uint64_t store_lease = 0;
     uint64_t version = 0;  // 0: there is none
   };
   void Reset();  // what was read is void, and is read anew
-  Lost Read(const Key& key);
+  MaybeLoss OnLeaderKey(const LeaderKey& key);
   // The key and all else was read; `fresh`: there is nothing, so nobody has ever led.
-  Lost Loaded(bool fresh);
+  MaybeLoss OnLoaded(bool fresh);
   // All that was written before `as_of` is known, which is up to that revision.
-  void Seen(double as_of, uint64_t revision);
+  void OnReadUpTo(double as_of, uint64_t revision);
 
   // --- What to do now ---
   struct Step {
@@ -85,75 +85,80 @@
     uint64_t version = 0;
     double wait_s = 0;
   };
-  Step Next(double now);
+  Step NextStep(double now);
   // A campaign is under way, its outcome not yet read: no other begins.
-  void Campaigning(bool under_way) { campaigning_ = under_way; }
+  void SetCampaigning(bool under_way) { campaigning_ = under_way; }
   bool campaigning() const { return campaigning_; }
 
   // --- What it may do ---
   // Entitled to command workers at this moment.
-  bool Entitled(double now) const {
-    return token_ != 0 && view_.Fresh(now) && (clock_.Holds(now) || vouching_.Holds(now));
+  bool MayAct(double now) const {
+    return token_ != 0 && staleness_.IsFresh(now) &&
+           (store_lease_clock_.Holds(now) || promises_.Holds(now));
   }
   // It keeps its grant but hardly learns of changes, while others may: to resign for.
-  bool OutOfDate(double now) const { return token_ != 0 && clock_.Holds(now) && view_.Aging(now); }
-  bool MayResign(double now) const { return reluctance_.MayResign(now); }
+  bool IsStale(double now) const {
+    return token_ != 0 && store_lease_clock_.Holds(now) && staleness_.IsAging(now);
+  }
+  bool MayResign(double now) const { return resignation_backoff_.MayResign(now); }
   // Whether it may act on what it knows of the jobs, whoever leads.
-  bool ViewFresh(double now) const { return view_.Fresh(now); }
-  double view_age_s(double now) const { return view_.age_s(now); }
+  bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
+  double view_age_s(double now) const { return staleness_.age_s(now); }
   // Taken over from who leads (docs/blocks.md): all that was told before then is known.
-  void Heard(double as_of) { view_.Current(as_of); }
+  void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   uint64_t token() const { return token_; }  // 0: it does not lead
   // Who leads, as far as is known; 0: nobody.
-  const std::string& leader() const { return key_.node; }
-  uint64_t leader_token() const { return key_.version; }
+  const std::string& leader() const { return leader_key_.node; }
+  uint64_t leader_token() const { return leader_key_.version; }
 
   // --- While the state service is silent; `contact`: when it last answered a request, by when that
   // was sent ---
-  bool OutOfTouch(double contact, double now) const {
-    return now - contact > kOutOfTouch * derived_.renew_s;
+  bool IsDisconnected(double contact, double now) const {
+    return now - contact > kMissedRenewals * derived_.store_lease_renew_s;
   }
   // As the leader: the round of questions to send now, if any.
-  std::optional<uint64_t> Ask(double contact, double now);
-  wire::VouchQuestion Question() const { return {node_, token_, revision_}; }
+  std::optional<uint64_t> BeginPromiseRound(double contact, double now);
+  wire::PromiseRequest MakePromiseRequest() const { return {node_, token_, read_revision_}; }
   // A peer's answer. What it tells of must be ended here before anything else is done: from this
   // moment on the view counts it as known. False: such an answer can't be.
-  bool Answered(uint64_t round, const std::string& peer, const wire::VouchAnswer& answer,
-                double now, std::vector<wire::CancelledPart::Entry>& learned);
+  bool OnPromiseResponse(uint64_t round, const std::string& peer,
+                         const wire::PromiseResponse& answer, double now,
+                         std::vector<wire::CancellationLogSlice::Entry>& learned);
   // As a peer: whether it promises the leader of this token not to lead for a moment. A leader of
   // the past may learn here that it is one.
-  struct Promise {
+  struct PromiseDecision {
     bool promised = false;
-    bool understood = true;  // false: such a question can't be
-    Lost lost;
+    bool well_formed = true;  // false: such a question can't be
+    MaybeLoss loss;
   };
-  Promise Asked(const wire::VouchQuestion& question, double contact, double now);
+  PromiseDecision OnPromiseRequest(const wire::PromiseRequest& question, double contact,
+                                   double now);
 
  private:
-  static constexpr double kOutOfTouch = 1.5;  // renewals that went unanswered
+  static constexpr double kMissedRenewals = 1.5;  // renewals that went unanswered
 
-  Lost StepDown(const char* why);
+  MaybeLoss StepDown(const char* why);
   // Whether the state service can have come that far since it was read.
-  bool CanBe(uint64_t revision, double now) const;
+  bool IsPlausibleRevision(uint64_t revision, double now) const;
 
   const std::string node_;
   std::set<std::string> peers_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   const double most_revisions_per_s_;
-  GrantClock clock_;
-  Vouching vouching_;
-  Reluctance reluctance_;
-  View view_;
-  uint64_t grant_ = 0;
+  LeaseClock store_lease_clock_;
+  LeadershipPromises promises_;
+  ResignationBackoff resignation_backoff_;
+  StalenessBound staleness_;
+  uint64_t store_lease_ = 0;
   uint64_t token_ = 0;
-  Key key_;
-  uint64_t revision_ = 0;  // up to where all was read
-  double read_at_;         // when that was asked for
+  LeaderKey leader_key_;
+  uint64_t read_revision_ = 0;  // up to where all was read
+  double read_at_;              // when that was asked for
   bool loaded_ = false;
-  bool led_before_ = false;  // somebody has, and may go on by a promise
+  bool had_leader_before_ = false;  // somebody has, and may go on by a promise
   bool campaigning_ = false;
-  double hold_back_until_ = -1e18;    // after resigning
-  std::optional<double> free_since_;  // the key, while it holds back
+  double hold_back_until_ = -1e18;        // after resigning
+  std::optional<double> key_free_since_;  // the key, while it holds back
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/vouching.h
+++ b/include/mosspath/election/leadership_promises.h
@@ -12,9 +12,9 @@
 
 namespace mosspath::election {
 
-class Vouching {
+class LeadershipPromises {
  public:
-  Vouching(double promise_s, size_t peers) : promise_s_(promise_s), peers_(peers) {}
+  LeadershipPromises(double promise_s, size_t peers) : promise_s_(promise_s), peers_(peers) {}
 
   // --- As a peer ---
   // Called when this node may lead again only after whatever it has promised, or may have promised
@@ -24,23 +24,23 @@
 
   // --- As the leader ---
   // Begins a round of questions, sent at `now`.
-  uint64_t Ask(double now) {
-    asked_at_ = now;
+  uint64_t BeginRound(double now) {
+    round_began_at_ = now;
     promised_.clear();
     return ++round_;
   }
   // When the round was asked for, once all have promised.
-  std::optional<double> Promised(uint64_t round, const std::string& peer) {
+  std::optional<double> OnPromise(uint64_t round, const std::string& peer) {
     if (round != round_) return std::nullopt;
     promised_.insert(peer);
     // A promise counts from when the question was received, which is after it was sent.
     if (peers_ == 0 || promised_.size() != peers_) return std::nullopt;
-    until_ = std::max(until_, asked_at_ + promise_s_ * (1 - 4 * config::kDrift));
-    return asked_at_;
+    until_ = std::max(until_, round_began_at_ + promise_s_ * (1 - 4 * config::kMaxClockDrift));
+    return round_began_at_;
   }
   // Nobody else can lead now.
   bool Holds(double now) const { return now < until_; }
-  void Lost() {
+  void Invalidate() {
     until_ = -1e18;
     ++round_;
   }
@@ -49,7 +49,7 @@
   const double promise_s_;
   const size_t peers_;
   double promised_until_ = -1e18;
-  double asked_at_ = 0;
+  double round_began_at_ = 0;
   uint64_t round_ = 0;
   std::set<std::string> promised_;
   double until_ = -1e18;
--- a/include/mosspath/election/view.h
+++ b/include/mosspath/election/staleness_bound.h
@@ -6,18 +6,18 @@
 
 namespace mosspath::election {
 
-class View {
+class StalenessBound {
  public:
   // `most_s`: a view older than this (seconds) must not be acted on.
-  explicit View(double most_s) : most_s_(most_s) {}
+  explicit StalenessBound(double most_s) : most_s_(most_s) {}
 
   // Everything that anybody was told before this moment is known here. Moments may come in any
   // order.
-  void Current(double as_of) { as_of_ = std::max(as_of_, as_of); }
+  void AdvanceTo(double as_of) { as_of_ = std::max(as_of_, as_of); }
 
-  bool Fresh(double now) const { return now - as_of_ <= most_s_; }
+  bool IsFresh(double now) const { return now - as_of_ <= most_s_; }
   // Half of what is allowed is used up: somebody who sees more should act instead.
-  bool Aging(double now) const { return now - as_of_ > most_s_ / 2; }
+  bool IsAging(double now) const { return now - as_of_ > most_s_ / 2; }
   double age_s(double now) const { return now - as_of_; }
 
  private:
--- a/include/mosspath/jobs/directory.h
+++ b/include/mosspath/jobs/job_index.h
@@ -16,93 +16,93 @@
 #include <unordered_set>
 #include <vector>
 
-#include "mosspath/jobs/ledger.h"
-#include "mosspath/election/cancelled.h"
+#include "mosspath/election/cancellation_log.h"
+#include "mosspath/jobs/job_records.h"
 
 namespace mosspath::jobs {
 
 // Unsure: it can't be told now.
-enum class Known { kLive, kDone, kCancelled, kMissing, kUnsure };
+enum class JobStatus { kLive, kDone, kCancelled, kMissing, kUndetermined };
 
 // What a final record holds, for ever.
-wire::Json FinalRecord(Known end);
+wire::Json EncodeFinalRecord(JobStatus end);
 
-class Directory {
+class JobIndex {
  public:
-  struct Bounds {
+  struct Limits {
     size_t finals = 0;         // remembered; the others are read again
     size_t cancellations = 0;  // that peers can be told of
   };
   // The ledger's prefixes.
-  Directory(std::string single, std::string shared, const Bounds& bounds)
-      : bounds_(bounds),
-        cancelled_(bounds.cancellations),
-        ledger_(std::move(single), std::move(shared)) {}
+  JobIndex(std::string single, std::string shared, const Limits& bounds)
+      : limits_(bounds),
+        cancellations_(bounds.cancellations),
+        records_(std::move(single), std::move(shared)) {}
 
   // --- Records, as they are read. `read`: all that was written until that revision has been ---
   void Reset();  // what was read is void, and is read anew
   // Throws when the record can't be understood.
-  Ledger::Change Seen(const std::string& key, const wire::Json* value, uint64_t version);
-  void FinalSeen(const std::string& id, const wire::Json& value, uint64_t version);
-  void Loaded(uint64_t read) { ForgetAhead(read); }
+  JobRecords::Change OnRecord(const std::string& key, const wire::Json* value, uint64_t version);
+  void OnFinalRecord(const std::string& id, const wire::Json& value, uint64_t version);
+  void OnLoaded(uint64_t read) { ForgetCancelledAhead(read); }
 
   // --- What is known otherwise ---
   // Up to this revision, the process before this one may have told of cancellations.
-  void MayHaveTold(uint64_t revision) { cancelled_.MayHaveTold(revision); }
+  void AssumeReportedUpTo(uint64_t revision) { cancellations_.AssumeReportedUpTo(revision); }
   // Cancelled since that revision, which need not have been read yet. Its tasks must end now.
-  void LearnCancelled(const std::string& id, uint64_t revision, uint64_t read);
-  void Over(const std::string& id, Known end);
+  void OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read);
+  void OnEnded(const std::string& id, JobStatus end);
 
   // --- A question about a job ---
   // What needs no look: what is over stays over.
-  std::optional<Known> Remembered(const std::string& id) const;
+  std::optional<JobStatus> FindEnded(const std::string& id) const;
   // After a look that began after the question; none: its final record must be read.
-  std::optional<Known> AfterLook(const std::string& id) const;
+  std::optional<JobStatus> StatusAfterRead(const std::string& id) const;
   // What the read of its final record gave, after a look that had come up to `looked`; null: there
   // is none.
-  Known FinalRead(const std::string& id, const wire::Json* value, uint64_t version, uint64_t looked,
-                  uint64_t read);
+  JobStatus StatusFromFinalRecord(const std::string& id, const wire::Json* value, uint64_t version,
+                                  uint64_t looked, uint64_t read);
 
   // --- The end of a job ---
   // What is to be done to cancel a job of which this is known.
   struct CancelStep {
     enum class Kind {
-      kTell,    // `known`
-      kLook,    // again: its records have not been seen well enough
-      kCommit,  // `records`, and its final record, of which there must be none
+      kAnswer,     // `known`
+      kReadAgain,  // again: its records have not been seen well enough
+      kCommit,     // `records`, and its final record, of which there must be none
     };
-    Kind kind = Kind::kTell;
-    Known known = Known::kUnsure;
+    Kind kind = Kind::kAnswer;
+    JobStatus status = JobStatus::kUndetermined;
     std::vector<RecordChange> records;
   };
-  CancelStep Cancel(const std::string& id, Known known, uint64_t read) const;
+  CancelStep PlanCancellation(const std::string& id, JobStatus known, uint64_t read) const;
 
   // --- A submission ---
   // Known without a write: its user is told what a question would be.
-  bool Holds(const std::string& id) const {
-    return ledger_.Find(id) != nullptr || finals_.contains(id);
+  bool Contains(const std::string& id) const {
+    return records_.Find(id) != nullptr || ended_.contains(id);
   }
 
   // What may have been told of cancellations.
-  const election::Cancelled& cancelled() const { return cancelled_; }
+  const election::CancellationLog& cancellations() const { return cancellations_; }
   // A job that is accepted and, as far as is known, not over.
-  const Accepted* FindLive(const std::string& id) const {
-    return ahead_.contains(id) ? nullptr : ledger_.Find(id);
+  const AcceptedJob* FindLive(const std::string& id) const {
+    return cancelled_ahead_.contains(id) ? nullptr : records_.Find(id);
   }
-  void EachLive(const std::function<void(const std::string& id, const Accepted&)>& f) const;
-  const Ledger& ledger() const { return ledger_; }
+  void ForEachLive(const std::function<void(const std::string& id, const AcceptedJob&)>& f) const;
+  const JobRecords& records() const { return records_; }
 
  private:
-  void ForgetAhead(uint64_t read);
+  void ForgetCancelledAhead(uint64_t read);
 
-  const Bounds bounds_;
-  election::Cancelled cancelled_;
-  Ledger ledger_;
+  const Limits limits_;
+  election::CancellationLog cancellations_;
+  JobRecords records_;
   // Known to be cancelled since that revision, which was not read yet: whatever is read of them
   // before it, they are over. It may not even show yet that they were accepted.
-  std::unordered_map<std::string, uint64_t> ahead_;
-  std::unordered_map<std::string, Known> finals_;
-  std::deque<std::string> finals_order_;
+  std::unordered_map<std::string, uint64_t> cancelled_ahead_;
+  std::unordered_map<std::string, JobStatus> ended_;
+  std::deque<std::string> ended_order_;
   // Asked about, and certainly unknown: what is read would have told if they had come up since. So
   // users who ask for what nobody has submitted cost no read each time.
   std::unordered_set<std::string> missing_;
--- a/include/mosspath/jobs/ledger.h
+++ b/include/mosspath/jobs/job_records.h
@@ -24,7 +24,7 @@
 
 namespace mosspath::jobs {
 
-struct Accepted {
+struct AcceptedJob {
   wire::JobSpec spec;
   // The revision of its acceptance; the earliest, if there were several.
   uint64_t version = 0;
@@ -38,60 +38,60 @@
   std::optional<wire::Json> value;  // none: delete
 };
 
-class Ledger {
+class JobRecords {
  public:
   // Keys under `single` hold one job, named by the rest of the key; those under `shared` several.
-  Ledger(std::string single, std::string shared)
-      : single_(std::move(single)), shared_(std::move(shared)) {}
+  JobRecords(std::string single, std::string shared)
+      : single_prefix_(std::move(single)), batch_prefix_(std::move(shared)) {}
 
-  bool Holds(const std::string& key) const {
-    return key.starts_with(single_) || key.starts_with(shared_);
+  bool OwnsKey(const std::string& key) const {
+    return key.starts_with(single_prefix_) || key.starts_with(batch_prefix_);
   }
   void Clear();
   struct Change {
-    std::vector<std::string> came;
+    std::vector<std::string> accepted;
     std::vector<std::string> ended;
   };
   // A record as the state service has it now; none: it is gone. Throws if it can't be understood,
   // and then nothing is changed.
-  Change Seen(const std::string& key, const wire::Json* value, uint64_t version);
+  Change OnRecord(const std::string& key, const wire::Json* value, uint64_t version);
 
-  const Accepted* Find(const std::string& id) const;
-  const std::unordered_map<std::string, Accepted>& live() const { return live_; }
+  const AcceptedJob* Find(const std::string& id) const;
+  const std::unordered_map<std::string, AcceptedJob>& live() const { return live_; }
   // 0: there is no such record.
   uint64_t VersionOf(const std::string& key) const;
   // The records that must change for these jobs to be over; none for jobs that are not live, or not
   // seen well enough yet. `revision`: all that was written until then has been seen.
-  std::vector<RecordChange> End(const std::vector<std::string>& ids, uint64_t revision) const;
+  std::vector<RecordChange> PlanEnd(const std::vector<std::string>& ids, uint64_t revision) const;
   // Records that nothing live is left in, and homes of jobs that are over: at most so many.
-  std::vector<RecordChange> Tidy(uint64_t revision, size_t most) const;
+  std::vector<RecordChange> PlanCleanup(uint64_t revision, size_t most) const;
 
   // What is written for jobs that are accepted together.
-  static wire::Json Entry(const wire::JobSpec& spec, double at_wall_s);
-  static wire::Json Shared(std::vector<wire::Json> entries);
+  static wire::Json EncodeEntry(const wire::JobSpec& spec, double at_wall_s);
+  static wire::Json EncodeBatch(std::vector<wire::Json> entries);
 
  private:
   struct Record {
     uint64_t version = 0;
-    uint64_t born = 0;
+    uint64_t created_at_revision = 0;
     std::vector<std::string> jobs;
-    std::vector<std::string> over;
+    std::vector<std::string> ended;
   };
-  struct Standing {
-    std::vector<std::string> homes;
-    std::vector<std::string> over_in;
+  struct JobHomes {
+    std::vector<std::string> records;
+    std::vector<std::string> ended_in;
   };
   Record Parse(const std::string& key, const wire::Json& value, uint64_t version,
-               std::vector<Accepted>& accepted) const;
+               std::vector<AcceptedJob>& accepted) const;
   bool MayForget(const Record& r, const std::string& id, uint64_t revision) const;
   wire::Json Render(const Record& r, const std::vector<std::string>& ended,
                     uint64_t revision) const;
 
-  const std::string single_;
-  const std::string shared_;
+  const std::string single_prefix_;
+  const std::string batch_prefix_;
   std::unordered_map<std::string, Record> records_;
-  std::unordered_map<std::string, Standing> standing_;
-  std::unordered_map<std::string, Accepted> live_;
+  std::unordered_map<std::string, JobHomes> homes_;
+  std::unordered_map<std::string, AcceptedJob> live_;
 };
 
 }  // namespace mosspath::jobs
--- a/include/mosspath/jobs/task_set.h
+++ b/include/mosspath/jobs/task_set.h
@@ -17,7 +17,7 @@
   void insert(uint32_t index) { size_ += bits_.addChecked(index) ? 1 : 0; }
   void erase(uint32_t index) { size_ -= bits_.removeChecked(index) ? 1 : 0; }
   // All below `n`.
-  void Fill(uint32_t n) {
+  void FillUpTo(uint32_t n) {
     bits_.addRange(0, n);
     bits_.runOptimize();
     size_ = n;
--- a/include/mosspath/kvstore/packed_map.h
+++ b/include/mosspath/kvstore/packed_map.h
@@ -15,14 +15,14 @@
 
 class PackedMap {
  public:
-  struct Written {
+  struct PackWrite {
     int pack = 0;
     uint64_t version = 0;  // that the stored pack must still have: a late write of ours must fail
     wire::Json value;
-    size_t bytes = 0;  // about, as text
+    size_t size_bytes = 0;  // about, as text
   };
 
-  explicit PackedMap(size_t pack_bytes) : limit_(pack_bytes) {}
+  explicit PackedMap(size_t pack_bytes) : pack_bytes_limit_(pack_bytes) {}
 
   // Takes over a pack as read from the state service.
   void Load(int pack, const wire::Json& value, uint64_t version);
@@ -34,29 +34,29 @@
   void Erase(const std::string& item, bool lazily);
   // The item's pack is to be written again as it is.
   void Touch(const std::string& item);
-  bool Has(const std::string& item) const { return where_.contains(item); }
+  bool Has(const std::string& item) const { return pack_of_item_.contains(item); }
   // The pack that holds the item, or -1.
   int PackOf(const std::string& item) const;
 
   bool dirty() const { return !dirty_.empty(); }
   // Packs that need writing, up to `most` and about `bytes` in all, one at least; they count as
   // clean until MarkDirty.
-  std::vector<Written> TakeDirty(size_t most, size_t bytes);
+  std::vector<PackWrite> TakeDirty(size_t most, size_t bytes);
   void MarkDirty(int pack) { dirty_.insert(pack); }
   // The stored pack is known to have this version.
-  void Seen(int pack, uint64_t version);
+  void OnPackVersion(int pack, uint64_t version);
 
  private:
   struct Pack {
     std::map<std::string, wire::Json> items;
-    size_t bytes = 2;
+    size_t size_bytes = 2;
     uint64_t version = 0;
   };
   static size_t Cost(const std::string& item, const wire::Json& value);
 
-  size_t limit_;
+  size_t pack_bytes_limit_;
   std::map<int, Pack> packs_;
-  std::map<std::string, int> where_;
+  std::map<std::string, int> pack_of_item_;
   std::set<int> dirty_;
   int next_ = 0;
 };
--- a/include/mosspath/kvstore/mirror.h
+++ b/include/mosspath/kvstore/watch_cache.h
@@ -9,7 +9,7 @@
 
 namespace mosspath::kvstore {
 
-class Mirror {
+class WatchCache {
  public:
   struct Handlers {
     std::function<void()> reset;  // everything known is void; a full load follows
@@ -20,8 +20,8 @@
     std::function<void(double as_of)> current;
   };
 
-  Mirror(asio::io_context& io, Client& client, const config::Derived& derived, std::string loaded,
-         std::string followed, Handlers handlers);
+  WatchCache(asio::io_context& io, Client& client, const config::DerivedSettings& derived,
+             std::string loaded, std::string followed, Handlers handlers);
 
   void Start();
   bool loaded() const { return loaded_; }
@@ -36,11 +36,11 @@
   void LoadPage(const std::string& after);
   void Follow();
   // `asked`: when the log was asked for.
-  bool Apply(const Log& log, double asked);
-  void Read();
+  bool ApplyEvents(const WatchResult& log, double asked);
+  void ReadNow();
 
   Client& client_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   const std::string loaded_prefix_;
   const std::string followed_prefix_;
   Handlers handlers_;
--- a/include/mosspath/net/http_client.h
+++ b/include/mosspath/net/http_client.h
@@ -28,7 +28,7 @@
     size_t max_queue = 256;
     size_t max_answer = 8u << 20;
     std::shared_ptr<SocketBudget> sockets = {};  // none: not counted
-    Party party = Party::kOutside;
+    ConnectionClass connection_class = ConnectionClass::kOutbound;
   };
   using Callback = std::function<void(HttpResult)>;
   // Asked right before a request leaves; false: it is not sent after all.
--- a/include/mosspath/net/http_server.h
+++ b/include/mosspath/net/http_server.h
@@ -20,27 +20,28 @@
   std::string body;
 };
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 200;
   std::string body;
   double retry_after_s = 0;  // 0: none
   std::string content_type = "application/json";
-  Party party = Party::kNew;  // whom it is for
-  bool close = false;         // nothing more is expected over this connection
-  double idle_s = 0;          // closed when nothing comes for so long; 0: as the options say
+  ConnectionClass connection_class = ConnectionClass::kUnidentified;  // whom it is for
+  bool close = false;  // nothing more is expected over this connection
+  double idle_s = 0;   // closed when nothing comes for so long; 0: as the options say
 };
 
 class HttpServer {
  public:
   struct Options {
     std::shared_ptr<SocketBudget> sockets;  // none: one of its own
-    Party party = Party::kNew;              // who connects here, as far as the address tells
+    ConnectionClass connection_class =
+        ConnectionClass::kUnidentified;  // who connects here, as far as the address tells
     size_t max_body = 64u << 10;
     size_t max_head = 8u << 10;
     double idle_s = 90;     // between requests
     double request_s = 10;  // for a request to arrive, and for an answer to leave
   };
-  using Responder = std::function<void(HttpAnswer)>;
+  using Responder = std::function<void(HttpResponse)>;
   // Must call the responder once, at once or later.
   using Handler = std::function<void(HttpRequest, Responder)>;
 
--- a/include/mosspath/net/understood.h
+++ b/include/mosspath/net/malformed_message.h
@@ -11,20 +11,20 @@
 // Told of each, with whom it came from and what it answers.
 using OnMalformed = std::function<void(const char* from, const char* what)>;
 
-inline void Malformed(const char* from, const char* what, const char* why,
-                      const OnMalformed& told) {
+inline void ReportMalformed(const char* from, const char* what, const char* why,
+                            const OnMalformed& told) {
   spdlog::error("{}: malformed {}: {}", from, what, why);
   if (told) told(from, what);
 }
 
 // Runs what reads a message; false when it throws.
 template <typename F>
-bool Understood(const char* from, const char* what, const OnMalformed& told, F read) {
+bool TryRead(const char* from, const char* what, const OnMalformed& told, F read) {
   try {
     read();
     return true;
   } catch (const std::exception& e) {
-    Malformed(from, what, e.what(), told);
+    ReportMalformed(from, what, e.what(), told);
     return false;
   }
 }
--- a/include/mosspath/net/rate.h
+++ b/include/mosspath/net/rate_limit.h
@@ -6,9 +6,9 @@
 namespace mosspath::net {
 
 // A token bucket.
-class RateBudget {
+class TokenBucket {
  public:
-  RateBudget(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
+  TokenBucket(double per_second, double burst) : rate_(per_second), burst_(burst), level_(burst) {}
 
   bool TryTake(double now, double amount = 1) {
     Refill(now);
@@ -17,7 +17,7 @@
     return true;
   }
   // Seconds until `amount` can be taken.
-  double Wait(double now, double amount = 1) {
+  double DelayFor(double now, double amount = 1) {
     Refill(now);
     return std::max(0.0, (std::min(amount, burst_) - level_) / rate_);
   }
--- a/include/mosspath/net/socket_budget.h
+++ b/include/mosspath/net/socket_budget.h
@@ -12,16 +12,16 @@
 
 namespace mosspath::net {
 
-enum class Party {
-  kNew,      // accepted, and has not said yet who it is
-  kUser,     // users, probes, readers of the status page
-  kWorker,   // reports
-  kPeer,     // other controllers and operators
-  kOrder,    // straight to workers
-  kOutside,  // to the state service, the cloud and other controllers
+enum class ConnectionClass {
+  kUnidentified,  // accepted, and has not said yet who it is
+  kUser,          // users, probes, readers of the status page
+  kAgent,         // reports
+  kPeer,          // other controllers and operators
+  kCommand,       // straight to workers
+  kOutbound,      // to the state service, the cloud and other controllers
 };
-inline constexpr size_t kParties = 6;
-const char* Name(Party p);
+inline constexpr size_t kConnectionClasses = 6;
+const char* Name(ConnectionClass p);
 
 class SocketBudget {
  public:
@@ -29,24 +29,25 @@
   explicit SocketBudget(size_t sockets);
 
   // One more for this party; false: it has its share, which is counted.
-  bool Take(Party p);
-  void Give(Party p);
+  bool Acquire(ConnectionClass p);
+  void Release(ConnectionClass p);
   // A connection that was accepted has said who it is.
-  void Change(Party from, Party to);
+  void Reclassify(ConnectionClass from, ConnectionClass to);
   // Whether a connection of this party may stay open between requests. Asked once it was answered;
   // if not, the other side is told so with the answer and comes back at its own pace.
-  bool MayStay(Party p);
+  bool MayKeepAlive(ConnectionClass p);
 
-  size_t used(Party p) const { return used_[Index(p)]; }
+  size_t used(ConnectionClass p) const { return used_[Index(p)]; }
   // How many the party may have; those who are accepted on the public address share one limit.
-  size_t limit(Party p) const;
-  uint64_t refused(Party p) const { return refused_[Index(p)]; }
-  uint64_t sent_off(Party p) const { return sent_off_[Index(p)]; }
+  size_t limit(ConnectionClass p) const;
+  uint64_t refused(ConnectionClass p) const { return refused_[Index(p)]; }
+  uint64_t closed_after_answer(ConnectionClass p) const { return closed_after_answer_[Index(p)]; }
 
  private:
-  static constexpr size_t Index(Party p) { return static_cast<size_t>(p); }
-  static bool IsPublic(Party p) {
-    return p == Party::kNew || p == Party::kUser || p == Party::kWorker;
+  static constexpr size_t Index(ConnectionClass p) { return static_cast<size_t>(p); }
+  static bool IsPublic(ConnectionClass p) {
+    return p == ConnectionClass::kUnidentified || p == ConnectionClass::kUser ||
+           p == ConnectionClass::kAgent;
   }
   size_t public_used() const;
 
@@ -56,9 +57,9 @@
   const size_t public_;
   const size_t workers_stay_;
   const size_t users_stay_;
-  std::array<size_t, kParties> used_{};
-  std::array<uint64_t, kParties> refused_{};
-  std::array<uint64_t, kParties> sent_off_{};
+  std::array<size_t, kConnectionClasses> used_{};
+  std::array<uint64_t, kConnectionClasses> refused_{};
+  std::array<uint64_t, kConnectionClasses> closed_after_answer_{};
 };
 
 }  // namespace mosspath::net
--- a/include/mosspath/net/stall_watch.h
+++ b/include/mosspath/net/stall_detector.h
@@ -12,11 +12,11 @@
 namespace mosspath::net {
 
 // Pure: compares the turns of the loop with the clock.
-class TurnClock {
+class LoopClock {
  public:
-  TurnClock(double turn_s, double now) : most_s_(kTurns * turn_s), last_(now) {}
+  LoopClock(double turn_s, double now) : most_s_(kTurns * turn_s), last_(now) {}
   // When the process stopped running, if it just did for long.
-  std::optional<double> Turn(double now) {
+  std::optional<double> OnTurn(double now) {
     const double last = std::exchange(last_, now);
     return now - last > most_s_ ? std::optional(last) : std::nullopt;
   }
@@ -27,27 +27,27 @@
   double last_;
 };
 
-class StallWatch {
+class StallDetector {
  public:
   using OnStall = std::function<void(double from, double now)>;
 
-  StallWatch(asio::io_context& io, double turn_s, OnStall on_stall)
+  StallDetector(asio::io_context& io, double turn_s, OnStall on_stall)
       : turn_s_(turn_s), clock_(turn_s, Now()), on_stall_(std::move(on_stall)), timer_(io) {}
 
   void Start() {
     timer_.After(turn_s_, [this] { Start(); });
-    Look();
+    Check();
   }
   // Also called by duties before they conclude anything from the time: after a stall they may be
   // due before the watch is.
-  void Look() {
+  void Check() {
     const double now = Now();
-    if (const auto from = clock_.Turn(now)) on_stall_(*from, now);
+    if (const auto from = clock_.OnTurn(now)) on_stall_(*from, now);
   }
 
  private:
   const double turn_s_;
-  TurnClock clock_;
+  LoopClock clock_;
   OnStall on_stall_;
   Timer timer_;
 };
--- a/include/mosspath/scheduler/reserve.h
+++ b/include/mosspath/scheduler/capacity_reservation.h
@@ -8,51 +8,51 @@
 
 #include <deque>
 
+#include "mosspath/cluster/machine.h"
+#include "mosspath/cluster/machine_type_catalog.h"
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/cluster/machine.h"
-#include "mosspath/cluster/types.h"
 
 namespace mosspath::scheduler {
 
-class Reserve {
+class CapacityReservation {
  public:
   // Whether room is kept for such jobs.
-  static bool For(const wire::JobSpec& spec) {
-    return !spec.spot && spec.rank >= wire::Rank::kHigh;
+  static bool AppliesTo(const wire::JobSpec& spec) {
+    return !spec.spot_allowed && spec.priority >= wire::Priority::kHigh;
   }
   // Boot times over which arrivals count.
-  void Apply(double boots) { boots_ = boots; }
+  void SetBootTimes(double boots) { boot_times_ = boots; }
   // A job was submitted then.
-  void Came(const wire::JobSpec& spec, double submitted);
+  void OnSubmitted(const wire::JobSpec& spec, double submitted);
   // CPUs, and the memory in GB of as many tasks.
-  struct Size {
+  struct Resources {
     double cpus = 0;
     double memory_gb = 0;
   };
-  Size Kept(double now, const cluster::Types& types);
+  Resources Reserved(double now, const cluster::MachineTypeCatalog& types);
 
   // --- Through one pass of placing ---
-  void Begin(double now, const cluster::Types& types) {
-    kept_ = Kept(now, types);
+  void BeginPass(double now, const cluster::MachineTypeCatalog& types) {
+    reserved_ = Reserved(now, types);
     free_ = {};
   }
   // A machine that takes new work.
-  void Add(const cluster::Machine& m);
+  void AddMachine(const cluster::Machine& m);
   // Whether a task may take its room on the machine.
   bool MayTake(const wire::JobSpec& spec, const cluster::Machine& m) const;
   // It did. Or, negative, room came free.
-  void Took(const wire::JobSpec& spec, const cluster::Machine& m);
+  void OnAllocated(const wire::JobSpec& spec, const cluster::Machine& m);
 
  private:
   struct Arrival {
     double at = 0;
-    Size size;
+    Resources size;
   };
-  double boots_ = config::OperatorSettings().ordinary_boots;
+  double boot_times_ = config::OperatorSettings().ordinary_boots;
   std::deque<Arrival> arrivals_;
-  Size kept_;
-  Size free_;  // on ordinary machines
+  Resources reserved_;
+  Resources free_;  // on ordinary machines
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/turns.h
+++ b/include/mosspath/scheduler/fair_share.h
@@ -26,42 +26,44 @@
 
 namespace mosspath::scheduler {
 
-class Turns {
+class FairShare {
  public:
-  explicit Turns(const std::vector<config::Team>& teams) : teams_(teams) {}
+  explicit FairShare(const std::vector<config::Team>& teams) : teams_(teams) {}
 
   // `share`: of the pool, for the turns of all teams, and again of what a team has for those of its
   // classes; 0: no turns. `weights`: of a team ("name") or of a class ("name/class"), 1 if not
   // named; 0: no turns.
-  void Apply(double share, std::map<std::string, double> weights) {
+  void Configure(double share, std::map<std::string, double> weights) {
     share_ = share;
     weights_ = std::move(weights);
   }
 
   // Anew from what is there. `startable`: jobs with tasks that may start now.
-  void Begin(double pool_cpus);
-  void Add(const jobs::Job& job, bool startable);
-  void Settle();
+  void BeginPass(double pool_cpus);
+  void AddJob(const jobs::Job& job, bool startable);
+  void ComputeFloors();
 
   // CPUs that the job's team or class may have ahead of others.
-  double Owed(const jobs::Job& job) const;
-  bool AnyOwed() const { return any_owed_; }
+  double DeficitCpus(const jobs::Job& job) const;
+  bool has_deficit() const { return has_deficit_; }
   // A task of the job was placed.
-  void Took(const jobs::Job& job, double cpus);
+  void OnAllocated(const jobs::Job& job, double cpus);
   // One of its tasks is to be stopped for another's; false: its team or class would then be below
   // what it is to have.
-  bool MayStop(const jobs::Job& job, double cpus) const;
-  void Stopped(const jobs::Job& job, double cpus) { Took(job, -cpus); }
+  bool MayPreempt(const jobs::Job& job, double cpus) const;
+  void OnPreempted(const jobs::Job& job, double cpus) { OnAllocated(job, -cpus); }
 
  private:
   struct Group {
-    double floor = 0;
-    double use = 0;
-    double left = 0;  // that its unfinished tasks would take
-    double waiting = 0;
-    double Owed() const { return waiting > 0 && use < floor ? floor - use : 0; }
+    double floor_cpus = 0;
+    double used_cpus = 0;
+    double unfinished_cpus = 0;  // that its unfinished tasks would take
+    double waiting_cpus = 0;
+    double DeficitCpus() const {
+      return waiting_cpus > 0 && used_cpus < floor_cpus ? floor_cpus - used_cpus : 0;
+    }
   };
-  using ClassOf = std::pair<std::string, std::string>;  // team, class
+  using ClassKey = std::pair<std::string, std::string>;  // team, class
 
   double Weight(const std::string& name) const;
 
@@ -69,9 +71,9 @@
   std::map<std::string, double> weights_;
   double share_ = 0;
   double pool_cpus_ = 0;
-  std::map<std::string, Group> team_;
-  std::map<ClassOf, Group> class_;
-  bool any_owed_ = false;
+  std::map<std::string, Group> team_groups_;
+  std::map<ClassKey, Group> class_groups_;
+  bool has_deficit_ = false;
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/locality.h
+++ b/include/mosspath/scheduler/locality.h
@@ -7,7 +7,7 @@
 
 namespace mosspath::scheduler {
 
-struct Policy {
+struct LocalityPolicy {
   double gamma = 1.5;     // a machine may hold up to gamma/M of the block's layer bytes
   double epsilon = 1e-3;  // weight of the disk share in the score
 };
@@ -20,26 +20,26 @@
   bool has_room = false;
 };
 
-inline constexpr size_t kNone = static_cast<size_t>(-1);
+inline constexpr size_t kNoMachine = static_cast<size_t>(-1);
 
 // The best machine for one task, or kNone when none has room. `pool_gb` is the layer bytes of the
 // whole block and `block_size` its number of machines (M).
-size_t Best(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
-            const Policy& policy);
+size_t BestMachine(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
+                   const LocalityPolicy& policy);
 
 // The choices that Best makes for one task after another of an image, at one pass over the machines
 // and little per task.
-class Picker {
+class LocalityPicker {
  public:
-  Picker(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
-         const Policy& policy);
+  LocalityPicker(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
+                 const LocalityPolicy& policy);
 
   // The best machine now, or kNone when none has room.
   size_t Best();
   // The machine that Best gave took a task: it holds the image now, `held_gb` in all.
-  void Placed(double held_gb, bool has_room);
+  void OnPlaced(double held_gb, bool has_room);
   // The machine that Best gave can take none.
-  void Drop();
+  void DropBest();
 
  private:
   // Machines that lack the same: the one that holds least is the best of them, and when it doesn't
@@ -53,11 +53,12 @@
   double chosen_ = 0;               // the group of the machine that Best gave
   double pool_gb_;
   const double cap_;
-  const Policy policy_;
+  const LocalityPolicy policy_;
 };
 
 // Machines for `replicas` replicas of a service: the best ones, distinct while they last.
-std::vector<size_t> BestDistinct(const std::vector<Candidate>& candidates, size_t replicas,
-                                 double pool_gb, size_t block_size, const Policy& policy);
+std::vector<size_t> BestDistinctMachines(const std::vector<Candidate>& candidates, size_t replicas,
+                                         double pool_gb, size_t block_size,
+                                         const LocalityPolicy& policy);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/strays.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -14,40 +14,40 @@
 #include <utility>
 #include <vector>
 
+#include "mosspath/cluster/cluster_state.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/cluster/picture.h"
 
 namespace mosspath::scheduler {
 
-class Strays {
+class UnconfirmedStarts {
  public:
-  struct Start {
+  struct UnconfirmedStart {
     std::string machine;  // that was meant
     std::string address;  // where the order went
     uint64_t token = 0;   // that it was given under
-    double sent = 0;
+    double sent_at = 0;
   };
 
-  explicit Strays(const config::Settings& settings);
+  explicit UnconfirmedStarts(const config::Settings& settings);
 
-  void Add(const wire::TaskId& task, Start start) { starts_[task] = std::move(start); }
+  void Add(const wire::TaskId& task, UnconfirmedStart start) { starts_[task] = std::move(start); }
   void Forget(const wire::TaskId& task) { starts_.erase(task); }
   bool empty() const { return starts_.empty(); }
   // A whole list of machines, asked for at `asked`.
-  void Listed(const std::vector<wire::ListedMachine>& listed, double asked);
+  void OnMachineList(const std::vector<wire::ListedMachine>& listed, double asked);
   // Tasks that no other machine can have, which are forgotten here. Machines that must show a
   // higher token for others go to `doubted`.
-  std::vector<wire::TaskId> RuledOut(const cluster::Picture& picture,
-                                     std::set<std::string>& doubted);
+  std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& picture,
+                                         std::set<std::string>& doubted);
 
  private:
-  bool Possible(const Start& start, const cluster::Picture& picture,
-                std::set<std::string>& doubted) const;
+  bool MayHaveRunElsewhere(const UnconfirmedStart& start, const cluster::ClusterState& picture,
+                           std::set<std::string>& doubted) const;
 
   const double list_lag_s_;
-  std::map<wire::TaskId, Start> starts_;
-  double asked_ = -1e18;                                    // for the last list
-  std::vector<std::pair<std::string, std::string>> where_;  // in it: address, machine
+  std::map<wire::TaskId, UnconfirmedStart> starts_;
+  double list_requested_at_ = -1e18;                                  // for the last list
+  std::vector<std::pair<std::string, std::string>> listed_machines_;  // in it: address, machine
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/service/cloud.h
+++ b/include/mosspath/service/cloud_client.h
@@ -7,28 +7,28 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
-#include "mosspath/net/rate.h"
-#include "mosspath/net/understood.h"
+#include "mosspath/net/malformed_message.h"
+#include "mosspath/net/rate_limit.h"
 #include "mosspath/wire/json.h"
 
 namespace mosspath::service {
 
 class CloudClient {
  public:
-  enum class Outcome { kDone, kNoCapacity, kRefused, kUnsure };
+  enum class Outcome { kDone, kNoCapacity, kRefused, kUndetermined };
 
-  CloudClient(asio::io_context& io, const config::Settings& s, const config::Derived& d,
+  CloudClient(asio::io_context& io, const config::Settings& s, const config::DerivedSettings& d,
               std::shared_ptr<net::SocketBudget> sockets);
 
   // When a request was last answered.
   double last_contact() const { return last_contact_; }
-  bool MayAsk() { return budget_.Wait(net_now()) <= 0; }
-  void Types(std::function<void(bool, std::vector<wire::MachineType>)> done);
+  bool MayRequest() { return budget_.DelayFor(net_now()) <= 0; }
+  void ListMachineTypes(std::function<void(bool, std::vector<wire::MachineType>)> done);
   void Rent(const wire::RentRequest& r, std::function<void(Outcome, std::vector<std::string>)> done,
             net::HttpClient::StillWanted still_wanted);
   void Delete(const std::vector<std::string>& machines, std::function<void(Outcome)> done,
               net::HttpClient::StillWanted still_wanted);
-  void List(const std::string& after, std::function<void(bool, wire::MachinePage)> done);
+  void ListMachines(const std::string& after, std::function<void(bool, wire::MachinePage)> done);
 
   net::OnMalformed on_malformed;
 
@@ -38,9 +38,9 @@
             std::function<void(int, wire::Json)> done,
             net::HttpClient::StillWanted still_wanted = {});
 
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   net::HttpClient http_;
-  net::RateBudget budget_;
+  net::TokenBucket budget_;
   double last_contact_ = -1e9;
 };
 
--- a/include/mosspath/service/order_links.h
+++ b/include/mosspath/service/command_client.h
@@ -10,27 +10,27 @@
 #include <unordered_map>
 
 #include "mosspath/net/http_client.h"
+#include "mosspath/net/malformed_message.h"
 #include "mosspath/net/socket_budget.h"
-#include "mosspath/net/understood.h"
-#include "mosspath/scheduler/orders.h"
+#include "mosspath/scheduler/command_batch.h"
 #include "mosspath/wire/messages.h"
 
 namespace mosspath::service {
 
-class OrderLinks {
+class CommandClient {
  public:
-  OrderLinks(asio::io_context& io, std::shared_ptr<net::SocketBudget> sockets)
+  CommandClient(asio::io_context& io, std::shared_ptr<net::SocketBudget> sockets)
       : io_(io), sockets_(std::move(sockets)) {}
 
   // How many orders can leave now.
-  size_t Room() const;
+  size_t Capacity() const;
   // The link to a machine. Owned here, valid until the next call; null: its address is unusable.
-  net::HttpClient* To(const std::string& machine, const std::string& address);
+  net::HttpClient* ClientFor(const std::string& machine, const std::string& address);
   // Sends the order, and tells what became of it with the worker's report; null: it never left.
-  using Done = std::function<void(const scheduler::DirectOrder&, scheduler::DirectOutcome,
-                                  const wire::Report* report)>;
-  void Send(scheduler::DirectOrder order, double timeout_s, net::OnMalformed on_malformed, Done done,
-            net::HttpClient::StillWanted still_wanted);
+  using Done = std::function<void(const scheduler::CommandBatch&, scheduler::CommandOutcome,
+                                  const wire::Heartbeat* report)>;
+  void Send(scheduler::CommandBatch order, double timeout_s, net::OnMalformed on_malformed,
+            Done done, net::HttpClient::StillWanted still_wanted);
   // Ends the links that `gone` says are of no use any more.
   template <typename F>
   void Forget(F gone) {
--- a/include/mosspath/service/type_keeper.h
+++ b/include/mosspath/service/machine_type_cache.h
@@ -8,19 +8,19 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/election/elector.h"
-#include "mosspath/net/timer.h"
-#include "mosspath/service/cloud.h"
 #include "mosspath/kvstore/client.h"
+#include "mosspath/net/timer.h"
+#include "mosspath/service/cloud_client.h"
 
 namespace mosspath::service {
 
-class TypeKeeper {
+class MachineTypeCache {
  public:
   using Types = std::vector<wire::MachineType>;
 
-  TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
-             const election::Elector& elector, const config::Derived& derived,
-             std::function<void(const Types&)> learned);
+  MachineTypeCache(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
+                   const election::Elector& elector, const config::DerivedSettings& derived,
+                   std::function<void(const Types&)> learned);
 
   const Types& types() const { return types_; }
   bool empty() const { return types_.empty(); }
@@ -28,7 +28,7 @@
   void Fetch();
   void OnKey(const kvstore::Event& e);
   // As the cloud told; a leader publishes it.
-  void Told(const Types& types);
+  void OnCloudTypes(const Types& types);
 
  private:
   void Learn(const Types& types);
@@ -36,7 +36,7 @@
   kvstore::Client& state_;
   CloudClient& cloud_;
   const election::Elector& elector_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   const std::function<void(const Types&)> learned_;
   Types types_;
   std::string published_;
--- a/include/mosspath/service/metrics.h
+++ b/include/mosspath/service/metrics.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <utility>
 
-#include "mosspath/wire/digest.h"
+#include "mosspath/wire/status_snapshot.h"
 
 namespace mosspath::service {
 
@@ -21,12 +21,12 @@
   enum class Route { kSubmit, kGet, kCancel, kReport, kOther };
 
   Metrics();
-  void Answered(Route route, int status, double seconds);
+  void OnAnswered(Route route, int status, double seconds);
   // A message of an outside system or a peer that could not be understood.
-  void Malformed(const char* from, const char* what);
-  void StoodStill(double seconds) { stood_still_.Increment(seconds); }
+  void OnMalformed(const char* from, const char* what);
+  void OnProcessStall(double seconds) { stood_still_.Increment(seconds); }
   // What the status page shows.
-  void Show(const wire::Status& s);
+  void Update(const wire::Status& s);
   std::string Text() const;
 
  private:
--- a/include/mosspath/service/operator_desk.h
+++ b/include/mosspath/service/operator_settings_api.h
@@ -7,16 +7,16 @@
 
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/net/http_server.h"
 #include "mosspath/kvstore/client.h"
-#include "mosspath/kvstore/mirror.h"
+#include "mosspath/kvstore/watch_cache.h"
+#include "mosspath/net/http_server.h"
 
 namespace mosspath::service {
 
-class OperatorDesk {
+class OperatorSettingsApi {
  public:
-  OperatorDesk(kvstore::Client& state, kvstore::Mirror& mirror, const config::Derived& derived,
-               std::function<void()> changed)
+  OperatorSettingsApi(kvstore::Client& state, kvstore::WatchCache& mirror,
+                      const config::DerivedSettings& derived, std::function<void()> changed)
       : state_(state), mirror_(mirror), derived_(derived), changed_(std::move(changed)) {}
 
   const config::OperatorSettings& settings() const { return settings_; }
@@ -28,8 +28,8 @@
   void Put(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
   kvstore::Client& state_;
-  kvstore::Mirror& mirror_;
-  const config::Derived derived_;
+  kvstore::WatchCache& mirror_;
+  const config::DerivedSettings derived_;
   const std::function<void()> changed_;
   config::OperatorSettings settings_;
   uint64_t version_ = 0;
--- a/include/mosspath/service/frame_links.h
+++ b/include/mosspath/service/peer_frame_sender.h
@@ -10,23 +10,23 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
-#include "mosspath/net/understood.h"
-#include "mosspath/wire/block_frame.h"
+#include "mosspath/net/malformed_message.h"
+#include "mosspath/wire/shard_frame.h"
 
 namespace mosspath::service {
 
-inline constexpr const char* kFramePath = "/peer/v1/block";
+inline constexpr const char* kShardFramePath = "/peer/v1/block";
 
-class FrameLinks {
+class PeerFrameSender {
  public:
-  FrameLinks(asio::io_context& io, const config::Settings& settings,
-             const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
+  PeerFrameSender(asio::io_context& io, const config::Settings& settings,
+                  const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
 
   // A frame to it is under way, or there is no such controller.
-  bool Busy(const std::string& node) const;
+  bool IsBusy(const std::string& node) const;
   // `done` gets the frame that answers; none if it was refused, lost or malformed.
-  using Done = std::function<void(std::optional<wire::BlockFrame>)>;
-  void Send(const std::string& node, wire::BlockFrame frame, double timeout_s, Done done);
+  using Done = std::function<void(std::optional<wire::ShardFrame>)>;
+  void Send(const std::string& node, wire::ShardFrame frame, double timeout_s, Done done);
 
   uint64_t frames() const { return frames_; }
   uint64_t bytes() const { return bytes_; }
--- a/include/mosspath/service/speakers.h
+++ b/include/mosspath/service/record_format_support.h
@@ -13,31 +13,31 @@
 
 namespace mosspath::service {
 
-class Speakers {
+class RecordFormatSupport {
  public:
   static constexpr uint64_t kNever = ~uint64_t{0};
 
-  explicit Speakers(const config::Settings& settings) : own_(settings.node) {
-    nodes_.push_back(settings.node);
-    for (const auto& p : settings.peers) nodes_.push_back(p.node);
+  explicit RecordFormatSupport(const config::Settings& settings) : own_(settings.name) {
+    nodes_.push_back(settings.name);
+    for (const auto& p : settings.peers) nodes_.push_back(p.name);
   }
 
-  void Clear() { told_.clear(); }
+  void Clear() { declared_at_.clear(); }
   // `version` 0: no longer.
-  void Told(const std::string& node, uint64_t version) {
+  void OnDeclared(const std::string& node, uint64_t version) {
     if (version == 0) {
-      told_.erase(node);
+      declared_at_.erase(node);
     } else {
-      told_[node] = version;
+      declared_at_[node] = version;
     }
   }
-  bool own() const { return told_.contains(own_); }
+  bool own_declared() const { return declared_at_.contains(own_); }
   // The revision since which all controllers of the settings have; kNever: not all.
   uint64_t all_since() const {
     uint64_t since = 0;
     for (const auto& node : nodes_) {
-      const auto it = told_.find(node);
-      if (it == told_.end()) return kNever;
+      const auto it = declared_at_.find(node);
+      if (it == declared_at_.end()) return kNever;
       since = std::max(since, it->second);
     }
     return since;
@@ -46,7 +46,7 @@
  private:
   const std::string own_;
   std::vector<std::string> nodes_;
-  std::map<std::string, uint64_t> told_;
+  std::map<std::string, uint64_t> declared_at_;
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -6,25 +6,25 @@
 #include <string>
 
 #include "mosspath/config/settings.h"
+#include "mosspath/kvstore/watch_cache.h"
 #include "mosspath/net/http_server.h"
-#include "mosspath/scheduler/dispatcher.h"
-#include "mosspath/service/job_table.h"
-#include "mosspath/service/type_keeper.h"
-#include "mosspath/kvstore/mirror.h"
+#include "mosspath/scheduler/scheduler.h"
+#include "mosspath/service/job_service.h"
+#include "mosspath/service/machine_type_cache.h"
 
 namespace mosspath::service {
 
 // An answer with an error in its body; with Retry-After if it may be asked again.
-net::HttpAnswer Plain(int status, const std::string& error);
-net::HttpAnswer Later(const std::string& why);
+net::HttpResponse ErrorResponse(int status, const std::string& error);
+net::HttpResponse RetryLaterResponse(const std::string& why);
 
 class UserApi {
  public:
   using Responder = net::HttpServer::Responder;
   using Counts = std::function<scheduler::JobCounts(const std::string& id)>;
 
-  UserApi(const config::Settings& settings, JobTable& jobs, Admission& admission,
-          const kvstore::Mirror& mirror, const TypeKeeper& types, Counts counts)
+  UserApi(const config::Settings& settings, JobService& jobs, AdmissionService& admission,
+          const kvstore::WatchCache& mirror, const MachineTypeCache& types, Counts counts)
       : settings_(settings),
         jobs_(jobs),
         admission_(admission),
@@ -37,14 +37,14 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  void AnswerKnown(const std::string& id, JobTable::Known known, const Responder& respond,
-                   net::HttpAnswer missing);
+  void AnswerKnown(const std::string& id, JobService::JobStatus known, const Responder& respond,
+                   net::HttpResponse missing);
 
   const config::Settings& settings_;
-  JobTable& jobs_;
-  Admission& admission_;
-  const kvstore::Mirror& mirror_;
-  const TypeKeeper& types_;
+  JobService& jobs_;
+  AdmissionService& admission_;
+  const kvstore::WatchCache& mirror_;
+  const MachineTypeCache& types_;
   const Counts counts_;
 };
 
--- a/include/mosspath/wire/json.h
+++ b/include/mosspath/wire/json.h
@@ -23,17 +23,17 @@
 JobSpec ParseJob(const Json& j);
 Json ToJson(const JobSpec& spec);
 // The id of a submission that may be otherwise invalid; empty when it has none.
-std::string PeekId(const Json& j);
+std::string PeekJobId(const Json& j);
 bool IsJobId(std::string_view id);
 
-Report ParseReport(const Json& j);
+Heartbeat ParseHeartbeat(const Json& j);
 // The same from text, many times faster.
-Report ReadReport(std::string_view text);
-Json ToJson(const Report& r);
+Heartbeat ReadHeartbeat(std::string_view text);
+Json ToJson(const Heartbeat& r);
 std::string TaskName(const TaskId& t);
 TaskId ParseTaskName(const std::string& name);
 
-Json ReportAnswer(uint64_t token, const std::vector<Command>& commands);
+Json HeartbeatAnswer(uint64_t token, const std::vector<Command>& commands);
 Json DirectCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
 std::vector<Command> ParseCommands(const Json& answer);
 Json MisdirectedAnswer(const std::string& report_to);
@@ -58,9 +58,9 @@
 MachinePage ParseMachinePage(const Json& j);
 std::string MachineListTarget(const std::string& after, int limit);
 
-const char* StageName(Stage s);
-Json JobAnswer(const std::string& id, Stage stage);
-Json JobAnswer(const std::string& id, Stage stage, uint32_t done, uint32_t running);
+const char* JobStateName(JobState s);
+Json JobAnswer(const std::string& id, JobState stage);
+Json JobAnswer(const std::string& id, JobState stage, uint32_t done, uint32_t running);
 Json ErrorAnswer(const std::string& what);
 
 }  // namespace mosspath::wire
--- a/include/mosspath/wire/messages.h
+++ b/include/mosspath/wire/messages.h
@@ -9,16 +9,16 @@
 namespace mosspath::wire {
 
 // A gang's tasks run only all together.
-enum class Kind { kArray, kGang, kService };
-enum class Rank { kLow = 0, kNormal = 1, kHigh = 2, kCritical = 3 };
+enum class JobKind { kArray, kGang, kService };
+enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kCritical = 3 };
 
 // A job as its user submitted it.
 struct JobSpec {
   std::string id;
   std::string job_class;
   std::string team;
-  Kind kind = Kind::kArray;
-  Rank rank = Rank::kNormal;
+  JobKind kind = JobKind::kArray;
+  Priority priority = Priority::kNormal;
   uint32_t tasks = 0;
   double cpus = 0;
   double gpus = 0;
@@ -27,21 +27,31 @@
   double image_gb = 0;
   std::optional<std::vector<std::string>> types;
   std::optional<std::string> zone;
-  bool one_zone = false;
-  bool spread = false;
-  bool spot = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  bool single_zone = false;
+  bool spread_over_zones = false;
+  bool spot_allowed = false;
+  double estimated_run_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
 };
 
-enum class Stage { kQueued, kRunning, kDone, kCancelled };
+enum class JobState { kQueued, kRunning, kDone, kCancelled };
 
 // Waiting: a gang's task whose peers have not all started.
-enum class TaskState { kFetching, kWaiting, kRunning, kSaving, kExited };
+enum class TaskState { kFetching, kWaitingForGang, kRunning, kCheckpointing, kExited };
 // Peers: another task of the gang ended. Alone: the gang did not come together.
-enum class Why { kNone, kDone, kStopped, kError, kNoRoom, kBusy, kUnknown, kPeers, kAlone };
+enum class ExitReason {
+  kNone,
+  kSucceeded,
+  kStopped,
+  kFailed,
+  kInsufficientResources,
+  kOtherAttemptPresent,
+  kUnknownJob,
+  kGangMemberEnded,
+  kGangIncomplete
+};
 
 struct TaskId {
   std::string job;
@@ -49,31 +59,31 @@
   friend auto operator<=>(const TaskId&, const TaskId&) = default;
 };
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   uint64_t attempt = 0;
   TaskState state = TaskState::kFetching;
-  Why why = Why::kNone;
-  bool saved = false;
+  ExitReason exit_reason = ExitReason::kNone;
+  bool checkpointed = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
-  uint64_t seq = 0;
-  uint64_t token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+  uint64_t fencing_token = 0;
+  std::optional<double> reclaim_notice_s;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class Op { kStart, kStop, kForget };
+enum class CommandType { kStart, kStop, kForget };
 
 struct Command {
-  Op op = Op::kStart;
+  CommandType type = CommandType::kStart;
   TaskId task;
   uint64_t attempt = 0;
   double grace_s = 0;
--- a/include/mosspath/wire/digest.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "mosspath/wire/json.h"
-#include "mosspath/wire/presence.h"
+#include "mosspath/wire/peer_heartbeat.h"
 
 namespace mosspath::wire {
 
-struct Digest {
+struct StatusSnapshot {
   struct Job {
     std::string id;
     uint32_t done = 0;
@@ -24,10 +24,10 @@
     uint64_t waiting = 0;  // tasks
     uint64_t running = 0;
     // Since this leader began; kNever if none has.
-    double started_ago_s = kNever;
-    double finished_ago_s = kNever;
-    double oldest_s = 0;  // how long the oldest job with waiting tasks has been here
-    std::string why;      // most of what waits does so for this
+    double started_ago_s = kNeverS;
+    double finished_ago_s = kNeverS;
+    double oldest_s = 0;         // how long the oldest job with waiting tasks has been here
+    std::string waiting_reason;  // most of what waits does so for this
     friend bool operator==(const Queue&, const Queue&) = default;
   };
   struct Machines {  // of one type, zone and kind
@@ -51,52 +51,52 @@
     uint64_t of = 0;
     friend bool operator==(const Progress&, const Progress&) = default;
   };
-  struct Trouble {
+  struct Incident {
     double ago_s = 0;
-    std::string what;
-    friend bool operator==(const Trouble&, const Trouble&) = default;
+    std::string description;
+    friend bool operator==(const Incident&, const Incident&) = default;
   };
 
   std::string leader;
   uint64_t token = 0;
-  bool settled = false;
-  double leading_s = 0;
+  bool recovery_complete = false;
+  double leader_for_s = 0;
   std::vector<Job> jobs;
   std::vector<Queue> queues;
   std::vector<Queue> teams;  // the same by team
   std::vector<Machines> machines;
   std::vector<Progress> progress;
-  std::vector<Trouble> troubles;
+  std::vector<Incident> incidents;
 
-  friend bool operator==(const Digest&, const Digest&) = default;
+  friend bool operator==(const StatusSnapshot&, const StatusSnapshot&) = default;
 };
 
-inline constexpr size_t kMaxDigest = 60 << 10;
+inline constexpr size_t kMaxStatusSnapshotBytes = 60 << 10;
 
 // Jobs beyond what fits are left out.
-std::string Encode(const Digest& d);
-Digest DecodeDigest(std::string_view frame);
+std::string Encode(const StatusSnapshot& d);
+StatusSnapshot DecodeStatusSnapshot(std::string_view frame);
 // One party's sockets of the controller that tells.
-struct SocketUse {
-  std::string party;
+struct SocketUsage {
+  std::string connection_class;
   uint64_t used = 0;
   uint64_t limit = 0;
-  uint64_t refused = 0;   // since the process began: there was none
-  uint64_t sent_off = 0;  // and: answered, and told not to stay
+  uint64_t refused = 0;              // since the process began: there was none
+  uint64_t closed_after_answer = 0;  // and: answered, and told not to stay
 };
 
 // What the controller that tells accepts (docs/admission.md).
-struct AdmissionUse {
+struct AdmissionUsage {
   struct Group {
     std::string team;
     std::string job_class;
-    uint64_t asked = 0;    // jobs, since the process began
-    uint64_t refused = 0;  // of them, as there was no room
+    uint64_t requested = 0;  // jobs, since the process began
+    uint64_t refused = 0;    // of them, as there was no room
   };
   double budget = 0;     // tasks of live jobs
   double live = 0;       // as its view shows
-  double under_way = 0;  // accepted here, not in the view yet
-  double part = 0;       // of the free room, that it may fill before it sees what others did
+  double in_flight = 0;  // accepted here, not in the view yet
+  double share = 0;      // of the free room, that it may fill before it sees what others did
   uint64_t plan_token = 0;
   uint64_t plan_version = 0;
   std::vector<Group> groups;
@@ -104,12 +104,12 @@
 
 // For people and programs; without the jobs.
 struct Status {
-  Digest digest;
-  double age_s = 0;  // of the digest
+  StatusSnapshot snapshot;
+  double snapshot_age_s = 0;  // of the digest
   std::string served_by;
   std::vector<ControllerState> controllers;
-  std::vector<SocketUse> sockets;
-  AdmissionUse admission;
+  std::vector<SocketUsage> sockets;
+  AdmissionUsage admission;
 };
 Json StatusJson(const Status& s);
 std::string StatusPage(const Status& s);
--- a/simulation/addition.cc
+++ b/simulation/addition.cc
@@ -15,28 +15,29 @@
 constexpr double kServiceS = 240;    // a service's user cancels it after this
 constexpr size_t kMachines = 24;
 
-AdditionDay::Shape ShapeOf(uint64_t seed) {
-  return static_cast<AdditionDay::Shape>(seed % static_cast<uint64_t>(AdditionDay::Shape::kShapes));
+AvailabilityScenario::Shape ShapeOf(uint64_t seed) {
+  return static_cast<AvailabilityScenario::Shape>(
+      seed % static_cast<uint64_t>(AvailabilityScenario::Shape::kShapes));
 }
 
 }  // namespace
 
-config::Settings AdditionDay::Of(uint64_t seed, bool blocks) {
+config::Settings AvailabilityScenario::Of(uint64_t seed, bool blocks) {
   config::Settings s = SmallSettings();
-  s.lease_blocks = blocks;
+  s.lease_shards = blocks;
   s.memory_mb = 2;  // 40,000 tasks
   s.teams = {{"desk", 0, 0, 0, 0}, {"archive", 0, 0, 0, 0}, {"tight", 0, 12, 0, 0}};
   s.objectives = {{"wait", "search", 8, 0.9, 1}, {"finished", "nightly", 120, 0.9, 1}};
   if (ShapeOf(seed) == Shape::kSlowReports) {
-    s.report_s = 8;
-    s.lease_s = 36;
-    s.cancel_s = 56;
+    s.heartbeat_s = 8;
+    s.agent_lease_s = 36;
+    s.cancel_within_s = 56;
   }
   if (ShapeOf(seed) == Shape::kTight) s.teams[1].cpus_max = 30;
   return s;
 }
 
-std::vector<wire::MachineType> AdditionDay::Types(uint64_t seed) {
+std::vector<wire::MachineType> AvailabilityScenario::Types(uint64_t seed) {
   wire::MachineType t = SmallType();
   if (ShapeOf(seed) != Shape::kSlowReports) return {t};
   t.spot_price = 0.3;
@@ -50,7 +51,7 @@
   return {t, large};
 }
 
-std::vector<Fault> AdditionDay::Faults(uint64_t seed) {
+std::vector<Fault> AvailabilityScenario::Faults(uint64_t seed) {
   // One of each kind comes round, beside others.
   std::vector<Fault> faults = Draw(seed, 1 + seed % 4, kTroubleFrom, kTroubleUntil);
   for (Fault& f : Draw(seed + 1'000'003, 1, kTroubleFrom, kTroubleUntil)) {
@@ -61,9 +62,10 @@
   return faults;
 }
 
-AdditionDay::AdditionDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks)
-    : Cluster(Of(seed, blocks), Types(seed),
-              ShapeOf(seed) == Shape::kSlowReports ? 7 : 3 + seed / 4 % 5, seed),
+AvailabilityScenario::AvailabilityScenario(uint64_t seed, const std::vector<Fault>& faults,
+                                           bool blocks)
+    : SimulatedCluster(Of(seed, blocks), Types(seed),
+                       ShapeOf(seed) == Shape::kSlowReports ? 7 : 3 + seed / 4 % 5, seed),
       seed_(seed),
       shape_(ShapeOf(seed)),
       users_(*this) {
@@ -75,36 +77,36 @@
   }
   const double load = shape_ == Shape::kOverload ? 3 : 1;
   const auto times = [&](double jobs) { return static_cast<size_t>(std::lround(jobs * load)); };
-  Stream("search", wire::Rank::kCritical, 12, 1, 4, 0);
-  Stream("nightly", wire::Rank::kNormal, times(14), 1, 60, 8);
-  Stream("refill", wire::Rank::kLow, times(6), 1, 90, 10);
+  Stream("search", wire::Priority::kCritical, 12, 1, 4, 0);
+  Stream("nightly", wire::Priority::kNormal, times(14), 1, 60, 8);
+  Stream("refill", wire::Priority::kLow, times(6), 1, 90, 10);
   users_.Begin();
   Plan(faults);
 }
 
-void AdditionDay::Stream(const std::string& job_class, wire::Rank rank, size_t jobs, uint32_t least,
-                         uint32_t most, double run_s) {
+void AvailabilityScenario::Stream(const std::string& job_class, wire::Priority rank, size_t jobs,
+                                  uint32_t least, uint32_t most, double run_s) {
   for (size_t i = 0; i < jobs; ++i) {
-    User u;
+    SimulatedUser u;
     u.polls = true;
     wire::JobSpec& s = u.spec;
     s.id = fmt::format("req-{:06}", users_.all().size());
     s.team = users_.all().size() % 3 == 0 ? "archive" : "desk";
     s.job_class = job_class;
-    s.kind = run_s > 0 ? wire::Kind::kArray : wire::Kind::kService;
-    s.rank = rank;
+    s.kind = run_s > 0 ? wire::JobKind::kArray : wire::JobKind::kService;
+    s.priority = rank;
     // Few are large.
     const double size = std::pow(world.random.Uniform(0, 1), 3);
     s.tasks = least + static_cast<uint32_t>(std::lround(size * (most - least)));
     s.cpus = 1 + static_cast<double>(world.random.Below(2));
     s.memory_gb = 2;
-    s.spot = run_s > 0;
+    s.spot_allowed = run_s > 0;
     s.image = "img-" + std::to_string(world.random.Below(5));
     s.image_gb = 1;
-    s.estimate_s = run_s;
+    s.estimated_run_s = run_s;
     if (shape_ == Shape::kTight) {
-      s.one_zone = i % 4 == 1 && s.tasks <= 20;
-      s.spread = i % 4 == 2;
+      s.single_zone = i % 4 == 1 && s.tasks <= 20;
+      s.spread_over_zones = i % 4 == 2;
     }
     u.asked = i % 3 == 0 ? 0.5 : world.random.Uniform(1, kWorkUntil);
     if (run_s <= 0) u.cancels_after = kServiceS * world.random.Uniform(0.5, 1.5);
@@ -113,30 +115,30 @@
   }
 }
 
-Outcome AdditionDay::Run() {
-  const double end = std::max(world.checker.quiet_from(), kWorkUntil) + kAfterwards;
+Outcome AvailabilityScenario::Run() {
+  const double end = std::max(world.rule_checker.quiet_from(), kWorkUntil) + kAfterwards;
   world.clock.RunUntil(end);
-  world.checker.DayOver(static_cast<double>(kMachines) * SmallType().cpus);
+  world.rule_checker.DayOver(static_cast<double>(kMachines) * SmallType().cpus);
   Outcome out;
-  out.breaches = world.checker.breaches();
+  out.breaches = world.rule_checker.breaches();
   out.decisions = world.decisions.number();
   size_t accepted = 0;
   size_t gave_up = 0;
-  for (const User& u : users_.all()) {
+  for (const SimulatedUser& u : users_.all()) {
     accepted += u.accepted > 0 ? 1 : 0;
     gave_up += u.gave_up ? 1 : 0;
   }
   out.figures = {{"seed", static_cast<double>(seed_)},
                  {"shape", static_cast<double>(shape_)},
                  {"controllers", static_cast<double>(controllers.size())},
-                 {"starts", static_cast<double>(world.checker.starts())},
+                 {"starts", static_cast<double>(world.rule_checker.starts())},
                  {"jobs", static_cast<double>(users_.all().size())},
                  {"accepted", static_cast<double>(accepted)},
                  {"gave_up", static_cast<double>(gave_up)},
-                 {"done", static_cast<double>(world.checker.done_jobs())},
-                 {"cancelled_start_s", world.checker.latest_cancelled_start_s()},
-                 {"latest_begin_s", world.checker.latest_begin_s()},
-                 {"longest_unanswered_s", world.checker.longest_unanswered_s()}};
+                 {"done", static_cast<double>(world.rule_checker.done_jobs())},
+                 {"cancelled_start_s", world.rule_checker.latest_cancelled_start_s()},
+                 {"latest_begin_s", world.rule_checker.latest_begin_s()},
+                 {"longest_unanswered_s", world.rule_checker.longest_unanswered_s()}};
   return out;
 }
 
--- a/simulation/addition.h
+++ b/simulation/addition.h
@@ -11,7 +11,7 @@
 
 namespace mosspath::simulation {
 
-class AdditionDay : public Cluster {
+class AvailabilityScenario : public SimulatedCluster {
  public:
   // What is special about the day follows from the seed.
   enum class Shape {
@@ -22,7 +22,7 @@
     kShapes
   };
 
-  AdditionDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks);
+  AvailabilityScenario(uint64_t seed, const std::vector<Fault>& faults, bool blocks);
   Outcome Run();
 
   // Each kind of fault comes about as often.
@@ -31,16 +31,16 @@
  protected:
   static config::Settings Of(uint64_t seed, bool blocks);
 
-  Users& users() { return users_; }
+  SimulatedUsers& users() { return users_; }
 
  private:
   static std::vector<wire::MachineType> Types(uint64_t seed);
-  void Stream(const std::string& job_class, wire::Rank rank, size_t jobs, uint32_t least,
+  void Stream(const std::string& job_class, wire::Priority rank, size_t jobs, uint32_t least,
               uint32_t most, double run_s);
 
   const uint64_t seed_;
   const Shape shape_;
-  Users users_;
+  SimulatedUsers users_;
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -26,19 +26,19 @@
 
 config::Settings SmallSettings() {
   config::Settings s;
-  s.node = "hut-0";
-  s.nodes = 3;
+  s.name = "hut-0";
+  s.controller_count = 3;
   s.zones = {"east", "west"};
   s.teams = {{"free", 0, 0, 0, 0}, {"tight", 4, 10, 0, 0}};
-  s.report_s = 1.5;
-  s.lease_s = 10;
-  s.cancel_s = 20;
-  s.state_rps = 100;
-  s.state_write_rps = 25;
-  s.value_kb = 8;
-  s.txn_ops = 8;
-  s.cloud_rps = 5;
-  s.list_lag_s = 3;
+  s.heartbeat_s = 1.5;
+  s.agent_lease_s = 10;
+  s.cancel_within_s = 20;
+  s.store_requests_per_s = 100;
+  s.store_writes_per_s = 25;
+  s.store_value_kb = 8;
+  s.store_transaction_changes = 8;
+  s.cloud_requests_per_s = 5;
+  s.machine_list_lag_s = 3;
   return s;
 }
 
@@ -74,19 +74,20 @@
   return out;
 }
 
-Cluster::Cluster(const config::Settings& settings, const std::vector<wire::MachineType>& types,
-                 size_t controllers_count, uint64_t seed)
+SimulatedCluster::SimulatedCluster(const config::Settings& settings,
+                                   const std::vector<wire::MachineType>& types,
+                                   size_t controllers_count, uint64_t seed)
     : world(settings, types, seed) {
   for (size_t i = 0; i < controllers_count; ++i) world.nodes.push_back("hut-" + std::to_string(i));
-  world.on_report = [this](const std::string& node, const wire::Report& r,
-                           const World::ReportAnswer& answer) {
+  world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
+                           const SimulatedEnvironment::ReportAnswer& answer) {
     for (auto& c : controllers) {
       if (c->name() == node) c->OnReport(r, answer);
     }
   };
   for (size_t i = 0; i < controllers_count; ++i) {
-    const double drift = 1.0 + config::kDrift * (static_cast<double>(i % 3) - 1);
-    controllers.push_back(std::make_unique<Controller>(world, world.nodes[i], drift));
+    const double drift = 1.0 + config::kMaxClockDrift * (static_cast<double>(i % 3) - 1);
+    controllers.push_back(std::make_unique<SimulatedController>(world, world.nodes[i], drift));
   }
   world.network.on_sent = [this](const std::string& from) { Sent(from); };
   world.clock.After(0.5, [this] { CheckLoop(); });
@@ -94,63 +95,64 @@
 
 // Whatever can't be reached or doesn't hear, a leader knows where all tasks are after the time that
 // workers take to find it, a lease for what it can't ask, and a lease for what doesn't hear.
-void Cluster::Check() {
+void SimulatedCluster::Check() {
   const double now = world.clock.now();
-  world.checker.Tick(now);
-  if (now > world.checker.quiet_from() && ++checks_ % 4 == 0) CheckRoom();
-  const config::Derived derived(world.settings);
-  const double most = derived.search_s + 2 * derived.gone_s + world.settings.report_s;
+  world.rule_checker.Tick(now);
+  if (now > world.rule_checker.quiet_from() && ++checks_ % 4 == 0) CheckRoom();
+  const config::DerivedSettings derived(world.settings);
+  const double most =
+      derived.agents_try_all_s + 2 * derived.agent_lease_over_s + world.settings.heartbeat_s;
   for (auto& c : controllers) {
-    if (!c->up() || !c->leading() || c->dispatcher()->settled()) {
+    if (!c->up() || !c->leading() || c->dispatcher()->recovery_complete()) {
       unsettled_.erase(c->name());
       continue;
     }
     auto [it, added] = unsettled_.try_emplace(c->name(), Unsettled{c->token(), now});
     if (it->second.token != c->token()) it->second = {c->token(), now};
     if (now - it->second.since <= most) continue;
-    world.checker.Breach(fmt::format("unsettled: {} for {:.0f} s", c->name(), most));
+    world.rule_checker.Breach(fmt::format("unsettled: {} for {:.0f} s", c->name(), most));
     it->second.since = 1e18;
   }
 }
 
-void Cluster::CheckRoom() {
-  for (const auto& w : world.checker.WaitingJobs()) {
+void SimulatedCluster::CheckRoom() {
+  for (const auto& w : world.rule_checker.WaitingJobs()) {
     const wire::JobSpec& s = *w.spec;
     std::vector<std::string> machines;
-    for (const auto& [id, m] : world.workers) {
+    for (const auto& [id, m] : world.agents) {
       if (!w.team_has_room || world.broken.contains(s.id)) break;
-      if (!m->alive() || m->sick || (m->spot() && !s.spot)) continue;
+      if (!m->alive() || m->sick || (m->spot() && !s.spot_allowed)) continue;
       if (s.zone && *s.zone != m->zone()) continue;
       if (s.types && std::find(s.types->begin(), s.types->end(), m->type()) == s.types->end()) {
         continue;
       }
       const auto there = w.in_zone.find(m->zone());
       const size_t in_zone = there == w.in_zone.end() ? 0 : there->second;
-      if (s.one_zone && !w.in_zone.empty() && in_zone == 0) continue;
-      if (s.spread && in_zone + 1 > (s.tasks + 1) / 2) continue;
+      if (s.single_zone && !w.in_zone.empty() && in_zone == 0) continue;
+      if (s.spread_over_zones && in_zone + 1 > (s.tasks + 1) / 2) continue;
       if (m->used_cpus() + s.cpus <= m->cpus() + 1e-6) machines.push_back(id);
     }
-    world.checker.RoomFor(s.id, machines, world.clock.now());
+    world.rule_checker.RoomFor(s.id, machines, world.clock.now());
   }
 }
 
-void Cluster::CheckLoop() {
+void SimulatedCluster::CheckLoop() {
   Check();
   world.clock.After(0.5, [this] { CheckLoop(); });
 }
 
-void Cluster::Plan(const std::vector<Fault>& faults) {
+void SimulatedCluster::Plan(const std::vector<Fault>& faults) {
   for (const Fault& f : faults) {
     world.clock.At(f.at, [this, f] { Play(f); });
-    world.checker.TroubleUntil(Over(f));
+    world.rule_checker.TroubleUntil(Over(f));
   }
 }
 
-double Cluster::Over(const Fault& f) const {
+double SimulatedCluster::Over(const Fault& f) const {
   switch (f.kind) {
-    case Fault::Kind::kCopies:
-      return f.at + f.for_s + 3 * world.settings.lease_s;
-    case Fault::Kind::kDeaf:
+    case Fault::Kind::kDuplicateHeartbeats:
+      return f.at + f.for_s + 3 * world.settings.agent_lease_s;
+    case Fault::Kind::kCutAgentsInbound:
       return f.at + kDeafTimes * f.for_s;
     case Fault::Kind::kLateWrites:
       return f.at + f.for_s + 12;
@@ -158,15 +160,15 @@
       return f.at + 3;
     // What slow links deliver, and what comes of it; answers are held for up to a lease.
     case Fault::Kind::kSlowLinks:
-    case Fault::Kind::kHeldAnswers:
-      return f.at + f.for_s + std::max(30.0, world.settings.lease_s);
+    case Fault::Kind::kDelayAnswers:
+      return f.at + f.for_s + std::max(30.0, world.settings.agent_lease_s);
     default:
       return f.at + f.for_s;
   }
 }
 
 // After the message, so that it is the last of what the process did.
-void Cluster::Sent(const std::string& from) {
+void SimulatedCluster::Sent(const std::string& from) {
   if (steps_left_ == 0) return;
   for (auto& c : controllers) {
     if (c->name() != from || !c->electing() || --steps_left_ > 0) continue;
@@ -174,17 +176,17 @@
   }
 }
 
-Controller& Cluster::Leader(uint64_t otherwise) {
+SimulatedController& SimulatedCluster::Leader(uint64_t otherwise) {
   for (auto& c : controllers) {
     if (c->leading()) return *c;
   }
   return *controllers[otherwise % controllers.size()];
 }
 
-void Cluster::Play(const Fault& f) {
-  Controller& leader = Leader(f.pick);
-  Controller& any = *controllers[f.pick % controllers.size()];
-  Network& net = world.network;
+void SimulatedCluster::Play(const Fault& f) {
+  SimulatedController& leader = Leader(f.pick);
+  SimulatedController& any = *controllers[f.pick % controllers.size()];
+  SimulatedNetwork& net = world.network;
   switch (f.kind) {
     case Fault::Kind::kCrash:
       return leader.Crash(std::min(f.for_s, 8.0));
@@ -197,8 +199,8 @@
       return any.Freeze(f.for_s);
     case Fault::Kind::kCutState:
       return net.Cut(leader.name(), "state", f.for_s, f.hold);
-    case Fault::Kind::kCutWorkers:
-      for (auto& [id, w] : world.workers) net.Cut(leader.name(), id, f.for_s, f.hold);
+    case Fault::Kind::kCutAgents:
+      for (auto& [id, w] : world.agents) net.Cut(leader.name(), id, f.for_s, f.hold);
       return;
     case Fault::Kind::kCutPeers:
       for (const auto& other : world.nodes) {
@@ -207,24 +209,24 @@
       return;
     case Fault::Kind::kCutZone: {
       const std::string& zone = world.settings.zones[f.pick % world.settings.zones.size()];
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         if (w->zone() != zone) continue;
         for (const auto& node : world.nodes) net.Cut(node, id, f.for_s, true);
       }
       return;
     }
     case Fault::Kind::kOutage:
-      if (world.state.up()) world.state.Outage(f.for_s);
+      if (world.store.up()) world.store.Outage(f.for_s);
       return;
     case Fault::Kind::kSlowState:
       return net.Slow("state", 10, f.for_s);
-    case Fault::Kind::kUnread:
+    case Fault::Kind::kLeaderReadsFail:
       return leader.Unread(f.for_s);
-    case Fault::Kind::kDie:
+    case Fault::Kind::kKillMachines:
     case Fault::Kind::kHang: {
       // One in ten of them.
       size_t i = f.pick;
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         if (i++ % 10 != 0 || !w->alive()) continue;
         if (f.kind == Fault::Kind::kHang) {
           w->Hang(f.for_s);
@@ -234,22 +236,22 @@
       }
       return;
     }
-    case Fault::Kind::kDeaf: {
+    case Fault::Kind::kCutAgentsInbound: {
       // One in eight, one in two now and then.
       const size_t step = f.pick % 5 == 0 ? 2 : 8;
       size_t i = f.pick;
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         if (i++ % step != 0) continue;
         for (const auto& node : world.nodes) net.CutOneWay(node, id, kDeafTimes * f.for_s, f.hold);
       }
       return;
     }
-    case Fault::Kind::kCopies:
+    case Fault::Kind::kDuplicateHeartbeats:
       world.copies_until = world.clock.now() + f.for_s;
       return;
-    case Fault::Kind::kOnlyLeader:
-    case Fault::Kind::kOnlyWorkers: {
-      const bool leads = f.kind == Fault::Kind::kOnlyLeader || f.pick % 2 == 0;
+    case Fault::Kind::kLeaderOnlyAgentsReachable:
+    case Fault::Kind::kOnlyAgentsReachable: {
+      const bool leads = f.kind == Fault::Kind::kLeaderOnlyAgentsReachable || f.pick % 2 == 0;
       const std::string name = leads ? leader.name() : any.name();
       net.Cut(name, "state", f.for_s, f.hold);
       for (const auto& other : world.nodes) {
@@ -257,29 +259,29 @@
       }
       return;
     }
-    case Fault::Kind::kBounce:
+    case Fault::Kind::kRestartLeader:
       return leader.Crash(AtOnce(f));
-    case Fault::Kind::kBounceAll:
+    case Fault::Kind::kRestartAll:
       for (auto& c : controllers) c->Crash(AtOnce(f));
       return;
-    case Fault::Kind::kBounceStep:
+    case Fault::Kind::kRestartAfterMessages:
       back_after_s_ = AtOnce(f);
       steps_left_ = 1 + f.pick / 500 % 200;
       // In the middle of an election, mostly.
       if (f.pick % 3 != 0) leader.Crash(AtOnce(f));
       return;
-    case Fault::Kind::kReborn:
+    case Fault::Kind::kRestartMachines:
     case Fault::Kind::kReplaced: {
       size_t i = f.pick;
       std::vector<std::string> some;
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         if (i++ % 10 == 0 && w->alive()) some.push_back(id);
       }
       for (const auto& id : some) {
         if (f.kind == Fault::Kind::kReplaced) {
           world.Replace(id);
         } else {
-          world.workers.at(id)->Reborn(f.pick % 2 == 0);
+          world.agents.at(id)->Restart(f.pick % 2 == 0);
         }
       }
       return;
@@ -287,7 +289,7 @@
     case Fault::Kind::kSpotTaken: {
       const std::string& zone = world.settings.zones[f.pick % world.settings.zones.size()];
       size_t i = f.pick;
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         if (w->spot() && w->zone() == zone && w->alive() && i++ % 2 == 0) w->Die();
       }
       return;
@@ -302,23 +304,23 @@
       world.late_writes_until = world.clock.now() + f.for_s;
       world.late_writes_share = 0.2 + 0.1 * static_cast<double>(f.pick % 6);
       return;
-    case Fault::Kind::kConfirmer:
+    case Fault::Kind::kRestartConfirmer:
       for (auto& c : controllers) {
         if (c->name() == world.confirmer) c->Crash(AtOnce(f));
       }
       return;
-    case Fault::Kind::kMute:
+    case Fault::Kind::kCutAgentsOutbound:
     case Fault::Kind::kSlowLinks:
-    case Fault::Kind::kHeldReports: {
+    case Fault::Kind::kDelayHeartbeats: {
       // A zone's, all, or one in three.
       const std::string& zone = world.settings.zones[f.pick % world.settings.zones.size()];
       size_t i = f.pick;
-      for (auto& [id, w] : world.workers) {
+      for (auto& [id, w] : world.agents) {
         ++i;
         if (f.pick % 3 == 0 ? w->zone() != zone : f.pick % 3 == 1 && i % 3 != 0) continue;
-        if (f.kind == Fault::Kind::kMute) w->Mute(f.for_s);
+        if (f.kind == Fault::Kind::kCutAgentsOutbound) w->CutOutbound(f.for_s);
         if (f.kind == Fault::Kind::kSlowLinks) net.Slow(id, 150, f.for_s);
-        if (f.kind != Fault::Kind::kHeldReports) continue;
+        if (f.kind != Fault::Kind::kDelayHeartbeats) continue;
         for (const auto& node : world.nodes) net.CutOneWay(id, node, f.for_s, true);
       }
       return;
@@ -332,7 +334,7 @@
         for (const auto& other : world.nodes) {
           if (inside(node) && !inside(other)) net.Cut(node, other, f.for_s, f.hold);
         }
-        for (auto& [id, w] : world.workers) {
+        for (auto& [id, w] : world.agents) {
           if (inside(node) != (w->zone() == zone)) net.Cut(node, id, f.for_s, f.hold);
         }
         if (!inside(node) || f.pick / 2 % 3 == 0) continue;
@@ -340,10 +342,10 @@
       }
       return;
     }
-    case Fault::Kind::kHeldAnswers:
+    case Fault::Kind::kDelayAnswers:
       world.held_answers_until = world.clock.now() + f.for_s;
       return;
-    case Fault::Kind::kAllAway:
+    case Fault::Kind::kStopAll:
       for (auto& c : controllers) c->Crash(f.for_s);
       return;
     case Fault::Kind::kCancelNow:
--- a/simulation/cluster.h
+++ b/simulation/cluster.h
@@ -17,42 +17,42 @@
 
 struct Fault {
   enum class Kind {
-    kCrash,                // the leader
-    kCrashAll,             // all controllers at once
-    kFreeze,               // the leader stands still
-    kFreezeAny,            // any one
-    kCutState,             // the leader from the state service
-    kCutWorkers,           // the leader from all workers
-    kCutPeers,             // any one from the others
-    kCutZone,              // half of the machines from all controllers
-    kOutage,               // of the state service
-    kSlowState,            // it answers slowly
-    kUnread,               // the leader renews but can't read
-    kDie,                  // machines end, with all that is on them
-    kHang,                 // machines stand still and go on
-    kDeaf,                 // machines' reports arrive, but nothing reaches them
-    kCopies,               // reports are delivered again, up to three leases late
-    kOnlyWorkers,          // one has its workers and users, but no state service and no peers
-    kBounce,               // the leader is back at once
-    kBounceAll,            // all are
-    kBounceStep,           // whoever is about to lead, or leads, after its n-th message
-    kReborn,               // machines come back at once under their names, with nothing on them
-    kReplaced,             // a machine ends, and another is up at its address
-    kSpotTaken,            // half of a zone's cheap machines, without notice
-    kCapacity,             // the cloud has half as many machines to give
-    kDrawn,                // all before it are drawn; the others come in meetings only
-    kLateWrites = kDrawn,  // changes get no answer and are carried out later
-    kOnlyLeader,           // as kOnlyWorkers, the leader
-    kConfirmer,            // who last confirmed a cancellation is back at once
-    kMute,                 // machines reach no controller, while direct orders reach them
-    kCutZoneWhole,         // a zone's machines and controllers from the others and the outside
-    kSlowLinks,            // messages to and from machines take seconds
-    kHeldReports,          // what machines send is held back, and arrives at whoever leads then
-    kHeldAnswers,          // answers to orders are held up for seconds
-    kAllAway,              // all controllers, for longer than the others are
-    kCancelNow,            // users call off many jobs at once; `hold`: some of their machines hang
-    kCancelAtEnd,          // users call off jobs as they end
-    kOddRequests,          // repeated submissions, cancellations of what is done, what can't run
+    kCrash,                 // the leader
+    kCrashAll,              // all controllers at once
+    kFreeze,                // the leader stands still
+    kFreezeAny,             // any one
+    kCutState,              // the leader from the state service
+    kCutAgents,             // the leader from all workers
+    kCutPeers,              // any one from the others
+    kCutZone,               // half of the machines from all controllers
+    kOutage,                // of the state service
+    kSlowState,             // it answers slowly
+    kLeaderReadsFail,       // the leader renews but can't read
+    kKillMachines,          // machines end, with all that is on them
+    kHang,                  // machines stand still and go on
+    kCutAgentsInbound,      // machines' reports arrive, but nothing reaches them
+    kDuplicateHeartbeats,   // reports are delivered again, up to three leases late
+    kOnlyAgentsReachable,   // one has its workers and users, but no state service and no peers
+    kRestartLeader,         // the leader is back at once
+    kRestartAll,            // all are
+    kRestartAfterMessages,  // whoever is about to lead, or leads, after its n-th message
+    kRestartMachines,       // machines come back at once under their names, with nothing on them
+    kReplaced,              // a machine ends, and another is up at its address
+    kSpotTaken,             // half of a zone's cheap machines, without notice
+    kCapacity,              // the cloud has half as many machines to give
+    kDrawn,                 // all before it are drawn; the others come in meetings only
+    kLateWrites = kDrawn,   // changes get no answer and are carried out later
+    kLeaderOnlyAgentsReachable,  // as kOnlyWorkers, the leader
+    kRestartConfirmer,           // who last confirmed a cancellation is back at once
+    kCutAgentsOutbound,          // machines reach no controller, while direct orders reach them
+    kCutZoneWhole,     // a zone's machines and controllers from the others and the outside
+    kSlowLinks,        // messages to and from machines take seconds
+    kDelayHeartbeats,  // what machines send is held back, and arrives at whoever leads then
+    kDelayAnswers,     // answers to orders are held up for seconds
+    kStopAll,          // all controllers, for longer than the others are
+    kCancelNow,        // users call off many jobs at once; `hold`: some of their machines hang
+    kCancelAtEnd,      // users call off jobs as they end
+    kOddRequests,      // repeated submissions, cancellations of what is done, what can't run
     kKinds
   };
   Kind kind = Kind::kCrash;
@@ -65,14 +65,14 @@
 // `n` faults of any kind between the two times.
 std::vector<Fault> Draw(uint64_t seed, size_t n, double from, double to);
 
-class Cluster {
+class SimulatedCluster {
  public:
   // Named hut-0, hut-1, ...; their clocks drift apart as far as the protocol allows.
-  Cluster(const config::Settings& settings, const std::vector<wire::MachineType>& types,
-          size_t controllers, uint64_t seed);
-  virtual ~Cluster() = default;
-  Cluster(const Cluster&) = delete;
-  Cluster& operator=(const Cluster&) = delete;
+  SimulatedCluster(const config::Settings& settings, const std::vector<wire::MachineType>& types,
+                   size_t controllers, uint64_t seed);
+  virtual ~SimulatedCluster() = default;
+  SimulatedCluster(const SimulatedCluster&) = delete;
+  SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
   void Plan(const std::vector<Fault>& faults);
   // When the last of what it does is over.
@@ -80,10 +80,10 @@
   void Play(const Fault& f);
   // What users do at such a time is theirs.
   std::function<void(const Fault&)> on_users;
-  Controller& Leader(uint64_t otherwise = 0);
+  SimulatedController& Leader(uint64_t otherwise = 0);
 
-  World world;
-  std::vector<std::unique_ptr<Controller>> controllers;
+  SimulatedEnvironment world;
+  std::vector<std::unique_ptr<SimulatedController>> controllers;
 
  protected:
   // Checked every half second.
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -12,29 +12,30 @@
 const std::string kLeader = "leader";
 const std::string kJob = "job/";
 const std::string kFinal = "final/";
-constexpr jobs::Directory::Bounds kRemembered{.finals = 100'000, .cancellations = 600};
+constexpr jobs::JobIndex::Limits kRemembered{.finals = 100'000, .cancellations = 600};
 
 int PackOf(const std::string& key) { return std::stoi(key.substr(key.find('/') + 1)); }
 
 }  // namespace
 
-Controller::Controller(World& world, std::string name, double drift)
+SimulatedController::SimulatedController(SimulatedEnvironment& world, std::string name,
+                                         double drift)
     : world_(world),
       name_(std::move(name)),
       drift_(drift),
       derived_(world.settings),
-      turns_(world.settings.report_s / 8, 0),
-      accept_rate_(world.settings.state_write_rps /
+      turns_(world.settings.heartbeat_s / 8, 0),
+      accept_rate_(world.settings.store_writes_per_s /
                    (2.0 * static_cast<double>(world.nodes.size()))) {
   settings_ = world_.settings;
-  settings_.node = name_;
+  settings_.name = name_;
   settings_.zone = world_.ZoneOf(name_);
   for (const auto& node : world_.nodes) {
     if (node != name_) settings_.peers.push_back({node, world_.ZoneOf(node), node});
   }
   world_.on_presence[name_] = [this](const std::string& text) { return TakePresence(text); };
-  if (settings_.lease_blocks) {
-    world_.on_frame[name_] = [this](const std::string& frame) -> std::optional<wire::BlockFrame> {
+  if (settings_.lease_shards) {
+    world_.on_frame[name_] = [this](const std::string& frame) -> std::optional<wire::ShardFrame> {
       if (!alive_ || StandsStill()) return std::nullopt;
       return TakeFrame(frame);
     };
@@ -50,32 +51,32 @@
   Boot();
 }
 
-std::optional<std::string> Controller::Vouch(const std::string& text) {
-  const wire::VouchQuestion question = wire::DecodeVouchQuestion(text);
-  const auto promise = lead_->Asked(question, last_contact_, Now());
-  Told(promise.lost);
-  if (!promise.understood) return std::nullopt;
-  return wire::Encode(
-      wire::VouchAnswer{promise.promised, directory_->cancelled().Since(question.seen)});
+std::optional<std::string> SimulatedController::Vouch(const std::string& text) {
+  const wire::PromiseRequest question = wire::DecodePromiseRequest(text);
+  const auto promise = lead_->OnPromiseRequest(question, last_contact_, Now());
+  Told(promise.loss);
+  if (!promise.well_formed) return std::nullopt;
+  return wire::Encode(wire::PromiseResponse{
+      promise.promised, directory_->cancellations().Since(question.read_revision)});
 }
 
-void Controller::Told(const election::Leadership::Lost& lost) {
+void SimulatedController::Told(const election::Leadership::MaybeLoss& lost) {
   if (!lost) return;
   desk_.reset();
   dispatcher_.reset();
-  admission_->Follows();
+  admission_->OnDeposed();
 }
 
-void Controller::LearnCancelled(const std::string& id, uint64_t revision) {
-  directory_->LearnCancelled(id, revision, seen_jobs_);
+void SimulatedController::LearnCancelled(const std::string& id, uint64_t revision) {
+  directory_->OnCancellationLearned(id, revision, seen_jobs_);
   EndTasks(id);
 }
 
-void Controller::Freeze(double for_s) {
+void SimulatedController::Freeze(double for_s) {
   frozen_until_ = std::max(frozen_until_, world_.clock.now() + for_s);
 }
 
-void Controller::Running(std::function<void()> f) {
+void SimulatedController::Running(std::function<void()> f) {
   if (StandsStill()) {
     // Whatever came or fell due meanwhile comes at once when it wakes, in any order.
     world_.clock.At(frozen_until_ + world_.random.Uniform(0, 0.02),
@@ -84,19 +85,19 @@
                     });
     return;
   }
-  const auto from = turns_.Turn(Now());
-  if (from && dispatcher_) dispatcher_->StoodStill(*from, Now());
-  if (from && desk_) desk_->StoodStill(Now());
-  if (from && holder_) holder_->dispatcher().StoodStill(*from, Now());
-  if (from) liveness_->StoodStill(*from, Now());
+  const auto from = turns_.OnTurn(Now());
+  if (from && dispatcher_) dispatcher_->OnProcessStall(*from, Now());
+  if (from && desk_) desk_->OnProcessStall(Now());
+  if (from && holder_) holder_->dispatcher().OnProcessStall(*from, Now());
+  if (from) liveness_->OnProcessStall(*from, Now());
   f();
 }
 
 template <typename R>
-void Controller::Ask(std::function<R()> at_service, std::function<void(R)> back) {
+void SimulatedController::Ask(std::function<R()> at_service, std::function<void(R)> back) {
   const uint64_t life = life_;
   world_.network.Send(name_, kState, [this, life, at_service, back] {
-    if (!world_.state.up()) return;
+    if (!world_.store.up()) return;
     R result = at_service();
     world_.network.Send(kState, name_, [this, life, back, result] {
       if (alive_ && life == life_) Running([back, result] { back(result); });
@@ -105,18 +106,18 @@
 }
 
 template <typename R>
-void Controller::AskChange(std::function<R()> at_service, std::function<void(R)> back) {
+void SimulatedController::AskChange(std::function<R()> at_service, std::function<void(R)> back) {
   const bool late = world_.clock.now() < world_.late_writes_until &&
                     world_.random.Uniform(0, 1) < world_.late_writes_share;
   if (!late) return Ask(std::move(at_service), std::move(back));
   world_.clock.After(world_.random.Uniform(2, 12), [this, at_service = std::move(at_service)] {
-    if (!world_.state.up()) return;
+    if (!world_.store.up()) return;
     at_service();
     ++world_.late_writes;
   });
 }
 
-void Controller::Boot() {
+void SimulatedController::Boot() {
   alive_ = true;
   ++life_;
   lead_.emplace(settings_, derived_, Now());
@@ -130,7 +131,7 @@
   routes_.Clear();
   seen_packs_.clear();
   framing_.clear();
-  admission_ = std::make_unique<service::Admission>(settings_);
+  admission_ = std::make_unique<service::AdmissionService>(settings_);
   accepting_ = {};
   shown_.clear();
   shown_finals_.clear();
@@ -147,7 +148,7 @@
   AskToVouch();
 }
 
-void Controller::Crash(double back_after_s) {
+void SimulatedController::Crash(double back_after_s) {
   alive_ = false;
   ++life_;
   frozen_until_ = 0;
@@ -159,15 +160,15 @@
   });
 }
 
-void Controller::AskToVouch() {
+void SimulatedController::AskToVouch() {
   if (!alive_) return;
   const uint64_t life = life_;
   world_.clock.After(derived_.promise_s / 4, [this, life] {
     if (life == life_) Running([this] { AskToVouch(); });
   });
-  const auto round = lead_->Ask(last_contact_, Now());
+  const auto round = lead_->BeginPromiseRound(last_contact_, Now());
   if (!round) return;
-  const std::string question = wire::Encode(lead_->Question());
+  const std::string question = wire::Encode(lead_->MakePromiseRequest());
   for (const auto& peer : world_.nodes) {
     if (peer == name_) continue;
     world_.network.Send(name_, peer, [this, life, round = *round, peer, question] {
@@ -176,10 +177,10 @@
       world_.network.Send(peer, name_, [this, life, round, peer, text = *answer] {
         if (life != life_) return;
         Running([this, round, peer, text] {
-          std::vector<wire::CancelledPart::Entry> learned;
-          lead_->Answered(round, peer, wire::DecodeVouchAnswer(text), Now(), learned);
+          std::vector<wire::CancellationLogSlice::Entry> learned;
+          lead_->OnPromiseResponse(round, peer, wire::DecodePromiseResponse(text), Now(), learned);
           for (const auto& e : learned) {
-            learned_ += directory_->Remembered(e.id) ? 0 : 1;
+            learned_ += directory_->FindEnded(e.id) ? 0 : 1;
             LearnCancelled(e.id, e.revision);
           }
         });
@@ -188,30 +189,30 @@
   }
 }
 
-void Controller::Renew() {
+void SimulatedController::Renew() {
   if (!alive_) return;
   const uint64_t life = life_;
-  world_.clock.After(derived_.renew_s, [this, life] {
+  world_.clock.After(derived_.store_lease_renew_s, [this, life] {
     if (life == life_) Running([this] { Renew(); });
   });
   const double sent = Now();
-  if (lead_->grant() == 0) {
-    Ask<uint64_t>([this] { return world_.state.Grant(derived_.grant_s); },
+  if (lead_->store_lease() == 0) {
+    Ask<uint64_t>([this] { return world_.store.Grant(derived_.store_lease_s); },
                   [this, sent](uint64_t grant) {
-                    if (lead_->grant() == 0) lead_->Granted(grant, sent);
+                    if (lead_->store_lease() == 0) lead_->OnStoreLeaseGranted(grant, sent);
                   });
     return;
   }
-  Ask<bool>([this, grant = lead_->grant()] { return world_.state.Renew(grant); },
-            [this, sent, grant = lead_->grant()](bool ok) {
+  Ask<bool>([this, grant = lead_->store_lease()] { return world_.store.Renew(grant); },
+            [this, sent, grant = lead_->store_lease()](bool ok) {
               last_contact_ = std::max(last_contact_, sent);
-              if (grant != lead_->grant()) return;
-              if (ok) return lead_->Renewed(sent);
-              Told(lead_->GrantEnded());
+              if (grant != lead_->store_lease()) return;
+              if (ok) return lead_->OnStoreLeaseRenewed(sent);
+              Told(lead_->OnStoreLeaseEnded());
             });
 }
 
-void Controller::Poll() {
+void SimulatedController::Poll() {
   if (!alive_) return;
   const uint64_t life = life_;
   world_.clock.After(0.1, [this, life] {
@@ -220,12 +221,12 @@
   Look([](bool) {});
 }
 
-void Controller::Look(std::function<void(bool)> seen) {
+void SimulatedController::Look(std::function<void(bool)> seen) {
   if (world_.clock.now() < unread_until_) return seen(false);
-  Ask<std::shared_ptr<const StateService::View>>(
-      [this] { return world_.state.Snapshot(); },
+  Ask<std::shared_ptr<const SimulatedKeyValueStore::View>>(
+      [this] { return world_.store.Snapshot(); },
       [this, poll = ++polls_, sent = Now(),
-       seen = std::move(seen)](const std::shared_ptr<const StateService::View>& view) {
+       seen = std::move(seen)](const std::shared_ptr<const SimulatedKeyValueStore::View>& view) {
         last_contact_ = std::max(last_contact_, sent);
         // One that was asked for later has come already, and shows as much.
         if (poll > seen_poll_) {
@@ -236,32 +237,32 @@
       });
 }
 
-void Controller::See(const StateService::View& view, double sent) {
+void SimulatedController::See(const SimulatedKeyValueStore::View& view, double sent) {
   const Pairs& pairs = view.pairs;
-  if (revision_ == 0) directory_->MayHaveTold(view.revision);  // the life before this one
+  if (revision_ == 0) directory_->AssumeReportedUpTo(view.revision);  // the life before this one
   revision_ = std::max(revision_, view.revision);
-  election::Leadership::Key leads;
+  election::Leadership::LeaderKey leads;
   if (const auto leader = pairs.find(kLeader); leader != pairs.end()) {
     leads = {leader->second.value.value("node", ""), leader->second.grant, leader->second.version};
   }
-  Told(lead_->Read(leads));
-  Told(lead_->Loaded(pairs.empty()));
+  Told(lead_->OnLeaderKey(leads));
+  Told(lead_->OnLoaded(pairs.empty()));
   SeeJobs(pairs);
-  if (settings_.lease_blocks) SeeBlocks(pairs);
+  if (settings_.lease_shards) SeeBlocks(pairs);
   using Kind = election::Leadership::Step::Kind;
-  const auto step = lead_->Next(Now());
-  lead_->Seen(sent, revision_);
+  const auto step = lead_->NextStep(Now());
+  lead_->OnReadUpTo(sent, revision_);
   if (step.kind == Kind::kElected) return Elected(token(), pairs);
   if (token() == 0) {
-    if (settings_.lease_blocks) SeeOwnBlock(pairs);
+    if (settings_.lease_shards) SeeOwnBlock(pairs);
     if (step.kind == Kind::kCampaign) Campaign(step.version);
     return;
   }
   for (const auto& [key, pair] : pairs) {
-    if (key.starts_with("progress/")) dispatcher_->SeenProgress(PackOf(key), pair.version);
-    if (key.starts_with("machines/")) dispatcher_->SeenMachines(PackOf(key), pair.version);
+    if (key.starts_with("progress/")) dispatcher_->OnProgressVersion(PackOf(key), pair.version);
+    if (key.starts_with("machines/")) dispatcher_->OnMachinesVersion(PackOf(key), pair.version);
   }
-  directory_->EachLive([this](const std::string& id, const jobs::Accepted& job) {
+  directory_->ForEachLive([this](const std::string& id, const jobs::AcceptedJob& job) {
     if (dispatcher_->FindJob(id) == nullptr) dispatcher_->AddJob(job.spec, job.version, Now());
   });
   std::vector<std::string> over;
@@ -273,66 +274,66 @@
   for (const auto& node : world_.nodes) {
     const auto offer = pairs.find("holder/" + node);
     const bool offered = offer != pairs.end();
-    desk_->Offered(node, offered ? offer->second.version : 0,
+    desk_->OnOffer(node, offered ? offer->second.version : 0,
                    offered ? offer->second.value.at("grant").get<uint64_t>() : 0, Now());
-    desk_->Leased(node, routes_.LeaseOf(node), Now());
+    desk_->OnLease(node, routes_.LeaseOf(node), Now());
   }
 }
 
-void Controller::SeeBlocks(const Pairs& pairs) {
+void SimulatedController::SeeBlocks(const Pairs& pairs) {
   for (const auto& node : world_.nodes) {
     const auto block = pairs.find("block/" + node);
-    routes_.LeaseTold(node, block == pairs.end() ? 0 : block->second.version);
+    routes_.OnLease(node, block == pairs.end() ? 0 : block->second.version);
   }
   for (const auto& [key, pair] : pairs) {
     if (!key.starts_with("machines/")) continue;
     uint64_t& seen = seen_packs_[key];
     if (seen == pair.version) continue;
     seen = pair.version;
-    routes_.PackTold(PackOf(key), &pair.value, pair.version);
+    routes_.OnPack(PackOf(key), &pair.value, pair.version);
   }
   Offer(pairs);
 }
 
-void Controller::SeeOwnBlock(const Pairs& pairs) {
+void SimulatedController::SeeOwnBlock(const Pairs& pairs) {
   const auto block = pairs.find("block/" + name_);
-  const bool ours =
-      lead_->grant() != 0 && block != pairs.end() && block->second.grant == lead_->grant();
+  const bool ours = lead_->store_lease() != 0 && block != pairs.end() &&
+                    block->second.grant == lead_->store_lease();
   if (!ours) return holder_.reset();
   const uint64_t lease = block->second.version;
   if (!holder_ || holder_->lease() != lease) {
     size_t own = 0;
-    const scheduler::Blocks blocks(settings_);
-    while (blocks.controller(own) != name_) ++own;
-    holder_ = std::make_unique<shard::Holder>(
+    const scheduler::ShardMap blocks(settings_);
+    while (blocks.OwnerOf(own) != name_) ++own;
+    holder_ = std::make_unique<shard::ShardHolder>(
         settings_, derived_, own, lease, Now(),
-        [this](const std::string& id) -> std::optional<shard::Holder::Known> {
-          const jobs::Accepted* job = directory_->FindLive(id);
+        [this](const std::string& id) -> std::optional<shard::ShardHolder::LiveJob> {
+          const jobs::AcceptedJob* job = directory_->FindLive(id);
           if (job == nullptr) return std::nullopt;
-          return shard::Holder::Known{job->spec, job->version, Now()};
+          return shard::ShardHolder::LiveJob{job->spec, job->version, Now()};
         });
-    holder_->dispatcher().SetTypes(world_.types);
+    holder_->dispatcher().SetMachineTypes(world_.types);
   }
-  for (const auto& [id, e] : routes_.Under(lease)) {
-    holder_->Assigned(id, e.address, e.version, e.handed, Now());
+  for (const auto& [id, e] : routes_.MachinesUnder(lease)) {
+    holder_->OnMachineAssigned(id, e.address, e.version, e.handover_revision, Now());
   }
   std::vector<std::string> over;
-  for (const auto& [id, lost] : holder_->given_back()) {
+  for (const auto& [id, lost] : holder_->returned()) {
     if (!routes_.IsUnder(lease, id)) over.push_back(id);
   }
-  for (const auto& id : over) holder_->NotAssigned(id);
+  for (const auto& id : over) holder_->OnMachineUnassigned(id);
   over.clear();
   for (const auto& [id, job] : holder_->dispatcher().jobs()) {
     if (directory_->FindLive(id) == nullptr) over.push_back(id);
   }
-  for (const auto& id : over) holder_->JobOver(id, Now());
-  holder_->LeaderIs(lead_->leader_token());
+  for (const auto& id : over) holder_->OnJobEnded(id, Now());
+  holder_->OnLeader(lead_->leader_token());
 }
 
 // The record that offers to hold a block hangs on the grant, so it tells that the node is there.
-void Controller::Offer(const Pairs& pairs) {
+void SimulatedController::Offer(const Pairs& pairs) {
   const auto offer = pairs.find("holder/" + name_);
-  const uint64_t grant = lead_->grant();
+  const uint64_t grant = lead_->store_lease();
   if (grant == 0 || offering_) return;
   if (offer != pairs.end() && offer->second.grant == grant) return;
   offering_ = true;
@@ -343,73 +344,74 @@
   const uint64_t seen = offer == pairs.end() ? 0 : offer->second.version;
   AskChange<uint64_t>(
       [this, seen, grant] {
-        return world_.state.Commit({{"holder/" + name_, seen}},
+        return world_.store.Commit({{"holder/" + name_, seen}},
                                    {{"holder/" + name_, wire::Json{{"grant", grant}}}}, grant);
       },
       [](uint64_t) {});
 }
 
-void Controller::ChangeLeases() {
-  for (const auto& c : desk_->Changes(Now())) {
+void SimulatedController::ChangeLeases() {
+  for (const auto& c : desk_->PendingChanges(Now())) {
     const uint64_t life = life_;
     const auto done = [this, life, node = c.node, token = token()](uint64_t revision) {
       if (life == life_ && token == lead_->token() && desk_)
-        desk_->Written(node, revision != 0, Now());
+        desk_->OnChangeWritten(node, revision != 0, Now());
     };
     world_.clock.After(1.0, [this, done] { Running([done] { done(0); }); });
     AskChange<uint64_t>(
         [this, c, token = token()]() -> uint64_t {
           const std::string block = "block/" + c.node;
           if (c.lease != 0) {
-            return world_.state.Commit({{kLeader, token}, {block, c.lease}},
+            return world_.store.Commit({{kLeader, token}, {block, c.lease}},
                                        {{block, std::nullopt}});
           }
-          return world_.state.Commit({{kLeader, token}, {block, 0}, {"holder/" + c.node, c.offer}},
-                                     {{block, wire::Json{{"grant", c.grant}}}}, c.grant);
+          return world_.store.Commit({{kLeader, token}, {block, 0}, {"holder/" + c.node, c.offer}},
+                                     {{block, wire::Json{{"grant", c.store_lease}}}},
+                                     c.store_lease);
         },
         done);
   }
 }
 
-std::optional<wire::BlockFrame> Controller::TakeFrame(const std::string& text) {
-  const wire::BlockFrame frame = wire::DecodeBlockFrame(text);
+std::optional<wire::ShardFrame> SimulatedController::TakeFrame(const std::string& text) {
+  const wire::ShardFrame frame = wire::DecodeShardFrame(text);
   if (frame.from_leader) {
     if (!holder_ || !MayHold() || !holder_->OnFrame(frame, Now())) return std::nullopt;
-    wire::BlockFrame answer = holder_->Answer();
+    wire::ShardFrame answer = holder_->MakeAnswer();
     answer.node = name_;
     return answer;
   }
   if (!leading() || !desk_ || !desk_->OnFrame(frame, Now())) return std::nullopt;
-  auto answer = desk_->Answer(frame.node);
+  auto answer = desk_->MakeAnswer(frame.node);
   if (answer) {
     answer->view_age_s = lead_->view_age_s(Now());
-    answer->cancelled = directory_->cancelled().newest();
+    answer->newest_cancellation = directory_->cancellations().newest();
   }
   return answer;
 }
 
-void Controller::SendFrame(const std::string& to, wire::BlockFrame frame, bool as_leader) {
+void SimulatedController::SendFrame(const std::string& to, wire::ShardFrame frame, bool as_leader) {
   if (!framing_.insert(to).second) return;
   frame.node = name_;
   const uint64_t life = life_;
   const double sent = Now();
   auto answered = std::make_shared<bool>(false);
   const auto finish = [this, life, to, as_leader, answered,
-                       sent](std::optional<wire::BlockFrame> answer) {
+                       sent](std::optional<wire::ShardFrame> answer) {
     if (*answered || life != life_) return;
     *answered = true;
     framing_.erase(to);
     if (!answer) {
-      if (as_leader && desk_) desk_->FrameLost(to);
-      if (!as_leader && holder_) holder_->FrameLost();
+      if (as_leader && desk_) desk_->OnFrameLost(to);
+      if (!as_leader && holder_) holder_->OnFrameLost();
       return;
     }
     if (as_leader) {
       if (desk_ && leading()) desk_->OnFrame(*answer, Now());
     } else if (holder_ && MayHold() && holder_->OnFrame(*answer, Now()) &&
-               answer->view_age_s < wire::kNever && revision_ >= answer->cancelled) {
+               answer->view_age_s < wire::kNeverS && revision_ >= answer->newest_cancellation) {
       // Whatever anybody had told when this was asked, less the leader's own lag, is known here.
-      lead_->Heard(sent - answer->view_age_s * (1 + 2 * config::kDrift));
+      lead_->OnLeaderView(sent - answer->view_age_s * (1 + 2 * config::kMaxClockDrift));
     }
   };
   world_.clock.After(1.0, [this, life, finish] {
@@ -422,10 +424,10 @@
   });
 }
 
-void Controller::SendFrames() {
+void SimulatedController::SendFrames() {
   if (desk_ && leading()) {
     for (auto& [node, frame] : desk_->NextFrames(Now())) {
-      frame.view_age_s = wire::kNever;
+      frame.view_age_s = wire::kNeverS;
       SendFrame(node, std::move(frame), true);
     }
   }
@@ -436,63 +438,64 @@
   }
 }
 
-void Controller::Campaign(uint64_t version) {
-  lead_->Campaigning(true);
+void SimulatedController::Campaign(uint64_t version) {
+  lead_->SetCampaigning(true);
   const uint64_t life = life_;
   world_.clock.After(0.5, [this, life] {
-    if (life == life_) lead_->Campaigning(false);
+    if (life == life_) lead_->SetCampaigning(false);
   });
   AskChange<uint64_t>(
-      [this, version, grant = lead_->grant()] {
-        return world_.state.Commit({{kLeader, version}}, {{kLeader, wire::Json{{"node", name_}}}},
+      [this, version, grant = lead_->store_lease()] {
+        return world_.store.Commit({{kLeader, version}}, {{kLeader, wire::Json{{"node", name_}}}},
                                    grant);
       },
       [](uint64_t) {});
 }
 
-void Controller::Elected(uint64_t token, const Pairs& pairs) {
+void SimulatedController::Elected(uint64_t token, const Pairs& pairs) {
   world_.elections.push_back(world_.clock.now());
-  admission_->Leads(token, Now());
+  admission_->OnElected(token, Now());
   // One that leads holds no block: what it held is asked what it has, like all that is inherited.
   holder_.reset();
   desk_.reset();
-  dispatcher_ = std::make_unique<scheduler::Dispatcher>(settings_, derived_, token, Now());
-  dispatcher_->SetTypes(world_.types);
-  dispatcher_->MarkedSince(0);
+  dispatcher_ = std::make_unique<scheduler::Scheduler>(settings_, derived_, token, Now());
+  dispatcher_->SetMachineTypes(world_.types);
+  dispatcher_->SetMarkersSince(0);
   dispatcher_->Apply({});
-  if (settings_.lease_blocks) {
-    desk_ = std::make_unique<shard::Desk>(settings_, derived_, *dispatcher_, token);
-    for (const auto& [lease, node] : routes_.leases()) desk_->Inherited(node, lease);
+  if (settings_.lease_shards) {
+    desk_ = std::make_unique<shard::ShardLeaseManager>(settings_, derived_, *dispatcher_, token);
+    for (const auto& [lease, node] : routes_.leases()) desk_->OnInheritedLease(node, lease);
     Ask<uint64_t>(
         [this, token] {
-          return world_.state.Commit({{kLeader, token}}, {{"block/" + name_, std::nullopt}});
+          return world_.store.Commit({{kLeader, token}}, {{"block/" + name_, std::nullopt}});
         },
         [](uint64_t) {});
   }
   for (const auto& [key, pair] : pairs) {
     if (key.starts_with("progress/")) {
-      dispatcher_->LoadProgress(PackOf(key), pair.value, pair.version);
+      dispatcher_->LoadProgressPack(PackOf(key), pair.value, pair.version);
     } else if (key.starts_with("machines/")) {
-      dispatcher_->LoadMachines(PackOf(key), pair.value, pair.version);
+      dispatcher_->LoadMachinesPack(PackOf(key), pair.value, pair.version);
     }
   }
-  directory_->EachLive([this](const std::string&, const jobs::Accepted& job) {
+  directory_->ForEachLive([this](const std::string&, const jobs::AcceptedJob& job) {
     dispatcher_->AddJob(job.spec, job.version, Now());
   });
 }
 
-void Controller::OnReport(const wire::Report& r, const World::ReportAnswer& answer) {
+void SimulatedController::OnReport(const wire::Heartbeat& r,
+                                   const SimulatedEnvironment::ReportAnswer& answer) {
   if (!alive_) return;
   if (StandsStill()) return Running([this, r, answer] { OnReport(r, answer); });
-  if (holder_ && holder_->dispatcher().Commands(r.machine)) {
+  if (holder_ && holder_->dispatcher().Owns(r.machine)) {
     if (!MayHold()) return answer(503, 0, {}, "");
-    scheduler::ReportAnswer a = holder_->OnReport(r, Now());
+    scheduler::HeartbeatAnswer a = holder_->OnHeartbeat(r, Now());
     if (!a.accepted) return answer(503, 0, {}, "");
-    for (const auto& c : a.commands) held_starts_ += c.op == wire::Op::kStart ? 1 : 0;
+    for (const auto& c : a.commands) held_starts_ += c.type == wire::CommandType::kStart ? 1 : 0;
     answer(200, a.token, a.commands, "");
     return SendDirect();
   }
-  if (settings_.lease_blocks) {
+  if (settings_.lease_shards) {
     const bool leads = desk_ && leading();
     std::string holder = leads ? desk_->HolderOf(r.machine) : routes_.HolderOf(r.machine);
     if (holder.empty() && !leads && !dispatcher_) holder = lead_->leader();
@@ -501,22 +504,22 @@
   if (!leading()) {
     const std::string& leader = lead_->leader();
     if (dispatcher_ || leader == name_) return answer(503, 0, {}, "");
-    return answer(421, 0, {}, liveness_->Silent(leader, Now()) ? "" : leader);
+    return answer(421, 0, {}, liveness_->IsSuspected(leader, Now()) ? "" : leader);
   }
-  scheduler::ReportAnswer a = dispatcher_->OnReport(r, Now());
+  scheduler::HeartbeatAnswer a = dispatcher_->OnHeartbeat(r, Now());
   if (!a.accepted) return answer(503, 0, {}, "");
-  vouched_ += lead_->GrantHolds(Now()) ? 0 : 1;
+  vouched_ += lead_->StoreLeaseHolds(Now()) ? 0 : 1;
   answer(200, a.token, a.commands, "");
   SendDirect();
 }
 
-void Controller::Tick() {
+void SimulatedController::Tick() {
   if (!alive_) return;
   const uint64_t life = life_;
-  world_.clock.After(world_.settings.report_s / 6, [this, life] {
+  world_.clock.After(world_.settings.heartbeat_s / 6, [this, life] {
     if (life == life_) Running([this] { Tick(); });
   });
-  const bool out_of_date = lead_->OutOfDate(Now());
+  const bool out_of_date = lead_->IsStale(Now());
   if (out_of_date && !reluctant && lead_->MayResign(Now())) return Resign();
   if (holder_ && MayHold()) {
     holder_->Tick(Now());
@@ -525,40 +528,40 @@
   SendFrames();
   if (!leading()) return;
   if (desk_) ChangeLeases();
-  if (dispatcher_->Blind(Now()) && lead_->MayResign(Now())) return Resign();
+  if (dispatcher_->IsPartitionedFromAgents(Now()) && lead_->MayResign(Now())) return Resign();
   dispatcher_->Tick(Now());
   WriteCompletions();
   Flush();
   SendDirect();
-  const autoscaler::Plan plan = dispatcher_->PlanFleet(Now());
-  for (const auto& wish : plan.rent) {
+  const autoscaler::ScalingPlan plan = dispatcher_->PlanScaling(Now());
+  for (const auto& wish : plan.scale_out) {
     for (int i = 0; i < wish.count; ++i) {
       const std::string id = world_.Rent(wish.type, wish.zone, wish.spot);
       if (id.empty()) {
-        dispatcher_->RentRefused(wish, Now() + world_.settings.report_s);
+        dispatcher_->OnProvisioningRefused(wish, Now() + world_.settings.heartbeat_s);
       } else {
-        dispatcher_->Rented({id}, wish, Now());
+        dispatcher_->OnProvisioned({id}, wish, Now());
       }
     }
   }
-  for (const auto& id : plan.give_back) {
-    dispatcher_->MachineDeleting(id);
+  for (const auto& id : plan.scale_in) {
+    dispatcher_->OnMachineDeleting(id);
     world_.network.Send(name_, "cloud", [this, id, life] {
       world_.Delete(id);
       world_.network.Send("cloud", name_, [this, id, life, token = token()] {
         if (life != life_) return;
         Running([this, id, token] {
-          if (token == lead_->token() && dispatcher_) dispatcher_->MachineDeleted(id, Now());
+          if (token == lead_->token() && dispatcher_) dispatcher_->OnMachineDeleted(id, Now());
         });
       });
     });
   }
 }
 
-void Controller::ListMachines() {
+void SimulatedController::ListMachines() {
   if (!alive_) return;
   const uint64_t life = life_;
-  world_.clock.After(derived_.list_s, [this, life] {
+  world_.clock.After(derived_.machine_list_interval_s, [this, life] {
     if (life == life_) Running([this] { ListMachines(); });
   });
   if (!leading()) return;
@@ -566,29 +569,30 @@
     world_.network.Send("cloud", name_, [this, life, token, asked, listed = world_.List()] {
       if (life != life_) return;
       Running([this, token, asked, listed] {
-        if (token == lead_->token() && dispatcher_) dispatcher_->OnListed(listed, asked, Now());
+        if (token == lead_->token() && dispatcher_)
+          dispatcher_->OnMachineList(listed, asked, Now());
       });
     });
   });
 }
 
-void Controller::Resign() {
-  const uint64_t grant = lead_->grant();
+void SimulatedController::Resign() {
+  const uint64_t grant = lead_->store_lease();
   Told(lead_->Resign("", Now()));
   ++resigned_;
   Ask<bool>(
       [this, grant] {
-        world_.state.End(grant);
+        world_.store.End(grant);
         return true;
       },
       [](bool) {});
 }
 
-void Controller::WriteCompletions() {
-  for (const auto& id : dispatcher_->TakeCompleted()) {
-    const auto records = directory_->ledger().End({id}, seen_jobs_);
+void SimulatedController::WriteCompletions() {
+  for (const auto& id : dispatcher_->TakeCompletedJobs()) {
+    const auto records = directory_->records().PlanEnd({id}, seen_jobs_);
     if (records.empty()) {
-      dispatcher_->CompletionFailed(id);
+      dispatcher_->OnCompletionFailed(id);
       continue;
     }
     const uint64_t life = life_;
@@ -597,43 +601,44 @@
       if (*answered || life != life_ || token != lead_->token() || !dispatcher_) return;
       *answered = true;
       if (revision != 0) {
-        directory_->Over(id, jobs::Known::kDone);
+        directory_->OnEnded(id, jobs::JobStatus::kDone);
         dispatcher_->RemoveJob(id, Now());
       } else {
-        dispatcher_->CompletionFailed(id);
+        dispatcher_->OnCompletionFailed(id);
       }
     };
     world_.clock.After(1.0, [this, finish] { Running([finish] { finish(0); }); });  // no answer
     AskChange<uint64_t>(
         [this, id, records, token = token()] {
-          const uint64_t revision = CommitEnd(id, jobs::Known::kDone, records, {{kLeader, token}});
-          if (revision != 0) world_.checker.ToldDone(id, world_.clock.now());
+          const uint64_t revision =
+              CommitEnd(id, jobs::JobStatus::kDone, records, {{kLeader, token}});
+          if (revision != 0) world_.rule_checker.ToldDone(id, world_.clock.now());
           return revision;
         },
         finish);
   }
 }
 
-uint64_t Controller::CommitEnd(const std::string& id, jobs::Known end,
-                               const std::vector<jobs::RecordChange>& records,
-                               std::vector<std::pair<std::string, uint64_t>> conditions) {
+uint64_t SimulatedController::CommitEnd(const std::string& id, jobs::JobStatus end,
+                                        const std::vector<jobs::RecordChange>& records,
+                                        std::vector<std::pair<std::string, uint64_t>> conditions) {
   std::vector<std::pair<std::string, std::optional<wire::Json>>> changes;
   // One end only, whoever is first.
   conditions.emplace_back(kFinal + id, 0);
-  changes.emplace_back(kFinal + id, jobs::FinalRecord(end));
+  changes.emplace_back(kFinal + id, jobs::EncodeFinalRecord(end));
   for (const auto& r : records) {
     conditions.emplace_back(r.key, r.version);
     changes.emplace_back(r.key, r.value);
   }
-  return world_.state.Commit(conditions, changes);
+  return world_.store.Commit(conditions, changes);
 }
 
-void Controller::Flush() {
+void SimulatedController::Flush() {
   const auto records = dispatcher_->TakeRecords(100, 48u << 10);
   if (records.empty()) return;
   std::vector<std::pair<std::string, uint64_t>> conditions{{kLeader, token()}};
   std::vector<std::pair<std::string, std::optional<wire::Json>>> changes;
-  const auto put = [&](const std::string& prefix, const kvstore::PackedMap::Written& w) {
+  const auto put = [&](const std::string& prefix, const kvstore::PackedMap::PackWrite& w) {
     conditions.emplace_back(prefix + std::to_string(w.pack), w.version);
     changes.emplace_back(prefix + std::to_string(w.pack), w.value);
   };
@@ -645,62 +650,64 @@
     if (*answered || life != life_ || token != lead_->token() || !dispatcher_) return;
     *answered = true;
     if (revision != 0) {
-      dispatcher_->RecordsWritten(revision, Now());
+      dispatcher_->OnRecordsWritten(revision, Now());
     } else {
-      dispatcher_->RecordsFailed();
+      dispatcher_->OnRecordsFailed();
     }
   };
   world_.clock.After(1.0, [this, finish] { Running([finish] { finish(0); }); });  // no answer
   AskChange<uint64_t>(
-      [this, conditions, changes] { return world_.state.Commit(conditions, changes); }, finish);
+      [this, conditions, changes] { return world_.store.Commit(conditions, changes); }, finish);
 }
 
-void Controller::SendDirect() {
+void SimulatedController::SendDirect() {
   if (dispatcher_ && leading()) SendOrders(*dispatcher_, 0);
   if (holder_ && MayHold()) SendOrders(holder_->dispatcher(), holder_->lease());
 }
 
-void Controller::SendOrders(scheduler::Dispatcher& dispatcher, uint64_t lease) {
-  for (auto& order : dispatcher.TakeDirect(Now())) {
+void SimulatedController::SendOrders(scheduler::Scheduler& dispatcher, uint64_t lease) {
+  for (auto& order : dispatcher.TakeCommands(Now())) {
     const uint64_t life = life_;
     const uint64_t token = lead_->token();
     for (const auto& c : order.commands) {
-      held_starts_ += lease != 0 && c.op == wire::Op::kStart ? 1 : 0;
+      held_starts_ += lease != 0 && c.type == wire::CommandType::kStart ? 1 : 0;
     }
-    world_.decisions.Ordered(world_.clock.now(), order.machine, order.address, order.token,
-                             order.session, order.commands);
+    world_.decisions.Ordered(world_.clock.now(), order.machine, order.address, order.fencing_token,
+                             order.agent_epoch, order.commands);
     auto answered = std::make_shared<bool>(false);
-    const auto finish = [this, life, token, lease, answered, order](scheduler::DirectOutcome outcome,
-                                                                    const wire::Report* r) {
+    const auto finish = [this, life, token, lease, answered, order](
+                            scheduler::CommandOutcome outcome, const wire::Heartbeat* r) {
       if (*answered || life != life_) return;
       *answered = true;
       if (lease != 0) {
-        if (holder_ && holder_->lease() == lease) holder_->OnDirect(order, outcome, r, Now());
+        if (holder_ && holder_->lease() == lease)
+          holder_->OnCommandOutcome(order, outcome, r, Now());
       } else if (token == lead_->token() && dispatcher_) {
-        dispatcher_->OnDirect(order, outcome, r, Now());
+        dispatcher_->OnCommandOutcome(order, outcome, r, Now());
       }
     };
-    world_.clock.After(world_.settings.report_s, [this, finish] {
-      Running([finish] { finish(scheduler::DirectOutcome::kUnsure, nullptr); });
+    world_.clock.After(world_.settings.heartbeat_s, [this, finish] {
+      Running([finish] { finish(scheduler::CommandOutcome::kUndetermined, nullptr); });
     });
     // A connection is to whoever is there, which need not be the machine that is meant; what is
     // held back on it is never for another one that is up under the address later.
-    Worker* const w = world_.At(order.address);
+    SimulatedAgent* const w = world_.At(order.address);
     if (w == nullptr) continue;
-    const std::function<void()> arrive = [this, order, finish, w, life = w->life(),
+    const std::function<void()> arrive = [this, order, finish, w, life = w->incarnation(),
                                           sent = world_.clock.now()] {
-      if (!w->alive() || w->life() != life) return;
+      if (!w->alive() || w->incarnation() != life) return;
       world_.late_orders += world_.clock.now() - sent > 2 ? 1 : 0;
-      const int status = w->Commands(order.token, order.session, order.commands);
-      const wire::Report r = w->Answer();
+      const int status = w->OnCommands(order.fencing_token, order.agent_epoch, order.commands);
+      const wire::Heartbeat r = w->MakeHeartbeat();
       const double held = world_.clock.now() < world_.held_answers_until
-                              ? world_.random.Uniform(0, 1.2 * world_.settings.report_s)
+                              ? world_.random.Uniform(0, 1.2 * world_.settings.heartbeat_s)
                               : 0;
       world_.clock.After(held, [this, w, status, r, finish] {
         world_.network.Send(w->id(), name_, [this, w, status, r, finish] {
-          world_.late_answers += w->heard_seq() > r.seq ? 1 : 0;
+          world_.late_answers += w->heard_seq() > r.sequence ? 1 : 0;
           Running([status, r, finish] {
-            finish(status == 200 ? scheduler::DirectOutcome::kExecuted : scheduler::DirectOutcome::kRefused,
+            finish(status == 200 ? scheduler::CommandOutcome::kExecuted
+                                 : scheduler::CommandOutcome::kRefused,
                    &r);
           });
         });
@@ -712,36 +719,37 @@
 
 // ---------------------------------------------------------------------------- users
 
-void Controller::SeeJobs(const Pairs& pairs) {
+void SimulatedController::SeeJobs(const Pairs& pairs) {
   if (seen_jobs_ == revision_) return;
   seen_jobs_ = revision_;
-  const auto told = [this](const jobs::Ledger::Change& change) {
-    for (const auto& id : change.came) {
-      admission_->gate().Came(directory_->ledger().Find(id)->spec);
+  const auto told = [this](const jobs::JobRecords::Change& change) {
+    for (const auto& id : change.accepted) {
+      admission_->controller().OnAccepted(directory_->records().Find(id)->spec);
     }
-    for (const auto& id : change.ended) admission_->gate().Ended(id, Now());
+    for (const auto& id : change.ended) admission_->controller().OnEnded(id, Now());
   };
   for (auto it = pairs.lower_bound(kFinal); it != pairs.end() && it->first.starts_with(kFinal);
        ++it) {
     if (!shown_finals_.insert(it->first).second) continue;
-    directory_->FinalSeen(it->first.substr(kFinal.size()), it->second.value, it->second.version);
+    directory_->OnFinalRecord(it->first.substr(kFinal.size()), it->second.value,
+                              it->second.version);
   }
   std::erase_if(shown_, [&](const auto& shown) {
     if (pairs.contains(shown.first)) return false;
-    told(directory_->Seen(shown.first, nullptr, seen_jobs_));
+    told(directory_->OnRecord(shown.first, nullptr, seen_jobs_));
     return true;
   });
   for (auto it = pairs.lower_bound(kJob); it != pairs.end() && it->first.starts_with(kJob); ++it) {
     uint64_t& version = shown_[it->first];
     if (std::exchange(version, it->second.version) == it->second.version) continue;
-    told(directory_->Seen(it->first, &it->second.value, it->second.version));
+    told(directory_->OnRecord(it->first, &it->second.value, it->second.version));
   }
-  directory_->Loaded(seen_jobs_);
+  directory_->OnLoaded(seen_jobs_);
   // Jobs may come and go between two looks.
-  admission_->gate().Loaded(revision_);
+  admission_->controller().OnLoaded(revision_);
 }
 
-void Controller::OnSubmit(const wire::JobSpec& spec, const SubmitAnswer& answer) {
+void SimulatedController::OnSubmit(const wire::JobSpec& spec, const SubmitAnswer& answer) {
   if (!alive_) return;
   if (StandsStill()) return Running([this, spec, answer] { OnSubmit(spec, answer); });
   const auto tell = [this, answer](int status, double retry_after_s) {
@@ -749,127 +757,133 @@
                         [answer, status, retry_after_s] { answer(status, retry_after_s); });
   };
   // A known job is answered before anything else is checked.
-  if (directory_->Holds(spec.id)) {
-    return Lookup(spec.id, [this, id = spec.id, tell](jobs::Known known) {
-      const bool told = known != jobs::Known::kUnsure && known != jobs::Known::kMissing;
+  if (directory_->Contains(spec.id)) {
+    return Lookup(spec.id, [this, id = spec.id, tell](jobs::JobStatus known) {
+      const bool told =
+          known != jobs::JobStatus::kUndetermined && known != jobs::JobStatus::kMissing;
       if (told) Tells(id, known);
       tell(told ? 200 : 503, 1);
     });
   }
   if (seen_poll_ == 0) return tell(503, 1);
-  if (!admission::WhyNeverRuns(spec, settings_.teams, world_.types).empty()) {
-    return Lookup(spec.id, [tell](jobs::Known known) {
-      tell(known == jobs::Known::kMissing ? 422 : known == jobs::Known::kUnsure ? 503 : 200, 1);
+  if (!admission::ReasonNeverRunnable(spec, settings_.teams, world_.types).empty()) {
+    return Lookup(spec.id, [tell](jobs::JobStatus known) {
+      tell(known == jobs::JobStatus::kMissing        ? 422
+           : known == jobs::JobStatus::kUndetermined ? 503
+                                                     : 200,
+           1);
     });
   }
-  const auto verdict = admission_->Ask(spec, Now());
+  const auto verdict = admission_->Request(spec, Now());
   if (!verdict.admit) {
     ++refused_;
     return tell(429, verdict.retry_after_s);
   }
-  accepting_.Push(spec.team, spec.job_class, admission::RankWeight(spec.rank),
+  accepting_.Push(spec.team, spec.job_class, admission::PriorityWeight(spec.priority),
                   {spec, Now() + derived_.user_deadline_s, tell});
 }
 
-// As service/job_table.
-void Controller::Lookup(const std::string& id, std::function<void(jobs::Known)> done) {
-  if (const auto known = directory_->Remembered(id)) return done(*known);
+// As service/job_service.
+void SimulatedController::Lookup(const std::string& id, std::function<void(jobs::JobStatus)> done) {
+  if (const auto known = directory_->FindEnded(id)) return done(*known);
   Look([this, id, done = std::move(done)](bool seen) {
-    if (const auto known = seen ? directory_->AfterLook(id) : directory_->Remembered(id)) {
+    if (const auto known = seen ? directory_->StatusAfterRead(id) : directory_->FindEnded(id)) {
       return done(*known);
     }
-    if (!seen) return done(jobs::Known::kUnsure);
-    using Final = std::optional<StateService::Pair>;
+    if (!seen) return done(jobs::JobStatus::kUndetermined);
+    using Final = std::optional<SimulatedKeyValueStore::Pair>;
     Ask<Final>(
         [this, id]() -> Final {
-          const auto it = world_.state.pairs().find(kFinal + id);
-          return it == world_.state.pairs().end() ? std::nullopt : Final(it->second);
+          const auto it = world_.store.pairs().find(kFinal + id);
+          return it == world_.store.pairs().end() ? std::nullopt : Final(it->second);
         },
         [this, id, looked = seen_jobs_, done](const Final& final_record) {
-          const auto known =
-              directory_->FinalRead(id, final_record ? &final_record->value : nullptr,
-                                    final_record ? final_record->version : 0, looked, seen_jobs_);
-          if (known == jobs::Known::kCancelled) EndTasks(id);
+          const auto known = directory_->StatusFromFinalRecord(
+              id, final_record ? &final_record->value : nullptr,
+              final_record ? final_record->version : 0, looked, seen_jobs_);
+          if (known == jobs::JobStatus::kCancelled) EndTasks(id);
           done(known);
         });
   });
 }
 
-void Controller::EndTasks(const std::string& id) {
+void SimulatedController::EndTasks(const std::string& id) {
   if (dispatcher_) dispatcher_->RemoveJob(id, Now());
-  if (holder_) holder_->JobOver(id, Now());
+  if (holder_) holder_->OnJobEnded(id, Now());
 }
 
-wire::Stage Controller::Tells(const std::string& id, jobs::Known known) {
-  if (known == jobs::Known::kCancelled) {
+wire::JobState SimulatedController::Tells(const std::string& id, jobs::JobStatus known) {
+  if (known == jobs::JobStatus::kCancelled) {
     world_.confirmer = name_;
-    return wire::Stage::kCancelled;
+    return wire::JobState::kCancelled;
   }
-  if (known == jobs::Known::kDone) return wire::Stage::kDone;
+  if (known == jobs::JobStatus::kDone) return wire::JobState::kDone;
   const bool runs = dispatcher_ && dispatcher_->Counts(id).running > 0;
-  return runs ? wire::Stage::kRunning : wire::Stage::kQueued;
+  return runs ? wire::JobState::kRunning : wire::JobState::kQueued;
 }
 
-void Controller::OnAsked(const std::string& id, const JobAnswer& answer) {
+void SimulatedController::OnAsked(const std::string& id, const JobAnswer& answer) {
   if (!alive_) return;
   if (StandsStill()) return Running([this, id, answer] { OnAsked(id, answer); });
-  Lookup(id, [this, id, answer](jobs::Known known) { AnswerKnown(id, known, answer); });
+  Lookup(id, [this, id, answer](jobs::JobStatus known) { AnswerKnown(id, known, answer); });
 }
 
-void Controller::AnswerKnown(const std::string& id, jobs::Known known, const JobAnswer& answer) {
-  const int status = known == jobs::Known::kUnsure    ? 503
-                     : known == jobs::Known::kMissing ? 404
-                                                      : 200;
-  const auto stage = status == 200 ? Tells(id, known) : wire::Stage::kQueued;
+void SimulatedController::AnswerKnown(const std::string& id, jobs::JobStatus known,
+                                      const JobAnswer& answer) {
+  const int status = known == jobs::JobStatus::kUndetermined ? 503
+                     : known == jobs::JobStatus::kMissing    ? 404
+                                                             : 200;
+  const auto stage = status == 200 ? Tells(id, known) : wire::JobState::kQueued;
   world_.network.Send(name_, "users", [answer, status, stage] { answer(status, stage); });
 }
 
-void Controller::OnCancel(const std::string& id, const JobAnswer& answer) {
+void SimulatedController::OnCancel(const std::string& id, const JobAnswer& answer) {
   if (!alive_) return;
   if (StandsStill()) return Running([this, id, answer] { OnCancel(id, answer); });
-  TryCancel(id, Now() + derived_.user_deadline_s, [this, id, answer](jobs::Known known) {
+  TryCancel(id, Now() + derived_.user_deadline_s, [this, id, answer](jobs::JobStatus known) {
     // However it came to know of it.
-    if (known == jobs::Known::kCancelled) world_.checker.ToldCancelled(id, world_.clock.now());
+    if (known == jobs::JobStatus::kCancelled)
+      world_.rule_checker.ToldCancelled(id, world_.clock.now());
     AnswerKnown(id, known, answer);
   });
 }
 
-void Controller::TryCancel(const std::string& id, double deadline,
-                           std::function<void(jobs::Known)> done) {
-  Lookup(id, [this, id, deadline, done = std::move(done)](jobs::Known known) {
-    using Kind = jobs::Directory::CancelStep::Kind;
-    const auto step = directory_->Cancel(id, known, seen_jobs_);
-    if (step.kind == Kind::kTell) return done(step.known);
-    if (Now() >= deadline) return done(jobs::Known::kUnsure);
-    if (step.kind == Kind::kLook) return TryCancel(id, deadline, done);
+void SimulatedController::TryCancel(const std::string& id, double deadline,
+                                    std::function<void(jobs::JobStatus)> done) {
+  Lookup(id, [this, id, deadline, done = std::move(done)](jobs::JobStatus known) {
+    using Kind = jobs::JobIndex::CancelStep::Kind;
+    const auto step = directory_->PlanCancellation(id, known, seen_jobs_);
+    if (step.kind == Kind::kAnswer) return done(step.status);
+    if (Now() >= deadline) return done(jobs::JobStatus::kUndetermined);
+    if (step.kind == Kind::kReadAgain) return TryCancel(id, deadline, done);
     AskChange<uint64_t>(
-        [this, id, step] { return CommitEnd(id, jobs::Known::kCancelled, step.records, {}); },
+        [this, id, step] { return CommitEnd(id, jobs::JobStatus::kCancelled, step.records, {}); },
         [this, id, deadline, done](uint64_t revision) {
           if (revision == 0) return TryCancel(id, deadline, done);
           LearnCancelled(id, revision);
-          done(jobs::Known::kCancelled);
+          done(jobs::JobStatus::kCancelled);
         });
   });
 }
 
-void Controller::PumpAccepts() {
+void SimulatedController::PumpAccepts() {
   if (!alive_) return;
   world_.clock.After(1 / accept_rate_, [this, life = life_] {
     if (life == life_) Running([this] { PumpAccepts(); });
   });
-  accepting_.TakeIf([now = Now()](const Waiting& w) { return w.deadline <= now; },
-                    [this](Waiting w) {
-                      admission_->gate().Dropped(w.spec.id);
-                      w.answer(503, 1);
-                    });
+  accepting_.RemoveIf([now = Now()](const Waiting& w) { return w.deadline <= now; },
+                      [this](Waiting w) {
+                        admission_->controller().OnDropped(w.spec.id);
+                        w.answer(503, 1);
+                      });
   // As many as may share a change.
-  const size_t most = static_cast<size_t>((4 * settings_.txn_ops - 1) / 2);
+  const size_t most = static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
   std::vector<Waiting> batch;
   while (!accepting_.empty() && batch.size() < most) batch.push_back(accepting_.Pop());
   if (!batch.empty()) AcceptNow(std::move(batch));
 }
 
-void Controller::AcceptNow(std::vector<Waiting> batch) {
+void SimulatedController::AcceptNow(std::vector<Waiting> batch) {
   const auto jobs = std::make_shared<std::vector<Waiting>>(std::move(batch));
   auto answered = std::make_shared<bool>(false);
   const auto finish = [this, life = life_, jobs, answered](std::optional<std::vector<uint64_t>> r) {
@@ -877,10 +891,10 @@
     for (size_t i = 0; i < jobs->size(); ++i) {
       const Waiting& w = (*jobs)[i];
       if (r && (*r)[i] != 0) {
-        admission_->gate().Accepted(w.spec.id, (*r)[i]);
+        admission_->controller().OnDurable(w.spec.id, (*r)[i]);
         w.answer(201, 0);
       } else {
-        admission_->gate().Dropped(w.spec.id);
+        admission_->controller().OnDropped(w.spec.id);
         w.answer(r ? 200 : 503, 1);
       }
     }
@@ -891,24 +905,25 @@
         std::vector<uint64_t> revisions;
         for (const Waiting& w : *jobs) {
           const std::string& id = w.spec.id;
-          revisions.push_back(world_.state.Commit({{kJob + id, 0}, {kFinal + id, 0}},
-                                                  {{kJob + id, jobs::Ledger::Entry(w.spec, 0)}}));
+          revisions.push_back(
+              world_.store.Commit({{kJob + id, 0}, {kFinal + id, 0}},
+                                  {{kJob + id, jobs::JobRecords::EncodeEntry(w.spec, 0)}}));
         }
         return revisions;
       },
       [finish](std::vector<uint64_t> r) { finish(std::move(r)); });
 }
 
-void Controller::SendPresence() {
+void SimulatedController::SendPresence() {
   if (!alive_) return;
-  world_.clock.After(std::max(0.5, settings_.report_s / 4), [this, life = life_] {
+  world_.clock.After(std::max(0.5, settings_.heartbeat_s / 4), [this, life = life_] {
     if (life == life_) Running([this] { SendPresence(); });
   });
-  wire::Presence p;
+  wire::PeerHeartbeat p;
   p.node = name_;
   p.demand = admission_->Demand(Now());
   const std::string text = wire::Encode(p);
-  if (leading()) admission_->Told(admission_->PlanFor(name_, *p.demand, Now()), Now());
+  if (leading()) admission_->OnPlan(admission_->PlanFor(name_, *p.demand, Now()), Now());
   for (const auto& peer : world_.nodes) {
     if (peer == name_) continue;
     const double asked = Now();
@@ -919,17 +934,19 @@
       world_.network.Send(peer, name_, [this, answer, asked, life] {
         // What was given up is never read, however late it comes.
         if (life != life_ || !alive_) return;
-        Running([this, answer, asked] { admission_->Told(wire::DecodePlan(*answer), asked); });
+        Running([this, answer, asked] {
+          admission_->OnPlan(wire::DecodeAdmissionPlan(*answer), asked);
+        });
       });
     });
   }
 }
 
-std::optional<std::string> Controller::TakePresence(const std::string& text) {
+std::optional<std::string> SimulatedController::TakePresence(const std::string& text) {
   if (!alive_ || StandsStill()) return std::nullopt;
-  const wire::Presence p = wire::DecodePresence(text);
-  liveness_->Heard(p, Now());
-  admission::Plan plan;
+  const wire::PeerHeartbeat p = wire::DecodePeerHeartbeat(text);
+  liveness_->OnHeartbeat(p, Now());
+  admission::AdmissionPlan plan;
   if (leading()) plan = admission_->PlanFor(p.node, *p.demand, Now());
   return wire::Encode(plan);
 }
