--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -8,28 +8,28 @@
 #include <string>
 
 #include "mosspath/admission/fair_queue.h"
-#include "mosspath/shard/desk.h"
-#include "mosspath/shard/holder.h"
-#include "mosspath/shard/routes.h"
-#include "mosspath/jobs/directory.h"
+#include "mosspath/election/failure_detector.h"
 #include "mosspath/election/leadership.h"
-#include "mosspath/election/liveness.h"
-#include "mosspath/net/stall_watch.h"
-#include "mosspath/scheduler/dispatcher.h"
-#include "mosspath/service/admission.h"
+#include "mosspath/jobs/job_index.h"
+#include "mosspath/net/stall_detector.h"
+#include "mosspath/scheduler/scheduler.h"
+#include "mosspath/service/admission_service.h"
+#include "mosspath/shard/routing_table.h"
+#include "mosspath/shard/shard_holder.h"
+#include "mosspath/shard/shard_lease_manager.h"
 #include "simulation/world.h"
 
 namespace mosspath::simulation {
 
-class Controller {
+class SimulatedController {
  public:
-  Controller(World& world, std::string name, double drift);
+  SimulatedController(SimulatedEnvironment& world, std::string name, double drift);
 
   const std::string& name() const { return name_; }
   bool leading() const { return dispatcher_ != nullptr && Entitled(); }
-  scheduler::Dispatcher* dispatcher() { return dispatcher_.get(); }
+  scheduler::Scheduler* dispatcher() { return dispatcher_.get(); }
   uint64_t token() const { return lead_->token(); }
-  shard::Holder* holder() { return holder_.get(); }
+  shard::ShardHolder* holder() { return holder_.get(); }
   bool up() const { return alive_ && !StandsStill(); }
   // It leads, or tries to.
   bool electing() const { return alive_ && (lead_->campaigning() || token() != 0); }
@@ -43,7 +43,7 @@
   void Freeze(double for_s);
   // It renews its grant but can't read, as when it has no socket left for that.
   void Unread(double for_s) { unread_until_ = world_.clock.now() + for_s; }
-  void OnReport(const wire::Report& r, const World::ReportAnswer& answer);
+  void OnReport(const wire::Heartbeat& r, const SimulatedEnvironment::ReportAnswer& answer);
 
   // --- Users ---
   // It tells a user that a job is cancelled, durable since that revision: so it knows, whatever it
@@ -52,27 +52,27 @@
   int learned() const { return learned_; }  // cancellations that peers told it of
   using SubmitAnswer = std::function<void(int status, double retry_after_s)>;
   void OnSubmit(const wire::JobSpec& spec, const SubmitAnswer& answer);
-  using JobAnswer = std::function<void(int status, wire::Stage stage)>;
+  using JobAnswer = std::function<void(int status, wire::JobState stage)>;
   void OnAsked(const std::string& id, const JobAnswer& answer);
   void OnCancel(const std::string& id, const JobAnswer& answer);
   // How many changes it may make for acceptances.
   void ChangesASecond(double rate) { accept_rate_ = rate; }
-  double part() const { return admission_ ? admission_->Part(Now()) : 0; }
-  double budget() const { return admission_->gate().budget(); }
+  double part() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
+  double budget() const { return admission_->controller().budget(); }
   uint64_t refused() const { return refused_; }
 
  private:
-  using Pairs = std::map<std::string, StateService::Pair>;
+  using Pairs = std::map<std::string, SimulatedKeyValueStore::Pair>;
 
   double Now() const { return world_.clock.now() * drift_; }
-  bool Entitled() const { return lead_->Entitled(Now()); }
+  bool Entitled() const { return lead_->MayAct(Now()); }
   void Resign();
   bool StandsStill() const { return world_.clock.now() < frozen_until_; }
   // Now, or when it runs again.
   void Running(std::function<void()> f);
   std::optional<std::string> Vouch(const std::string& question);
   void AskToVouch();
-  void Told(const election::Leadership::Lost& lost);
+  void Told(const election::Leadership::MaybeLoss& lost);
   // Runs at the state service, then back here unless this life has ended.
   template <typename R>
   void Ask(std::function<R()> at_service, std::function<void(R)> back);
@@ -84,7 +84,7 @@
   void Poll();
   // Reads all that is there; `seen` tells whether it holds what was written before this call.
   void Look(std::function<void(bool seen)> seen);
-  void See(const StateService::View& view, double sent);
+  void See(const SimulatedKeyValueStore::View& view, double sent);
   void Campaign(uint64_t version);
   void Elected(uint64_t token, const Pairs& pairs);
   void Tick();
@@ -92,7 +92,7 @@
   void Flush();
   void WriteCompletions();
   void SendDirect();
-  void SendOrders(scheduler::Dispatcher& dispatcher, uint64_t lease);
+  void SendOrders(scheduler::Scheduler& dispatcher, uint64_t lease);
 
   // --- Users ---
   struct Waiting {
@@ -101,39 +101,39 @@
     SubmitAnswer answer;
   };
   void SeeJobs(const Pairs& pairs);
-  void Lookup(const std::string& id, std::function<void(jobs::Known)> done);
-  void AnswerKnown(const std::string& id, jobs::Known known, const JobAnswer& answer);
+  void Lookup(const std::string& id, std::function<void(jobs::JobStatus)> done);
+  void AnswerKnown(const std::string& id, jobs::JobStatus known, const JobAnswer& answer);
   // What its user is told of a job of which this is known.
-  wire::Stage Tells(const std::string& id, jobs::Known known);
+  wire::JobState Tells(const std::string& id, jobs::JobStatus known);
   void EndTasks(const std::string& id);
-  uint64_t CommitEnd(const std::string& id, jobs::Known end,
+  uint64_t CommitEnd(const std::string& id, jobs::JobStatus end,
                      const std::vector<jobs::RecordChange>& records,
                      std::vector<std::pair<std::string, uint64_t>> conditions);
-  void TryCancel(const std::string& id, double deadline, std::function<void(jobs::Known)> done);
+  void TryCancel(const std::string& id, double deadline, std::function<void(jobs::JobStatus)> done);
   void PumpAccepts();
   void AcceptNow(std::vector<Waiting> batch);
   void SendPresence();
   std::optional<std::string> TakePresence(const std::string& text);
 
   // --- Blocks ---
-  bool MayHold() const { return lead_->ViewFresh(Now()); }
+  bool MayHold() const { return lead_->ViewIsFresh(Now()); }
   void SeeBlocks(const Pairs& pairs);
   void SeeOwnBlock(const Pairs& pairs);
   void Offer(const Pairs& pairs);
   void ChangeLeases();
-  std::optional<wire::BlockFrame> TakeFrame(const std::string& text);
-  void SendFrame(const std::string& to, wire::BlockFrame frame, bool as_leader);
+  std::optional<wire::ShardFrame> TakeFrame(const std::string& text);
+  void SendFrame(const std::string& to, wire::ShardFrame frame, bool as_leader);
   void SendFrames();
 
-  World& world_;
+  SimulatedEnvironment& world_;
   const std::string name_;
   const double drift_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   uint64_t life_ = 0;
   bool alive_ = false;
   std::optional<election::Leadership> lead_;  // of this life
   double unread_until_ = 0;
-  net::TurnClock turns_;
+  net::LoopClock turns_;
   double frozen_until_ = 0;
   double last_contact_ = -1e18;
   uint64_t polls_ = 0;
@@ -141,19 +141,19 @@
   int resigned_ = 0;
   int vouched_ = 0;
   int learned_ = 0;
-  std::unique_ptr<scheduler::Dispatcher> dispatcher_;
+  std::unique_ptr<scheduler::Scheduler> dispatcher_;
   config::Settings settings_;  // with this controller's name and its peers
-  std::unique_ptr<shard::Desk> desk_;
-  std::unique_ptr<shard::Holder> holder_;
-  shard::Routes routes_;
+  std::unique_ptr<shard::ShardLeaseManager> desk_;
+  std::unique_ptr<shard::ShardHolder> holder_;
+  shard::RoutingTable routes_;
   std::map<std::string, uint64_t> seen_packs_;
   uint64_t revision_ = 0;  // of the state service, as last read
-  std::optional<jobs::Directory> directory_;
-  std::optional<election::Liveness> liveness_;
+  std::optional<jobs::JobIndex> directory_;
+  std::optional<election::FailureDetector> liveness_;
   bool offering_ = false;
   std::set<std::string> framing_;  // a frame to them is under way
   uint64_t held_starts_ = 0;
-  std::unique_ptr<service::Admission> admission_;
+  std::unique_ptr<service::AdmissionService> admission_;
   admission::FairQueue<Waiting> accepting_;
   std::map<std::string, uint64_t> shown_;  // records of jobs that it has read, with their versions
   std::set<std::string> shown_finals_;
--- a/simulation/decisions.cc
+++ b/simulation/decisions.cc
@@ -10,7 +10,7 @@
   Begin(Event::kAnswered, now);
   Add(machine);
   Add(static_cast<uint64_t>(status));
-  Add(wire::ReportAnswer(token, commands).dump());
+  Add(wire::HeartbeatAnswer(token, commands).dump());
   Add(to);
 }
 
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -15,11 +15,11 @@
 
 namespace {
 
-using mosspath::simulation::AdditionDay;
+using mosspath::simulation::AvailabilityScenario;
+using mosspath::simulation::CompoundFaultScenario;
 using mosspath::simulation::Fault;
-using mosspath::simulation::MeetingDay;
 using mosspath::simulation::Outcome;
-using mosspath::simulation::OverloadDay;
+using mosspath::simulation::OverloadScenario;
 
 // What is simulated.
 struct Matter {
@@ -67,7 +67,8 @@
 // Prints how often each meeting came about; false if one was played and never did.
 bool AllMet(const std::vector<Outcome>& outcomes) {
   bool met = true;
-  for (size_t m = 0; m < static_cast<size_t>(MeetingDay::Meeting::kMeetings); ++m) {
+  for (size_t m = 0; m < static_cast<size_t>(CompoundFaultScenario::CompoundFault::kMeetings);
+       ++m) {
     size_t days = 0;
     size_t reached = 0;
     double times = 0;
@@ -79,8 +80,9 @@
       times += o.figures.back().second;
     }
     if (days == 0) continue;
-    std::cout << "meeting " << MeetingDay::Name(static_cast<MeetingDay::Meeting>(m)) << " days "
-              << days << " reached " << reached << " times " << times << '\n';
+    std::cout << "meeting "
+              << CompoundFaultScenario::Name(static_cast<CompoundFaultScenario::CompoundFault>(m))
+              << " days " << days << " reached " << reached << " times " << times << '\n';
     met = met && reached > 0;
   }
   return met;
@@ -112,9 +114,9 @@
     what->add_flag("--log", log, "prints what the controllers log; for one day");
   }
   CLI11_PARSE(app, argc, argv);
-  const Matter matter = addition->parsed()   ? Of<AdditionDay>(blocks)
-                        : meetings->parsed() ? Of<MeetingDay>(blocks)
-                                             : Of<OverloadDay>(blocks);
+  const Matter matter = addition->parsed()   ? Of<AvailabilityScenario>(blocks)
+                        : meetings->parsed() ? Of<CompoundFaultScenario>(blocks)
+                                             : Of<OverloadScenario>(blocks);
   spdlog::set_level(log ? spdlog::level::debug : spdlog::level::off);
 
   Totals totals;
--- a/simulation/meetings.cc
+++ b/simulation/meetings.cc
@@ -31,7 +31,8 @@
                                   "cancel-now",
                                   "cancel-hang",
                                   "bound"};
-static_assert(std::size(kNames) == static_cast<size_t>(MeetingDay::Meeting::kMeetings));
+static_assert(std::size(kNames) ==
+              static_cast<size_t>(CompoundFaultScenario::CompoundFault::kMeetings));
 
 constexpr double kFirst = 45;       // the first trouble, when work is under way
 constexpr double kGolden = 0.6180;  // steps of this ratio cover what is swept evenly
@@ -40,7 +41,8 @@
 // Between two figures, the further the seeds go the denser.
 double Swept(uint64_t seed, double least, double most, uint64_t salt = 0) {
   const double step =
-      static_cast<double>(seed / static_cast<uint64_t>(MeetingDay::Meeting::kMeetings) + 1) *
+      static_cast<double>(
+          seed / static_cast<uint64_t>(CompoundFaultScenario::CompoundFault::kMeetings) + 1) *
           kGolden +
       static_cast<double>(salt) * 0.37;
   return least + (most - least) * (step - std::floor(step));
@@ -48,152 +50,155 @@
 
 }  // namespace
 
-const char* MeetingDay::Name(Meeting m) { return kNames[static_cast<size_t>(m)]; }
+const char* CompoundFaultScenario::Name(CompoundFault m) { return kNames[static_cast<size_t>(m)]; }
 
-std::vector<Fault> MeetingDay::Faults(uint64_t seed) {
-  const config::Settings s = AdditionDay::Of(seed, false);
-  const double lease = s.lease_s;
+std::vector<Fault> CompoundFaultScenario::Faults(uint64_t seed) {
+  const config::Settings s = AvailabilityScenario::Of(seed, false);
+  const double lease = s.agent_lease_s;
   const double offset = Swept(seed, 0, 1.3 * lease);
   const double soon = Swept(seed, 0, 0.4 * lease, 1);
   const double grant = lease / 8;
-  const uint64_t round = seed / static_cast<uint64_t>(Meeting::kMeetings);
+  const uint64_t round = seed / static_cast<uint64_t>(CompoundFault::kMeetings);
   const bool even = round % 2 == 0;
   const uint64_t pick = seed * 7919;
   // Longer than a cancellation has, but where that is nearly a minute: users give up after one, and
   // whoever could never ask can't be served.
-  const double outage = std::min(1.3 * s.cancel_s, 50.0);
+  const double outage = std::min(1.3 * s.cancel_within_s, 50.0);
   const double t = kFirst;
   std::vector<Fault> out;
   const auto add = [&](Kind kind, double at, double for_s, bool hold = false) {
     out.push_back({kind, at, for_s, hold, pick + out.size()});
   };
   switch (Of(seed)) {
-    case Meeting::kRefusedThenOutage:
-      add(Kind::kCutState, t, Swept(seed, 1, s.cancel_s, 2));
+    case CompoundFault::kRefusedThenOutage:
+      add(Kind::kCutState, t, Swept(seed, 1, s.cancel_within_s, 2));
       add(Kind::kOutage, t + std::min(offset, even ? 2.5 * grant : 1e9), outage);
-      if (round % 3 == 1) add(Kind::kConfirmer, t + soon + 1, 0.5);
+      if (round % 3 == 1) add(Kind::kRestartConfirmer, t + soon + 1, 0.5);
       if (round % 3 == 2) add(Kind::kFreezeAny, t + soon, offset);
       break;
-    case Meeting::kBackAndForth:
-      add(Kind::kBounce, t, 0);
-      add(Kind::kBounce, t + Swept(seed, 0, 2 * grant, 2), 0);
+    case CompoundFault::kBackAndForth:
+      add(Kind::kRestartLeader, t, 0);
+      add(Kind::kRestartLeader, t + Swept(seed, 0, 2 * grant, 2), 0);
       add(Kind::kCrashAll, t + soon, 0);
-      add(Kind::kBounceStep, t + soon + 3 + Swept(seed, 0, 2, 3), 0);
+      add(Kind::kRestartAfterMessages, t + soon + 3 + Swept(seed, 0, 2, 3), 0);
       break;
-    case Meeting::kUnreached:
-      add(even ? Kind::kDeaf : Kind::kCutZone, t, Swept(seed, 2, 2 * lease, 2), even);
+    case CompoundFault::kUnreached:
+      add(even ? Kind::kCutAgentsInbound : Kind::kCutZone, t, Swept(seed, 2, 2 * lease, 2), even);
       add(Kind::kCrash, t + soon, even ? 0.2 : 6);
-      add(Kind::kBounce, t + soon + offset, 0);
+      add(Kind::kRestartLeader, t + soon + offset, 0);
       break;
-    case Meeting::kSlowCancels:
+    case CompoundFault::kSlowCancels:
       add(Kind::kSlowState, t, 2 * lease);
       add(Kind::kCutState, t + soon, lease / 2, even);
       add(Kind::kOutage, t + soon + offset / 2, outage);
       break;
-    case Meeting::kOldCopies:
-      add(Kind::kCopies, t, 3 * lease);
+    case CompoundFault::kOldCopies:
+      add(Kind::kDuplicateHeartbeats, t, 3 * lease);
       add(Kind::kHang, t + soon, 1.2 * lease);
-      add(Kind::kBounce, t + soon + offset, 0);
-      add(Kind::kReborn, t + offset, 0);
+      add(Kind::kRestartLeader, t + soon + offset, 0);
+      add(Kind::kRestartMachines, t + offset, 0);
       break;
-    case Meeting::kLateWrites:
+    case CompoundFault::kLateWrites:
       add(Kind::kLateWrites, t, 2 * lease);
-      add(even ? Kind::kBounce : Kind::kCutState, t + soon, lease / 2);
-      add(round % 3 == 0 ? Kind::kBounceAll : Kind::kFreeze, t + offset, lease / 2);
+      add(even ? Kind::kRestartLeader : Kind::kCutState, t + soon, lease / 2);
+      add(round % 3 == 0 ? Kind::kRestartAll : Kind::kFreeze, t + offset, lease / 2);
       break;
-    case Meeting::kHeldCommands:
-      add(even ? Kind::kCutWorkers : Kind::kHang, t, Swept(seed, 2, 0.9 * lease, 2), true);
+    case CompoundFault::kHeldCommands:
+      add(even ? Kind::kCutAgents : Kind::kHang, t, Swept(seed, 2, 0.9 * lease, 2), true);
       add(Kind::kFreeze, t + soon / 2, Swept(seed, 0.5, lease, 3));
-      add(Kind::kBounce, t + soon + offset / 2, 0);
+      add(Kind::kRestartLeader, t + soon + offset / 2, 0);
       break;
-    case Meeting::kEndsApart:
+    case CompoundFault::kEndsApart:
       for (int i = 0; i < 4; ++i) {
-        add(i % 2 == 0 ? Kind::kBounce : Kind::kCrash, t + i * Swept(seed, 1, 12, 2), 2);
+        add(i % 2 == 0 ? Kind::kRestartLeader : Kind::kCrash, t + i * Swept(seed, 1, 12, 2), 2);
       }
       add(Kind::kLateWrites, t - 1, lease);
       break;
-    case Meeting::kOnlyWorkers:
-      add(Kind::kOnlyLeader, t, Swept(seed, 1, 3 * s.cancel_s, 2), even);
+    case CompoundFault::kOnlyWorkers:
+      add(Kind::kLeaderOnlyAgentsReachable, t, Swept(seed, 1, 3 * s.cancel_within_s, 2), even);
       add(even ? Kind::kCrash : Kind::kOutage, t + offset, lease);
       break;
-    case Meeting::kZoneWhole:
+    case CompoundFault::kZoneWhole:
       add(Kind::kCutZoneWhole, t, Swept(seed, 1.1, 2.5, 2) * lease, even);
-      if (round % 3 == 1) add(Kind::kBounce, t + soon, 0);
+      if (round % 3 == 1) add(Kind::kRestartLeader, t + soon, 0);
       if (round % 3 == 2) add(Kind::kOutage, t + soon, lease);
       break;
-    case Meeting::kSlowLinks:
+    case CompoundFault::kSlowLinks:
       add(Kind::kSlowLinks, 5, 70);
-      if (round % 3 == 1) add(Kind::kBounce, t + soon, 0);
-      if (round % 3 == 2) add(Kind::kDie, t + soon, 0);
+      if (round % 3 == 1) add(Kind::kRestartLeader, t + soon, 0);
+      if (round % 3 == 2) add(Kind::kKillMachines, t + soon, 0);
       break;
-    case Meeting::kHeldReports:
-      add(Kind::kHeldReports, t, Swept(seed, 0.4, 2, 2) * lease);
+    case CompoundFault::kHeldReports:
+      add(Kind::kDelayHeartbeats, t, Swept(seed, 0.4, 2, 2) * lease);
       add(Kind::kCancelNow, t + soon / 2, 0);
-      add(Kind::kBounce, t + soon, 0);
+      add(Kind::kRestartLeader, t + soon, 0);
       break;
-    case Meeting::kJobEnds:
+    case CompoundFault::kJobEnds:
       add(Kind::kCancelAtEnd, 10, 100);
       add(Kind::kOddRequests, 12, 100);
       break;
-    case Meeting::kMute:
-      add(Kind::kMute, t, Swept(seed, 0.3, 3, 2) * lease);
-      if (!even) add(Kind::kBounce, t + offset, 0);
-      if (round % 3 == 1) add(Kind::kDeaf, t + soon, lease / 4);
+    case CompoundFault::kMute:
+      add(Kind::kCutAgentsOutbound, t, Swept(seed, 0.3, 3, 2) * lease);
+      if (!even) add(Kind::kRestartLeader, t + offset, 0);
+      if (round % 3 == 1) add(Kind::kCutAgentsInbound, t + soon, lease / 4);
       if (round % 3 == 2) add(Kind::kCancelNow, t + soon, 0);
       break;
-    case Meeting::kLimit:
-      add(even ? Kind::kCutZone : Kind::kDeaf, t, Swept(seed, 0.5, 2, 2) * lease / (even ? 1 : 6));
-      add(Kind::kBounce, t + soon / 2, 0);
+    case CompoundFault::kLimit:
+      add(even ? Kind::kCutZone : Kind::kCutAgentsInbound, t,
+          Swept(seed, 0.5, 2, 2) * lease / (even ? 1 : 6));
+      add(Kind::kRestartLeader, t + soon / 2, 0);
       add(Kind::kCancelNow, t + soon / 2 + Swept(seed, 0, 3, 3), 0);
       break;
-    case Meeting::kTenLeaders:
-      for (int i = 0; i < 10; ++i) add(Kind::kBounce, t + i * 12 + Swept(seed + i, 0, 4, 2), 0);
+    case CompoundFault::kTenLeaders:
+      for (int i = 0; i < 10; ++i)
+        add(Kind::kRestartLeader, t + i * 12 + Swept(seed + i, 0, 4, 2), 0);
       if (!even) add(Kind::kOutage, t + offset, lease);
-      if (round % 3 == 1) add(Kind::kCopies, t, 100);
+      if (round % 3 == 1) add(Kind::kDuplicateHeartbeats, t, 100);
       break;
-    case Meeting::kAllAway:
+    case CompoundFault::kAllAway:
       add(Kind::kCancelNow, t - soon / 4, 0, even);
       // Users give up after a minute.
-      add(Kind::kAllAway, t, std::min(50.0, Swept(seed, 1.1, 2, 2) * lease));
-      if (round % 3 == 1) add(Kind::kMute, t + offset, lease / 2);
+      add(Kind::kStopAll, t, std::min(50.0, Swept(seed, 1.1, 2, 2) * lease));
+      if (round % 3 == 1) add(Kind::kCutAgentsOutbound, t + offset, lease / 2);
       break;
-    case Meeting::kHeldAnswers:
-      add(Kind::kHeldAnswers, t - 20, 60);
+    case CompoundFault::kHeldAnswers:
+      add(Kind::kDelayAnswers, t - 20, 60);
       add(Kind::kHang, t + soon, Swept(seed, 0.2, 0.9, 2) * lease);
-      if (!even) add(Kind::kBounce, t + soon + offset / 2, 0);
+      if (!even) add(Kind::kRestartLeader, t + soon + offset / 2, 0);
       break;
-    case Meeting::kCancelNow:
+    case CompoundFault::kCancelNow:
       add(Kind::kCutState, t, Swept(seed, 1, 15, 2), false);
       add(Kind::kCancelNow, t, 0.2 * lease, !even);
       add(Kind::kOutage, t + Swept(seed, 0.5, 1.5, 3), outage);
       break;
-    case Meeting::kCancelHang:
+    case CompoundFault::kCancelHang:
       add(Kind::kCancelNow, t, Swept(seed, 0.2, 1.2, 2) * lease, true);
-      if (round % 3 == 1) add(Kind::kBounce, t + soon, 0);
+      if (round % 3 == 1) add(Kind::kRestartLeader, t + soon, 0);
       if (round % 3 == 2) add(Kind::kFreeze, t + soon / 4, offset);
       break;
-    case Meeting::kBound:
-      add(Kind::kDie, t, 0);
+    case CompoundFault::kBound:
+      add(Kind::kKillMachines, t, 0);
       add(Kind::kSpotTaken, t + soon / 4, 0);
       add(even ? Kind::kCutZone : Kind::kReplaced, t + soon, Swept(seed, 0.3, 1.5, 2) * lease);
-      if (round % 3 == 1) add(Kind::kBounce, t + soon + 1, 0);
+      if (round % 3 == 1) add(Kind::kRestartLeader, t + soon + 1, 0);
       break;
-    case Meeting::kMeetings:
+    case CompoundFault::kMeetings:
       break;
   }
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
   return out;
 }
 
-MeetingDay::MeetingDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks)
-    : AdditionDay(seed, faults, blocks), seed_(seed), faults_(faults), more_(*this) {
-  const double lease = world.settings.lease_s;
+CompoundFaultScenario::CompoundFaultScenario(uint64_t seed, const std::vector<Fault>& faults,
+                                             bool blocks)
+    : AvailabilityScenario(seed, faults, blocks), seed_(seed), faults_(faults), more_(*this) {
+  const double lease = world.settings.agent_lease_s;
   uint64_t n = 0;
   // Long tasks, of which some are cancelled just when it matters.
   for (int i = 0; i < 14; ++i) {
     Ask(n++, world.random.Uniform(2, kFirst - 8),
         kFirst + world.random.Uniform(-1, i % 2 == 0 ? lease / 4 : 1.5 * lease),
-        1 + static_cast<uint32_t>(world.random.Below(6)), 2 * world.settings.cancel_s);
+        1 + static_cast<uint32_t>(world.random.Below(6)), 2 * world.settings.cancel_within_s);
   }
   // Jobs of two or three tasks that end seconds to minutes apart.
   for (int i = 0; i < 10; ++i) {
@@ -211,14 +216,14 @@
   world.on_job_end = [this](const std::string& id) { JobEnded(id); };
   for (const Fault& f : faults) {
     const bool whole = f.kind == Kind::kCutZoneWhole && f.for_s > lease;
-    if (whole || f.kind == Kind::kDie || f.kind == Kind::kSpotTaken) {
+    if (whole || f.kind == Kind::kKillMachines || f.kind == Kind::kSpotTaken) {
       // Which it hits is known afterwards.
       world.clock.At(f.at - 0.001, [this] {
-        for (const auto& [id, w] : world.workers) busy_before_[id] = w->running();
+        for (const auto& [id, w] : world.agents) busy_before_[id] = w->running();
       });
       world.clock.At(f.at + 0.001, [this] {
         for (const auto& [id, busy] : std::exchange(busy_before_, {})) {
-          const Worker& w = *world.workers.at(id);
+          const SimulatedAgent& w = *world.agents.at(id);
           bound_lost_ += busy > 0 && !w.alive() ? 1 : 0;
           const auto open = [&](const auto& node) { return world.network.Open(node, id); };
           const auto reached = std::count_if(world.nodes.begin(), world.nodes.end(), open);
@@ -227,9 +232,9 @@
         }
       });
     }
-    if (f.kind != Kind::kCrash && f.kind != Kind::kBounce) continue;
+    if (f.kind != Kind::kCrash && f.kind != Kind::kRestartLeader) continue;
     world.clock.At(f.at - 0.001, [this] {
-      for (const auto& [id, w] : world.workers) {
+      for (const auto& [id, w] : world.agents) {
         const bool reached = world.network.Open(Leader().name(), id);
         busy_unreached_ += !reached && w->running() > 0 ? 1 : 0;
       }
@@ -238,35 +243,36 @@
 }
 
 // Of a team with a limit that they reach, and bound to a zone, together or apart.
-void MeetingDay::Bound() {
-  const Meeting m = Of(seed_);
-  if (m != Meeting::kLimit && m != Meeting::kBound) return;
+void CompoundFaultScenario::Bound() {
+  const CompoundFault m = Of(seed_);
+  if (m != CompoundFault::kLimit && m != CompoundFault::kBound) return;
   for (uint64_t i = 0; i < 12; ++i) {
     wire::JobSpec& s = Ask(100 + i, world.random.Uniform(2, kFirst - 5), 0, 4, 25);
-    if (m == Meeting::kLimit) s.team = "tight";
-    if (m == Meeting::kLimit) continue;
-    s.one_zone = i % 3 == 0;
-    s.spread = i % 3 == 1;
+    if (m == CompoundFault::kLimit) s.team = "tight";
+    if (m == CompoundFault::kLimit) continue;
+    s.single_zone = i % 3 == 0;
+    s.spread_over_zones = i % 3 == 1;
     if (i % 3 == 2) s.zone = world.settings.zones[i / 3 % world.settings.zones.size()];
   }
 }
 
-void MeetingDay::UsersDo(const Fault& f) {
+void CompoundFaultScenario::UsersDo(const Fault& f) {
   switch (f.kind) {
     case Kind::kCancelNow: {
-      const auto runs = [this](const User& u) { return world.Runs(u.spec.id); };
+      const auto runs = [this](const SimulatedUser& u) { return world.Runs(u.spec.id); };
       // Up to eight of their machines hang.
-      for (const User& u : more_.all()) {
+      for (const SimulatedUser& u : more_.all()) {
         if (!f.hold || hung_ >= 8 || u.accepted <= 0 || u.called_off || !runs(u)) continue;
-        for (auto& [id, w] : world.workers) {
+        for (auto& [id, w] : world.agents) {
           if (hung_ >= 8 || w->hung() || !w->Has(u.spec.id)) continue;
           w->Hang(f.for_s);
           ++hung_;
         }
       }
       called_off_ += more_.CallOffSome(12, 0.2, runs);
-      called_off_ += users().CallOffSome(
-          4, 0.2, [&](const User& u) { return u.spec.kind == wire::Kind::kArray && runs(u); });
+      called_off_ += users().CallOffSome(4, 0.2, [&](const SimulatedUser& u) {
+        return u.spec.kind == wire::JobKind::kArray && runs(u);
+      });
       return;
     }
     case Kind::kCancelAtEnd:
@@ -281,9 +287,9 @@
 }
 
 // Its user cancels, asks and submits again, all within the time in which the leader learns of it.
-void MeetingDay::JobEnded(const std::string& id) {
+void CompoundFaultScenario::JobEnded(const std::string& id) {
   if (world.clock.now() > end_until_) return;
-  for (Users* users : {&more_, &this->users()}) {
+  for (SimulatedUsers* users : {&more_, &this->users()}) {
     for (size_t i = 0; i < users->all().size(); ++i) {
       if (users->all()[i].spec.id != id || users->all()[i].called_off) continue;
       const auto soon = [this](std::function<void()> f) {
@@ -299,13 +305,14 @@
   }
 }
 
-void MeetingDay::Odd() {
+void CompoundFaultScenario::Odd() {
   const size_t i = world.random.Below(more_.all().size());
   if (more_.all()[i].accepted > 0) more_.Repeat(i);
   for (size_t k = 0; k < more_.all().size(); ++k) {
-    const User& u = more_.all()[k];
+    const SimulatedUser& u = more_.all()[k];
     // It stays done, however often it is cancelled.
-    if (!world.checker.IsDone(u.spec.id) || u.called_off || world.random.Below(8) != 0) continue;
+    if (!world.rule_checker.IsDone(u.spec.id) || u.called_off || world.random.Below(8) != 0)
+      continue;
     more_.CancelDone(k);
     break;
   }
@@ -322,17 +329,17 @@
       s.zone = "nowhere";
       break;
     case 3:
-      s.kind = wire::Kind::kService;
+      s.kind = wire::JobKind::kService;
       s.tasks = 2;
-      s.one_zone = s.spread = true;
+      s.single_zone = s.spread_over_zones = true;
       break;
   }
   more_.SubmitOdd(s);
 }
 
-wire::JobSpec& MeetingDay::Ask(uint64_t n, double asked, double cancelled, uint32_t tasks,
-                               double run_s) {
-  User u;
+wire::JobSpec& CompoundFaultScenario::Ask(uint64_t n, double asked, double cancelled,
+                                          uint32_t tasks, double run_s) {
+  SimulatedUser u;
   u.polls = true;
   u.asked = asked;
   if (cancelled > 0) u.cancels_after = std::max(0.1, cancelled - asked);
@@ -340,23 +347,23 @@
   s.id = fmt::format("req-{}", kFirstId + n);
   s.team = "desk";
   s.job_class = "meeting";
-  s.rank = n % 2 == 0 ? wire::Rank::kHigh : wire::Rank::kNormal;
+  s.priority = n % 2 == 0 ? wire::Priority::kHigh : wire::Priority::kNormal;
   s.tasks = tasks;
   s.cpus = 1;
   s.memory_gb = 1;
   s.image = "img-0";
   s.image_gb = 1;
-  s.estimate_s = run_s;
+  s.estimated_run_s = run_s;
   return more_.Add(std::move(u)).spec;
 }
 
-size_t MeetingDay::CancelledBetween(double from, double to) const {
-  const auto& told = world.checker.cancellations();
+size_t CompoundFaultScenario::CancelledBetween(double from, double to) const {
+  const auto& told = world.rule_checker.cancellations();
   return static_cast<size_t>(
       std::count_if(told.begin(), told.end(), [&](double at) { return at > from && at < to; }));
 }
 
-size_t MeetingDay::Reached() const {
+size_t CompoundFaultScenario::Reached() const {
   const auto first = [&](Kind kind) -> const Fault* {
     const auto it = std::find_if(faults_.begin(), faults_.end(),
                                  [&](const Fault& f) { return f.kind == kind; });
@@ -365,26 +372,26 @@
   const Fault* a = nullptr;
   const Fault* b = nullptr;
   switch (Of(seed_)) {
-    case Meeting::kRefusedThenOutage:
+    case CompoundFault::kRefusedThenOutage:
       a = first(Kind::kCutState);
       b = first(Kind::kOutage);
       return a != nullptr && b != nullptr ? CancelledBetween(a->at, b->at) : 0;
-    case Meeting::kBackAndForth:
+    case CompoundFault::kBackAndForth:
       return static_cast<size_t>(
           std::count_if(world.elections.begin(), world.elections.end(),
                         [](double at) { return at > kFirst && at < kFirst + 15; }));
-    case Meeting::kUnreached:
+    case CompoundFault::kUnreached:
       return busy_unreached_;
-    case Meeting::kSlowCancels:
+    case CompoundFault::kSlowCancels:
       a = first(Kind::kSlowState);
       return a != nullptr ? CancelledBetween(a->at, a->at + a->for_s) : 0;
-    case Meeting::kOldCopies:
+    case CompoundFault::kOldCopies:
       return world.old_copies;
-    case Meeting::kLateWrites:
+    case CompoundFault::kLateWrites:
       return world.late_writes;
-    case Meeting::kHeldCommands:
+    case CompoundFault::kHeldCommands:
       return world.late_orders;
-    case Meeting::kEndsApart: {
+    case CompoundFault::kEndsApart: {
       size_t apart = 0;
       for (const auto& [task, at] : world.done_at) {
         if (task.index == 0 || !world.run_s.contains(task)) continue;
@@ -397,47 +404,47 @@
       }
       return apart;
     }
-    case Meeting::kOnlyWorkers:
-      a = first(Kind::kOnlyLeader);
+    case CompoundFault::kOnlyWorkers:
+      a = first(Kind::kLeaderOnlyAgentsReachable);
       return a != nullptr ? CancelledBetween(a->at, a->at + a->for_s) : 0;
-    case Meeting::kZoneWhole:
+    case CompoundFault::kZoneWhole:
       return busy_cut_;
-    case Meeting::kSlowLinks:
+    case CompoundFault::kSlowLinks:
       return world.late_orders;
-    case Meeting::kHeldReports:
-    case Meeting::kLimit:
+    case CompoundFault::kHeldReports:
+    case CompoundFault::kLimit:
       return std::min(busy_unreached_, called_off_);
-    case Meeting::kJobEnds:
+    case CompoundFault::kJobEnds:
       return called_off_ > 0 && more_.refused() > 0 ? called_off_ : 0;
-    case Meeting::kMute:
+    case CompoundFault::kMute:
       return world.mute_orders;
-    case Meeting::kTenLeaders: {
+    case CompoundFault::kTenLeaders: {
       const auto n = static_cast<size_t>(
           std::count_if(world.elections.begin(), world.elections.end(),
                         [](double at) { return at > kFirst && at < kFirst + 125; }));
       return n >= 8 ? n : 0;
     }
-    case Meeting::kAllAway:
-      a = first(Kind::kAllAway);
-      return a != nullptr && a->for_s > world.settings.lease_s ? called_off_ : 0;
-    case Meeting::kHeldAnswers:
+    case CompoundFault::kAllAway:
+      a = first(Kind::kStopAll);
+      return a != nullptr && a->for_s > world.settings.agent_lease_s ? called_off_ : 0;
+    case CompoundFault::kHeldAnswers:
       return world.late_answers;
-    case Meeting::kCancelNow:
+    case CompoundFault::kCancelNow:
       a = first(Kind::kCutState);
       b = first(Kind::kOutage);
       return a != nullptr && b != nullptr ? CancelledBetween(a->at, b->at) : 0;
-    case Meeting::kCancelHang:
+    case CompoundFault::kCancelHang:
       return std::min(hung_, called_off_);
-    case Meeting::kBound:
+    case CompoundFault::kBound:
       return bound_lost_;
-    case Meeting::kMeetings:
+    case CompoundFault::kMeetings:
       break;
   }
   return 0;
 }
 
-Outcome MeetingDay::Run() {
-  Outcome out = AdditionDay::Run();
+Outcome CompoundFaultScenario::Run() {
+  Outcome out = AvailabilityScenario::Run();
   int vouched = 0;
   int learned = 0;
   for (const auto& c : controllers) {
--- a/simulation/meetings.h
+++ b/simulation/meetings.h
@@ -11,9 +11,9 @@
 
 namespace mosspath::simulation {
 
-class MeetingDay : public AdditionDay {
+class CompoundFaultScenario : public AvailabilityScenario {
  public:
-  enum class Meeting {
+  enum class CompoundFault {
     kRefusedThenOutage,  // the leader is refused alone, others confirm cancellations, then all are
     kBackAndForth,       // the lead goes back and forth, all end, and one is back at once
     kUnreached,     // a leader ends while machines can't be reached or don't hear its successor
@@ -37,13 +37,13 @@
     kBound,        // jobs bound to a zone, together or apart lose machines
     kMeetings
   };
-  static const char* Name(Meeting m);
-  static Meeting Of(uint64_t seed) {
-    return static_cast<Meeting>(seed % static_cast<uint64_t>(Meeting::kMeetings));
+  static const char* Name(CompoundFault m);
+  static CompoundFault Of(uint64_t seed) {
+    return static_cast<CompoundFault>(seed % static_cast<uint64_t>(CompoundFault::kMeetings));
   }
   static std::vector<Fault> Faults(uint64_t seed);
 
-  MeetingDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks);
+  CompoundFaultScenario(uint64_t seed, const std::vector<Fault>& faults, bool blocks);
   // With "meeting" and "reached" among its figures: how often the condition came about.
   Outcome Run();
 
@@ -60,7 +60,7 @@
 
   const uint64_t seed_;
   const std::vector<Fault> faults_;
-  Users more_;
+  SimulatedUsers more_;
   size_t busy_unreached_ = 0;  // machines with work that could not be reached as the leader ended
   size_t busy_cut_ = 0;        // cut off with a controller
   size_t called_off_ = 0;      // jobs, by their users at a trouble or as they ended
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-config::Settings OverloadDay::Of(uint64_t seed, bool blocks) {
+config::Settings OverloadScenario::Of(uint64_t seed, bool blocks) {
   config::Settings s = SmallSettings();
-  s.lease_blocks = blocks;
+  s.lease_shards = blocks;
   s.teams = {{kDesk, 0, 0, 0, 0}, {kGuest, 0, 0, 0, 0}, {kSmall, 0, 0, 0, 0}};
   if (static_cast<Shape>(seed % static_cast<uint64_t>(Shape::kShapes)) == Shape::kManyTeams) {
     for (int i = 0; i < 200; ++i) s.teams.push_back({fmt::format("team-{}", i), 0, 0, 0, 0});
@@ -41,9 +41,9 @@
   return s;
 }
 
-OverloadDay::OverloadDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks)
-    : Cluster(Of(seed, blocks), {SmallType()}, 3 + seed / static_cast<uint64_t>(Shape::kShapes) % 5,
-              seed),
+OverloadScenario::OverloadScenario(uint64_t seed, const std::vector<Fault>& faults, bool blocks)
+    : SimulatedCluster(Of(seed, blocks), {SmallType()},
+                       3 + seed / static_cast<uint64_t>(Shape::kShapes) % 5, seed),
       seed_(seed),
       shape_(static_cast<Shape>(seed % static_cast<uint64_t>(Shape::kShapes))),
       users_(*this) {
@@ -54,33 +54,34 @@
     for (auto& c : controllers) c->ChangesASecond(1);
   }
   capacity_ = kEnd * static_cast<double>(kMachines) * SmallType().cpus;
-  Stream({kDesk, "urgent"}, wire::Rank::kHigh, 30, 20, 4, 1, 100);
-  Stream({kDesk, "nightly"}, wire::Rank::kNormal, 40, 60, 8, 1, 100);
-  Stream({kDesk, "refill"}, wire::Rank::kLow, 12, 30, 10, 1, 100);
-  Stream({kSmall, "odd"}, wire::Rank::kLow, 40, 5, 5, 5, 100);
+  Stream({kDesk, "urgent"}, wire::Priority::kHigh, 30, 20, 4, 1, 100);
+  Stream({kDesk, "nightly"}, wire::Priority::kNormal, 40, 60, 8, 1, 100);
+  Stream({kDesk, "refill"}, wire::Priority::kLow, 12, 30, 10, 1, 100);
+  Stream({kSmall, "odd"}, wire::Priority::kLow, 40, 5, 5, 5, 100);
   const Group flood{kGuest, "flood"};
   switch (shape_) {
     case Shape::kTinyJobs:
-      Stream(flood, wire::Rank::kLow, 500, 1, 5, kFloodFrom, kFloodTo);
-      Stream({kGuest, "huge"}, wire::Rank::kLow, 3, 2000, 2, kFloodFrom, kFloodTo);
+      Stream(flood, wire::Priority::kLow, 500, 1, 5, kFloodFrom, kFloodTo);
+      Stream({kGuest, "huge"}, wire::Priority::kLow, 3, 2000, 2, kFloodFrom, kFloodTo);
       break;
     case Shape::kManyTeams:
-      Stream(flood, wire::Rank::kLow, 60, 150, 5, kFloodFrom, kFloodTo);
+      Stream(flood, wire::Priority::kLow, 60, 150, 5, kFloodFrom, kFloodTo);
       for (int i = 0; i < 200; ++i) {
-        Stream({fmt::format("team-{}", i), "little"}, wire::Rank::kLow, 1, 4, 5, 5, 100);
+        Stream({fmt::format("team-{}", i), "little"}, wire::Priority::kLow, 1, 4, 5, 5, 100);
       }
       break;
     case Shape::kServices:
-      Stream(flood, wire::Rank::kNormal, 60, 150, 5, kFloodFrom, kFloodTo);
-      for (size_t i = 0; i < 3; ++i) Stream({kGuest, "service"}, wire::Rank::kLow, 1, 40, 0, 5, 10);
+      Stream(flood, wire::Priority::kNormal, 60, 150, 5, kFloodFrom, kFloodTo);
+      for (size_t i = 0; i < 3; ++i)
+        Stream({kGuest, "service"}, wire::Priority::kLow, 1, 40, 0, 5, 10);
       break;
     default:
-      Stream(flood, shape_ == Shape::kMistakes ? wire::Rank::kLow : wire::Rank::kNormal, 60, 150, 5,
-             kFloodFrom, kFloodTo);
+      Stream(flood, shape_ == Shape::kMistakes ? wire::Priority::kLow : wire::Priority::kNormal, 60,
+             150, 5, kFloodFrom, kFloodTo);
       break;
   }
   for (size_t i = 0; i < users_.all().size(); ++i) {
-    User& u = users_.all()[i];
+    SimulatedUser& u = users_.all()[i];
     if (shape_ == Shape::kFloodsAndCancels && u.spec.team == kGuest && i % 2 == 0) {
       u.cancels_after = world.random.Uniform(1, 10);
     }
@@ -89,30 +90,30 @@
     }
   }
   // The balancer sends the guest there.
-  users_.pinned = [this](const User& u) {
+  users_.pinned = [this](const SimulatedUser& u) {
     return shape_ == Shape::kOneController && u.spec.team == kGuest;
   };
   users_.Begin();
   Plan(faults);
 }
 
-void OverloadDay::Stream(const Group& group, wire::Rank rank, size_t jobs, uint32_t tasks,
-                         double run_s, double from, double to) {
+void OverloadScenario::Stream(const Group& group, wire::Priority rank, size_t jobs, uint32_t tasks,
+                              double run_s, double from, double to) {
   for (size_t i = 0; i < jobs; ++i) {
-    User u;
+    SimulatedUser u;
     wire::JobSpec& s = u.spec;
     s.id = fmt::format("req-{:06}", users_.all().size());
     s.team = group.first;
     s.job_class = group.second;
-    s.kind = run_s > 0 ? wire::Kind::kArray : wire::Kind::kService;
-    s.rank = rank;
+    s.kind = run_s > 0 ? wire::JobKind::kArray : wire::JobKind::kService;
+    s.priority = rank;
     s.tasks = tasks;
     s.cpus = 1;
     s.memory_gb = 1;
-    s.spot = true;
+    s.spot_allowed = true;
     s.image = "img-" + group.second;
     s.image_gb = 0.5;
-    s.estimate_s = run_s;
+    s.estimated_run_s = run_s;
     u.asked = world.random.Uniform(from, to);
     u.polls = s.team != kGuest;
     tasks_[s.team] += tasks;
@@ -121,10 +122,10 @@
   }
 }
 
-void OverloadDay::Check() {
-  Cluster::Check();
+void OverloadScenario::Check() {
+  SimulatedCluster::Check();
   double live = 0;
-  const auto& pairs = world.state.pairs();
+  const auto& pairs = world.store.pairs();
   for (auto it = pairs.lower_bound("job/"); it != pairs.end() && it->first.starts_with("job/");
        ++it) {
     live += world.specs[it->first.substr(4)].tasks;
@@ -132,20 +133,20 @@
   most_live_ = std::max(most_live_, live);
   double parts = 0;
   for (const auto& c : controllers) parts += c->up() ? c->part() : 0;
-  if (parts > admission::kPlanned + 1e-9) {
+  if (parts > admission::kPlannedFraction + 1e-9) {
     breaches_.push_back(fmt::format("plan: all may fill {:.4f} of the room", parts));
   }
 }
 
-Outcome OverloadDay::Run() {
+Outcome OverloadScenario::Run() {
   world.clock.RunUntil(kEnd);
   Outcome out;
-  out.breaches = world.checker.breaches();
+  out.breaches = world.rule_checker.breaches();
   out.decisions = world.decisions.number();
   out.breaches.insert(out.breaches.end(), breaches_.begin(), breaches_.end());
   const double budget = controllers.front()->budget();
   // What is under way counts against what is seen free, so views that lag cost half at the most.
-  if (most_live_ > budget * (1 + admission::kPlanned)) {
+  if (most_live_ > budget * (1 + admission::kPlannedFraction)) {
     out.breaches.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_, budget));
   }
   struct Served {
@@ -153,17 +154,17 @@
     std::vector<double> took;
   };
   std::map<Group, Served> groups;
-  for (const User& u : users_.all()) {
+  for (const SimulatedUser& u : users_.all()) {
     if (u.cancels_after > 0 || world.broken.contains(u.spec.id)) continue;
     Served& g = groups[{u.spec.team, u.spec.job_class}];
     ++g.asked;
     g.gave_up += u.gave_up ? 1 : 0;
-    const bool service = u.spec.kind == wire::Kind::kService;
+    const bool service = u.spec.kind == wire::JobKind::kService;
     if (u.accepted > 0) {
       ++g.accepted;
       g.took.push_back(u.accepted - u.asked);
     }
-    if (service ? u.accepted > 0 : world.checker.IsDone(u.spec.id)) ++g.done;
+    if (service ? u.accepted > 0 : world.rule_checker.IsDone(u.spec.id)) ++g.done;
   }
   double all = 0;
   for (const auto& [team, cpu_s] : cpu_s_) all += cpu_s;
@@ -207,7 +208,7 @@
   out.figures = {{"seed", static_cast<double>(seed_)},
                  {"shape", static_cast<double>(shape_)},
                  {"controllers", static_cast<double>(controllers.size())},
-                 {"starts", static_cast<double>(world.checker.starts())},
+                 {"starts", static_cast<double>(world.rule_checker.starts())},
                  {"least_served", least},
                  {"flood_served", flood},
                  {"most_live_of_budget", most_live_ / budget},
--- a/simulation/overload.h
+++ b/simulation/overload.h
@@ -18,7 +18,7 @@
   size_t decisions = 0;                                 // of its controllers, as one number
 };
 
-class OverloadDay : public Cluster {
+class OverloadScenario : public SimulatedCluster {
  public:
   // What is special about the day follows from the seed; see kShapes.
   enum class Shape {
@@ -33,7 +33,7 @@
     kShapes
   };
 
-  OverloadDay(uint64_t seed, const std::vector<Fault>& faults, bool blocks = false);
+  OverloadScenario(uint64_t seed, const std::vector<Fault>& faults, bool blocks = false);
   Outcome Run();
 
   static std::vector<Fault> Faults(uint64_t seed) { return Draw(seed, seed % 5, 15, 90); }
@@ -45,11 +45,11 @@
   using Group = std::pair<std::string, std::string>;  // team, class
 
   static config::Settings Of(uint64_t seed, bool blocks);
-  void Stream(const Group& group, wire::Rank rank, size_t jobs, uint32_t tasks, double run_s,
+  void Stream(const Group& group, wire::Priority rank, size_t jobs, uint32_t tasks, double run_s,
               double from, double to);
   const uint64_t seed_;
   const Shape shape_;
-  Users users_;
+  SimulatedUsers users_;
   std::map<std::string, double> cpu_s_;  // that each team asked for
   std::map<std::string, double> tasks_;
   double capacity_ = 0;  // CPU seconds that all machines could do
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -15,31 +15,31 @@
 
 }  // namespace
 
-User& Users::Add(User user) {
+SimulatedUser& SimulatedUsers::Add(SimulatedUser user) {
   user.node = world_.random.Below(cluster_.controllers.size());
   return users_.emplace_back(std::move(user));
 }
 
-void Users::Begin() {
+void SimulatedUsers::Begin() {
   for (size_t i = 0; i < users_.size(); ++i) {
     world_.clock.At(users_[i].asked, [this, i] { Submit(i); });
   }
 }
 
-Controller* Users::Balance(User& user) {
+SimulatedController* SimulatedUsers::Balance(SimulatedUser& user) {
   if (pinned(user)) {
-    Controller& first = *cluster_.controllers.front();
+    SimulatedController& first = *cluster_.controllers.front();
     return first.up() ? &first : nullptr;
   }
   for (size_t tries = 0; tries < kBalancerTries; ++tries) {
-    Controller& c = *cluster_.controllers[++user.node % cluster_.controllers.size()];
+    SimulatedController& c = *cluster_.controllers[++user.node % cluster_.controllers.size()];
     if (c.up()) return &c;
   }
   return nullptr;
 }
 
-void Users::Again(size_t i, double after) {
-  User& u = users_[i];
+void SimulatedUsers::Again(size_t i, double after) {
+  SimulatedUser& u = users_[i];
   if (world_.clock.now() + after - u.asked > kGiveUpS) {
     u.gave_up = true;
     return;
@@ -47,9 +47,9 @@
   world_.clock.After(after, [this, i] { Submit(i); });
 }
 
-void Users::Submit(size_t i) {
-  User& u = users_[i];
-  Controller* c = Balance(u);
+void SimulatedUsers::Submit(size_t i) {
+  SimulatedUser& u = users_[i];
+  SimulatedController* c = Balance(u);
   world_.Submit(u.spec);
   if (c == nullptr) return Again(i, 1);
   const auto answered = std::make_shared<bool>(false);
@@ -59,11 +59,11 @@
   world_.network.Send("users", c->name(), [this, i, c, answered] {
     c->OnSubmit(users_[i].spec, [this, i, answered](int status, double retry_after_s) {
       if (std::exchange(*answered, true)) return;
-      User& user = users_[i];
+      SimulatedUser& user = users_[i];
       if (status != 200 && status != 201) return Again(i, std::max(1.0, retry_after_s));
       user.accepted = world_.clock.now();
       if (user.polls) {
-        world_.checker.Accepted(user.spec.id, user.accepted);
+        world_.rule_checker.Accepted(user.spec.id, user.accepted);
         Poll(i);
       }
       if (user.cancels_after > 0) {
@@ -73,14 +73,14 @@
   });
 }
 
-void Users::CallOff(size_t i) {
+void SimulatedUsers::CallOff(size_t i) {
   if (users_[i].accepted <= 0 || std::exchange(users_[i].called_off, true)) return;
-  world_.checker.CancelAsked(users_[i].spec.id);
+  world_.rule_checker.CancelAsked(users_[i].spec.id);
   Cancel(i);
 }
 
-size_t Users::CallOffSome(size_t most, double within_s,
-                          const std::function<bool(const User&)>& which) {
+size_t SimulatedUsers::CallOffSome(size_t most, double within_s,
+                                   const std::function<bool(const SimulatedUser&)>& which) {
   size_t n = 0;
   for (size_t i = 0; i < users_.size() && n < most; ++i) {
     if (users_[i].accepted <= 0 || users_[i].called_off || !which(users_[i])) continue;
@@ -90,58 +90,58 @@
   return n;
 }
 
-void Users::Repeat(size_t i) {
-  Controller* c = Balance(users_[i]);
+void SimulatedUsers::Repeat(size_t i) {
+  SimulatedController* c = Balance(users_[i]);
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, i, c] {
     c->OnSubmit(users_[i].spec, [this, i](int status, double) {
-      if (status == 400 || status == 422) world_.checker.Refused(users_[i].spec.id);
+      if (status == 400 || status == 422) world_.rule_checker.Refused(users_[i].spec.id);
     });
   });
 }
 
-void Users::SubmitOdd(const wire::JobSpec& spec) {
-  User nobody;
+void SimulatedUsers::SubmitOdd(const wire::JobSpec& spec) {
+  SimulatedUser nobody;
   nobody.node = world_.random.Below(cluster_.controllers.size());
-  Controller* c = Balance(nobody);
+  SimulatedController* c = Balance(nobody);
   world_.specs[spec.id] = spec;
-  world_.checker.SubmittedOdd(spec);
+  world_.rule_checker.SubmittedOdd(spec);
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, c, spec] {
     c->OnSubmit(spec, [this, id = spec.id](int status, double) {
       refused_ += status == 400 || status == 422 ? 1 : 0;
-      if (status == 200 || status == 201) world_.checker.Accepted(id, world_.clock.now());
+      if (status == 200 || status == 201) world_.rule_checker.Accepted(id, world_.clock.now());
     });
   });
 }
 
-void Users::Poll(size_t i) {
+void SimulatedUsers::Poll(size_t i) {
   world_.clock.After(kPollS * world_.random.Uniform(0.9, 1.1), [this, i] { Poll(i); });
   AskNow(i);
 }
 
-void Users::AskNow(size_t i) {
-  Controller* c = Balance(users_[i]);
+void SimulatedUsers::AskNow(size_t i) {
+  SimulatedController* c = Balance(users_[i]);
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, i, c, asked = world_.clock.now()] {
-    c->OnAsked(users_[i].spec.id, [this, i, asked](int status, wire::Stage stage) {
+    c->OnAsked(users_[i].spec.id, [this, i, asked](int status, wire::JobState stage) {
       if (world_.clock.now() - asked > kAskWaitS) return;
-      world_.checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
+      world_.rule_checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
     });
   });
 }
 
-void Users::Cancel(size_t i) {
+void SimulatedUsers::Cancel(size_t i) {
   const auto answered = std::make_shared<bool>(false);
   world_.clock.After(kSubmitWaitS, [this, i, answered] {
     if (!std::exchange(*answered, true)) Cancel(i);
   });
-  Controller* c = Balance(users_[i]);
+  SimulatedController* c = Balance(users_[i]);
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, i, c, answered, asked = world_.clock.now()] {
-    c->OnCancel(users_[i].spec.id, [this, i, answered, asked](int status, wire::Stage stage) {
+    c->OnCancel(users_[i].spec.id, [this, i, answered, asked](int status, wire::JobState stage) {
       if (std::exchange(*answered, true)) return;
-      world_.checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
+      world_.rule_checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
       if (status != 200) world_.clock.After(1, [this, i] { Cancel(i); });
     });
   });
--- a/simulation/users.h
+++ b/simulation/users.h
@@ -10,7 +10,7 @@
 
 namespace mosspath::simulation {
 
-struct User {
+struct SimulatedUser {
   wire::JobSpec spec;
   double asked = 0;          // first
   double cancels_after = 0;  // its acceptance; 0: never
@@ -21,16 +21,17 @@
   size_t node = 0;
 };
 
-class Users {
+class SimulatedUsers {
  public:
-  explicit Users(Cluster& cluster) : cluster_(cluster), world_(cluster.world) {}
+  explicit SimulatedUsers(SimulatedCluster& cluster) : cluster_(cluster), world_(cluster.world) {}
 
   // Before the day begins.
-  User& Add(User user);
+  SimulatedUser& Add(SimulatedUser user);
   void Begin();
   // A user calls off the job, once, if it was accepted; at most so many of those that `which` says.
   void CallOff(size_t user);
-  size_t CallOffSome(size_t most, double within_s, const std::function<bool(const User&)>& which);
+  size_t CallOffSome(size_t most, double within_s,
+                     const std::function<bool(const SimulatedUser&)>& which);
   // They submit again what is accepted, and ask about it, or cancel it though it is done.
   void Repeat(size_t user);
   void AskNow(size_t user);
@@ -38,22 +39,22 @@
   // A submission that can never run: refused, or its rule is broken.
   void SubmitOdd(const wire::JobSpec& spec);
   size_t refused() const { return refused_; }
-  const std::vector<User>& all() const { return users_; }
-  std::vector<User>& all() { return users_; }
+  const std::vector<SimulatedUser>& all() const { return users_; }
+  std::vector<SimulatedUser>& all() { return users_; }
   // Whose connections all come to the first controller.
-  std::function<bool(const User&)> pinned = [](const User&) { return false; };
+  std::function<bool(const SimulatedUser&)> pinned = [](const SimulatedUser&) { return false; };
 
  private:
   // Another one each time, of those that take connections; none is up: null.
-  Controller* Balance(User& user);
+  SimulatedController* Balance(SimulatedUser& user);
   void Submit(size_t user);
   void Again(size_t user, double after);
   void Poll(size_t user);
   void Cancel(size_t user);
 
-  Cluster& cluster_;
-  World& world_;
-  std::vector<User> users_;
+  SimulatedCluster& cluster_;
+  SimulatedEnvironment& world_;
+  std::vector<SimulatedUser> users_;
   size_t refused_ = 0;
 };
 
--- a/simulation/world.cc
+++ b/simulation/world.cc
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <utility>
 
-#include "mosspath/jobs/directory.h"
+#include "mosspath/jobs/job_index.h"
 
 namespace mosspath::simulation {
 
+using wire::ExitReason;
 using wire::TaskState;
-using wire::Why;
 
 namespace {
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void Clock::RunUntil(double end) {
+void SimulatedClock::RunUntil(double end) {
   while (!queue_.empty() && queue_.top().when <= end) {
     Event e = queue_.top();
     queue_.pop();
@@ -31,7 +31,8 @@
   now_ = end;
 }
 
-void Network::Send(const std::string& from, const std::string& to, std::function<void()> deliver) {
+void SimulatedNetwork::Send(const std::string& from, const std::string& to,
+                            std::function<void()> deliver) {
   double delay = random_.Uniform(0.001, 0.02);
   if (random_.Below(200) == 0) delay += random_.Uniform(0.2, 3);  // lost and sent again
   for (const auto& host : {from, to}) {
@@ -50,17 +51,18 @@
   clock_.After(delay, std::move(deliver));
 }
 
-const Network::CutState* Network::Find(const std::map<Ends, CutState>& cuts, const Ends& ends,
-                                       double now) {
+const SimulatedNetwork::CutState* SimulatedNetwork::Find(const std::map<Ends, CutState>& cuts,
+                                                         const Ends& ends, double now) {
   const auto cut = cuts.find(ends);
   return cut != cuts.end() && cut->second.until > now ? &cut->second : nullptr;
 }
 
-void Network::Cut(const std::string& a, const std::string& b, double for_s, bool hold) {
+void SimulatedNetwork::Cut(const std::string& a, const std::string& b, double for_s, bool hold) {
   cuts_[std::minmax(a, b)] = {clock_.now() + for_s, hold};
 }
 
-void Network::CutOneWay(const std::string& from, const std::string& to, double for_s, bool hold) {
+void SimulatedNetwork::CutOneWay(const std::string& from, const std::string& to, double for_s,
+                                 bool hold) {
   one_way_[{from, to}] = {clock_.now() + for_s, hold};
 }
 
@@ -96,8 +98,8 @@
       return allowed && there && s.cpus <= t.cpus && s.gpus <= t.gpus && s.memory_gb <= t.memory_gb;
     });
   }
-  if (s.kind == wire::Kind::kArray || !s.spread || s.tasks < 2) return zones > 0;
-  return zones > 1 && !s.one_zone;
+  if (s.kind == wire::JobKind::kArray || !s.spread_over_zones || s.tasks < 2) return zones > 0;
+  return zones > 1 && !s.single_zone;
 }
 
 bool RuleChecker::TeamHasRoom(const wire::JobSpec& s) const {
@@ -156,16 +158,17 @@
   if (s.types && std::find(s.types->begin(), s.types->end(), type) == s.types->end()) {
     Breach("wrong_place: " + name + " on type " + type);
   }
-  if ((s.zone && *s.zone != zone) || (spot && !s.spot)) {
+  if ((s.zone && *s.zone != zone) || (spot && !s.spot_allowed)) {
     Breach("wrong_place: " + name + " on " + machine);
   }
   size_t in_zone = 1;
   for (const auto& [index, where] : job.on) {
-    if (s.one_zone && where.second != zone) Breach("wrong_place: " + name + " is not together");
+    if (s.single_zone && where.second != zone) Breach("wrong_place: " + name + " is not together");
     in_zone += where.second == zone ? 1 : 0;
   }
-  if (s.spread && in_zone > (s.tasks + 1) / 2) Breach("wrong_place: " + name + " is not apart");
-  if (job.cancelled && now > *job.cancelled + settings_.cancel_s) {
+  if (s.spread_over_zones && in_zone > (s.tasks + 1) / 2)
+    Breach("wrong_place: " + name + " is not apart");
+  if (job.cancelled && now > *job.cancelled + settings_.cancel_within_s) {
     Breach("ran_cancelled: " + name + " starts");
   }
   job.on[task.index] = {machine, zone};
@@ -194,14 +197,15 @@
 
 void RuleChecker::Tick(double now) {
   for (const auto& [id, job] : jobs_) {
-    if (job.cancelled && !job.on.empty() && now > *job.cancelled + settings_.cancel_s) {
+    if (job.cancelled && !job.on.empty() && now > *job.cancelled + settings_.cancel_within_s) {
       Breach("ran_cancelled: " + id + " is still on a machine");
     }
   }
   if (now < quiet_from_ + kForgottenS) return;
   for (auto& [id, job] : jobs_) {
     // A service's replicas are all up again by then, whatever else there is to do.
-    const bool service = job.spec.kind == wire::Kind::kService && job.spec.rank > wire::Rank::kHigh;
+    const bool service =
+        job.spec.kind == wire::JobKind::kService && job.spec.priority > wire::Priority::kHigh;
     if (service && job.accepted && now - *job.accepted > kForgottenS && !job.cancel_asked &&
         !job.down && job.on.size() < job.spec.tasks) {
       job.down = true;
@@ -222,7 +226,7 @@
   if (!job.accepted) job.accepted = now;
 }
 
-void RuleChecker::Answered(const std::string& id, int status, wire::Stage stage, double asked,
+void RuleChecker::Answered(const std::string& id, int status, wire::JobState stage, double asked,
                            double now) {
   if (status != 200 && status != 404) return;
   Job& job = jobs_[id];
@@ -235,13 +239,13 @@
     if (job.accepted) Breach("forgotten: " + id + " gets 404");
     return;
   }
-  if (stage == wire::Stage::kDone && job.completed.size() < job.spec.tasks) {
+  if (stage == wire::JobState::kDone && job.completed.size() < job.spec.tasks) {
     Breach("not_done: " + id + " is told done");
   }
-  if (stage == wire::Stage::kCancelled && !job.cancel_asked) {
+  if (stage == wire::JobState::kCancelled && !job.cancel_asked) {
     Breach("went_back: " + id + " is told cancelled");
   }
-  const bool over = stage == wire::Stage::kDone || stage == wire::Stage::kCancelled;
+  const bool over = stage == wire::JobState::kDone || stage == wire::JobState::kCancelled;
   // Another end is never told; and nothing older to who asks once it was told.
   if (job.told_over && (over ? *job.told_over != stage : asked >= job.told_over_at)) {
     Breach("went_back: " + id + " is told otherwise later");
@@ -259,7 +263,7 @@
   for (const auto& [id, job] : jobs_) {
     if (!job.asked || job.cancel_asked) continue;
     classes[job.spec.job_class].push_back(&job);
-    const bool service = job.spec.kind == wire::Kind::kService;
+    const bool service = job.spec.kind == wire::JobKind::kService;
     const bool served = service ? job.begun.has_value() : job.done;
     for (const auto& group : {"class " + job.spec.job_class, "team " + job.spec.team}) {
       ++shares[group].asked;
@@ -274,8 +278,8 @@
     for (size_t i = 0; i < largest; ++i) {
       const Job& job = *jobs[i];
       ++share.asked;
-      share.served += job.done || (job.spec.kind == wire::Kind::kService && job.begun) ? 1 : 0;
-      const bool whole = job.spec.kind == wire::Kind::kGang;
+      share.served += job.done || (job.spec.kind == wire::JobKind::kService && job.begun) ? 1 : 0;
+      const bool whole = job.spec.kind == wire::JobKind::kGang;
       if (job.begun) latest_begin_s_ = std::max(latest_begin_s_, *job.begun - *job.asked);
       if (whole && job.spec.tasks * job.spec.cpus > capacity_cpus) continue;
       if (!job.begun || *job.begun - *job.asked > kBegunWithinS) {
@@ -298,13 +302,13 @@
 
 // ---------------------------------------------------------------------------- state service
 
-void StateService::Outage(double for_s) {
+void SimulatedKeyValueStore::Outage(double for_s) {
   Expire();
   down_until_ = clock_.now() + for_s;
   for (auto& [id, g] : grants_) g.until = down_until_ + g.life;
 }
 
-void StateService::Expire() {
+void SimulatedKeyValueStore::Expire() {
   if (!up()) return;
   for (auto g = grants_.begin(); g != grants_.end();) {
     if (g->second.until > clock_.now()) {
@@ -323,18 +327,18 @@
   }
 }
 
-uint64_t StateService::Grant(double life_s) {
+uint64_t SimulatedKeyValueStore::Grant(double life_s) {
   Expire();
   grants_[next_grant_] = {life_s, clock_.now() + life_s};
   return next_grant_++;
 }
 
-void StateService::End(uint64_t grant) {
+void SimulatedKeyValueStore::End(uint64_t grant) {
   if (auto g = grants_.find(grant); g != grants_.end()) g->second.until = clock_.now();
   Expire();
 }
 
-bool StateService::Renew(uint64_t grant) {
+bool SimulatedKeyValueStore::Renew(uint64_t grant) {
   Expire();
   auto g = grants_.find(grant);
   if (g == grants_.end()) return false;
@@ -342,7 +346,7 @@
   return true;
 }
 
-uint64_t StateService::Commit(
+uint64_t SimulatedKeyValueStore::Commit(
     const std::vector<std::pair<std::string, uint64_t>>& conditions,
     const std::vector<std::pair<std::string, std::optional<wire::Json>>>& changes, uint64_t grant) {
   Expire();
@@ -362,12 +366,12 @@
   return revision_;
 }
 
-const std::map<std::string, StateService::Pair>& StateService::pairs() {
+const std::map<std::string, SimulatedKeyValueStore::Pair>& SimulatedKeyValueStore::pairs() {
   Expire();
   return pairs_;
 }
 
-std::shared_ptr<const StateService::View> StateService::Snapshot() {
+std::shared_ptr<const SimulatedKeyValueStore::View> SimulatedKeyValueStore::Snapshot() {
   Expire();
   if (!snapshot_ || snapshot_->revision != revision_) {
     snapshot_ = std::make_shared<const View>(View{pairs_, revision_});
@@ -375,15 +379,15 @@
   return snapshot_;
 }
 
-uint64_t StateService::VersionOf(const std::string& key) {
+uint64_t SimulatedKeyValueStore::VersionOf(const std::string& key) {
   auto p = pairs_.find(key);
   return p == pairs_.end() ? 0 : p->second.version;
 }
 
 // ---------------------------------------------------------------------------- workers
 
-Worker::Worker(World& world, std::string id, const wire::MachineType& type, std::string zone,
-               bool spot)
+SimulatedAgent::SimulatedAgent(SimulatedEnvironment& world, std::string id,
+                               const wire::MachineType& type, std::string zone, bool spot)
     : world_(world),
       id_(std::move(id)),
       type_(type),
@@ -397,43 +401,45 @@
   CheckLease();
 }
 
-void Worker::ReportLoop() {
+void SimulatedAgent::ReportLoop() {
   if (!alive_) return;
-  world_.clock.After(world_.settings.report_s * world_.random.Uniform(0.75, 1.25),
+  world_.clock.After(world_.settings.heartbeat_s * world_.random.Uniform(0.75, 1.25),
                      [this] { ReportLoop(); });
   SendReport();
 }
 
-void Worker::Changed() {
+void SimulatedAgent::Changed() {
   const double wait = std::max(0.0, last_report_ + 0.5 - world_.clock.now());
   world_.clock.After(wait, [this] {
     if (world_.clock.now() - last_report_ >= 0.499) SendReport();
   });
 }
 
-wire::Report Worker::Answer() {
-  wire::Report r;
+wire::Heartbeat SimulatedAgent::MakeHeartbeat() {
+  wire::Heartbeat r;
   r.machine = id_;
   r.address = address_;
   r.type = type_.name;
   r.zone = zone_;
   r.spot = spot_;
-  r.session = session_;
-  r.seq = ++seq_;
-  r.token = token_;
+  r.agent_epoch = agent_epoch_;
+  r.sequence = ++seq_;
+  r.fencing_token = token_;
   for (const auto& [key, t] : tasks_) {
     r.tasks.push_back({key.first, key.second, t.state, t.why, false});
   }
   return r;
 }
 
-void Worker::Mute(double for_s) { mute_until_ = std::max(mute_until_, world_.clock.now() + for_s); }
+void SimulatedAgent::CutOutbound(double for_s) {
+  outbound_cut_until_ = std::max(outbound_cut_until_, world_.clock.now() + for_s);
+}
 
-bool Worker::mute() const { return mute_until_ > world_.clock.now(); }
+bool SimulatedAgent::outbound_cut() const { return outbound_cut_until_ > world_.clock.now(); }
 
-bool Worker::hung() const { return hung_until_ > world_.clock.now(); }
+bool SimulatedAgent::hung() const { return hung_until_ > world_.clock.now(); }
 
-double Worker::used_cpus() const {
+double SimulatedAgent::used_cpus() const {
   double cpus = 0;
   for (const auto& [key, t] : tasks_) {
     if (t.state != TaskState::kExited) cpus += world_.specs[key.first.job].cpus;
@@ -441,40 +447,44 @@
   return cpus;
 }
 
-bool Worker::Has(const std::string& job) const {
+bool SimulatedAgent::Has(const std::string& job) const {
   return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& t) {
     return t.first.first.job == job && t.second.state == TaskState::kRunning;
   });
 }
 
-void Worker::Hang(double for_s) { hung_until_ = std::max(hung_until_, world_.clock.now() + for_s); }
+void SimulatedAgent::Hang(double for_s) {
+  hung_until_ = std::max(hung_until_, world_.clock.now() + for_s);
+}
 
-void Worker::Running(std::function<void()> f) {
+void SimulatedAgent::Running(std::function<void()> f) {
   if (hung_until_ <= world_.clock.now()) return f();
   world_.clock.At(hung_until_ + world_.random.Uniform(0, 0.01),
                   [this, f = std::move(f)] { Running(f); });
 }
 
-void Worker::SendReport() {
+void SimulatedAgent::SendReport() {
   if (!alive_ || waiting_) return;
   if (hung_until_ > world_.clock.now()) return Running([this] { SendReport(); });
   waiting_ = true;
   const uint64_t turn = ++report_turn_;
   const double sent = world_.clock.now();
   last_report_ = sent;
-  const uint64_t session = session_;
+  const uint64_t session = agent_epoch_;
   const std::string node = world_.nodes[node_];
-  const wire::Report report = Answer();
+  const wire::Heartbeat report = MakeHeartbeat();
   if (sent < world_.copies_until) {
-    world_.clock.After(world_.random.Uniform(0.5, 3 * world_.settings.lease_s), [this, report] {
-      world_.old_copies += report.session < session_ || report.token < token_ ? 1 : 0;
-      world_.on_report(world_.nodes[world_.random.Below(world_.nodes.size())], report,
-                       [this](int status, uint64_t token,
-                              const std::vector<wire::Command>& commands, const std::string& to) {
-                         world_.decisions.Answered(world_.clock.now(), id_, status, token, commands,
-                                                   to);
-                       });
-    });
+    world_.clock.After(
+        world_.random.Uniform(0.5, 3 * world_.settings.agent_lease_s), [this, report] {
+          world_.old_copies +=
+              report.agent_epoch < agent_epoch_ || report.fencing_token < token_ ? 1 : 0;
+          world_.on_report(
+              world_.nodes[world_.random.Below(world_.nodes.size())], report,
+              [this](int status, uint64_t token, const std::vector<wire::Command>& commands,
+                     const std::string& to) {
+                world_.decisions.Answered(world_.clock.now(), id_, status, token, commands, to);
+              });
+        });
   }
   const auto next = [this, turn](double pause) {
     if (!alive_ || turn != report_turn_) return;
@@ -485,8 +495,8 @@
   world_.clock.After(4.0, [this, turn, next] {
     if (waiting_ && turn == report_turn_) next(1.0);
   });
-  if (mute()) return;
-  const uint64_t seq = report.seq;
+  if (outbound_cut()) return;
+  const uint64_t seq = report.sequence;
   world_.network.Send(id_, node, [this, node, turn, sent, session, seq, next, r = report] {
     world_.on_report(
         node, r,
@@ -501,7 +511,7 @@
                                 if (status == 200) {
                                   waiting_ = false;
                                   heard_seq_ = seq;
-                                  if (token < token_ || session != session_) return;
+                                  if (token < token_ || session != agent_epoch_) return;
                                   lease_from_ = sent;
                                   const bool higher = token > token_;
                                   token_ = token;
@@ -524,28 +534,30 @@
   });
 }
 
-int Worker::Commands(uint64_t token, uint64_t session, const std::vector<wire::Command>& commands) {
-  const int status = token < token_ || session != session_ ? 409 : 200;
+int SimulatedAgent::OnCommands(uint64_t token, uint64_t session,
+                               const std::vector<wire::Command>& commands) {
+  const int status = token < token_ || session != agent_epoch_ ? 409 : 200;
   world_.decisions.Reached(world_.clock.now(), id_, token, session, commands, status);
   if (status != 200) return status;
   token_ = token;
-  world_.mute_orders += mute() && !commands.empty() ? 1 : 0;
+  world_.mute_orders += outbound_cut() && !commands.empty() ? 1 : 0;
   Execute(commands);
   return status;
 }
 
-void Worker::Execute(const std::vector<wire::Command>& commands) {
+void SimulatedAgent::Execute(const std::vector<wire::Command>& commands) {
   for (const wire::Command& c : commands) {
     const Key key{c.task, c.attempt};
     auto it = tasks_.find(key);
-    switch (c.op) {
-      case wire::Op::kStart:
+    switch (c.type) {
+      case wire::CommandType::kStart:
         if (it == tasks_.end()) Start(c.task, c.attempt);
         break;
-      case wire::Op::kStop:
-        if (it != tasks_.end() && it->second.state != TaskState::kExited) Exit(key, Why::kStopped);
+      case wire::CommandType::kStop:
+        if (it != tasks_.end() && it->second.state != TaskState::kExited)
+          Exit(key, ExitReason::kStopped);
         break;
-      case wire::Op::kForget:
+      case wire::CommandType::kForget:
         if (it != tasks_.end() && it->second.state == TaskState::kExited) {
           tasks_.erase(it);
           Changed();
@@ -555,23 +567,23 @@
   }
 }
 
-void Worker::Start(const wire::TaskId& task, uint64_t attempt) {
+void SimulatedAgent::Start(const wire::TaskId& task, uint64_t attempt) {
   const Key key{task, attempt};
   Task& t = tasks_[key];
   Changed();
-  const auto refuse = [&](Why why) {
+  const auto refuse = [&](ExitReason why) {
     t.state = TaskState::kExited;
     t.why = why;
   };
   auto spec = world_.specs.find(task.job);
-  if (spec == world_.specs.end()) return refuse(Why::kUnknown);
+  if (spec == world_.specs.end()) return refuse(ExitReason::kUnknownJob);
   double cpus = spec->second.cpus;
   for (const auto& [other, state] : tasks_) {
     if (other == key || state.state == TaskState::kExited) continue;
-    if (other.first == task) return refuse(Why::kBusy);
+    if (other.first == task) return refuse(ExitReason::kOtherAttemptPresent);
     cpus += world_.specs[other.first.job].cpus;
   }
-  if (cpus > type_.cpus + 1e-6) return refuse(Why::kNoRoom);
+  if (cpus > type_.cpus + 1e-6) return refuse(ExitReason::kInsufficientResources);
   const double fetch =
       images_.contains(spec->second.image) ? 0.0 : spec->second.image_gb / type_.fetch_gb_per_s;
   const uint64_t turn = t.turn = ++turns_;
@@ -584,21 +596,21 @@
   });
 }
 
-void Worker::Begin(const Key& key) {
+void SimulatedAgent::Begin(const Key& key) {
   Task& t = tasks_[key];
   t.state = TaskState::kRunning;
   t.on = true;
-  world_.checker.Started(key.first, id_, type_.name, zone_, spot_, world_.clock.now());
+  world_.rule_checker.Started(key.first, id_, type_.name, zone_, spot_, world_.clock.now());
   Changed();
   const wire::JobSpec& spec = world_.specs[key.first.job];
-  if (spec.kind == wire::Kind::kService) return;
+  if (spec.kind == wire::JobKind::kService) return;
   const bool fails = sick || world_.broken.contains(spec.id);
   const auto set = world_.run_s.find(key.first);
   const double run = fails                                ? 0.2
                      : world_.results.contains(key.first) ? 0.0
                      : set != world_.run_s.end()
                          ? set->second
-                         : spec.estimate_s * world_.random.Uniform(0.5, 1.5);
+                         : spec.estimated_run_s * world_.random.Uniform(0.5, 1.5);
   const uint64_t turn = t.turn = ++turns_;
   const std::function<void()> end = [this, key, turn, fails] {
     auto it = tasks_.find(key);
@@ -608,48 +620,48 @@
       world_.results[key.first] = true;
       world_.done_at[key.first] = world_.clock.now();
     }
-    const bool last = !fails && world_.checker.Completed(key.first);
+    const bool last = !fails && world_.rule_checker.Completed(key.first);
     if (last && world_.on_job_end) world_.on_job_end(key.first.job);
-    Exit(key, fails ? Why::kError : Why::kDone);
+    Exit(key, fails ? ExitReason::kFailed : ExitReason::kSucceeded);
   };
   world_.clock.After(run, [this, end] { Running(end); });
 }
 
-void Worker::Exit(const Key& key, Why why) {
+void SimulatedAgent::Exit(const Key& key, ExitReason why) {
   Task& t = tasks_[key];
-  if (t.on) world_.checker.Left(key.first, id_);
+  if (t.on) world_.rule_checker.Left(key.first, id_);
   t.on = false;
   t.state = TaskState::kExited;
   t.why = why;
   Changed();
 }
 
-void Worker::KillAll() {
+void SimulatedAgent::KillAll() {
   for (auto& [key, t] : tasks_) {
-    if (t.on) world_.checker.Left(key.first, id_);
+    if (t.on) world_.rule_checker.Left(key.first, id_);
   }
   tasks_.clear();
 }
 
-void Worker::CheckLease() {
+void SimulatedAgent::CheckLease() {
   if (!alive_) return;
-  const double end = lease_from_ + world_.settings.lease_s;
+  const double end = lease_from_ + world_.settings.agent_lease_s;
   if (world_.clock.now() >= end) {
     KillAll();
-    ++session_;
+    ++agent_epoch_;
     lease_from_ = world_.clock.now();
     Changed();
   }
-  world_.clock.At(std::max(lease_from_ + world_.settings.lease_s, world_.clock.now() + 0.001),
+  world_.clock.At(std::max(lease_from_ + world_.settings.agent_lease_s, world_.clock.now() + 0.001),
                   [this] { CheckLease(); });
 }
 
-void Worker::Reborn(bool next_session) {
+void SimulatedAgent::Restart(bool next_session) {
   KillAll();
   images_.clear();
-  session_ = next_session ? session_ + 1 : 1;
+  agent_epoch_ = next_session ? agent_epoch_ + 1 : 1;
   seq_ = token_ = 0;
-  ++life_;
+  ++incarnation_;
   lease_from_ = world_.clock.now();
   hung_until_ = -1e18;
   ++report_turn_;  // whatever was under way is nobody's
@@ -657,7 +669,7 @@
   Changed();
 }
 
-void Worker::Die() {
+void SimulatedAgent::Die() {
   if (alive_) died_ = world_.clock.now();
   KillAll();
   alive_ = false;
@@ -665,52 +677,55 @@
 
 // ---------------------------------------------------------------------------- world
 
-World::World(config::Settings s, std::vector<wire::MachineType> t, uint64_t seed)
+SimulatedEnvironment::SimulatedEnvironment(config::Settings s, std::vector<wire::MachineType> t,
+                                           uint64_t seed)
     : settings(std::move(s)),
       types(std::move(t)),
       random(seed),
       network(clock, random),
-      state(clock, decisions),
-      checker(settings, types) {}
+      store(clock, decisions),
+      rule_checker(settings, types) {}
 
-std::string World::ZoneOf(const std::string& node) const {
+std::string SimulatedEnvironment::ZoneOf(const std::string& node) const {
   const auto it = std::find(nodes.begin(), nodes.end(), node);
   return settings.zones[static_cast<size_t>(it - nodes.begin()) % settings.zones.size()];
 }
 
-void World::Accept(const wire::JobSpec& spec) {
+void SimulatedEnvironment::Accept(const wire::JobSpec& spec) {
   Submit(spec);
-  state.Commit({}, {{"job/" + spec.id, jobs::Ledger::Entry(spec, 0)}});
+  store.Commit({}, {{"job/" + spec.id, jobs::JobRecords::EncodeEntry(spec, 0)}});
 }
 
-uint64_t World::Cancel(const std::string& id) {
-  const uint64_t version = state.VersionOf("job/" + id);
+uint64_t SimulatedEnvironment::Cancel(const std::string& id) {
+  const uint64_t version = store.VersionOf("job/" + id);
   if (version == 0) return 0;
-  return state.Commit(
-      {{"job/" + id, version}},
-      {{"job/" + id, std::nullopt}, {"final/" + id, jobs::FinalRecord(jobs::Known::kCancelled)}});
+  return store.Commit({{"job/" + id, version}},
+                      {{"job/" + id, std::nullopt},
+                       {"final/" + id, jobs::EncodeFinalRecord(jobs::JobStatus::kCancelled)}});
 }
 
-std::string World::NextName() {
+std::string SimulatedEnvironment::NextName() {
   const std::string number = std::to_string(next_machine_++);
   return "vm-" + std::string(6 - std::min<size_t>(6, number.size()), '0') + number;
 }
 
-Worker& World::Add(const std::string& id, const std::string& type, const std::string& zone,
-                   bool spot) {
+SimulatedAgent& SimulatedEnvironment::Add(const std::string& id, const std::string& type,
+                                          const std::string& zone, bool spot) {
   auto t = std::find_if(types.begin(), types.end(), [&](const auto& x) { return x.name == type; });
-  auto& worker = workers[id];
-  worker = std::make_unique<Worker>(*this, id, *t, zone, spot);
+  auto& worker = agents[id];
+  worker = std::make_unique<SimulatedAgent>(*this, id, *t, zone, spot);
   return *worker;
 }
 
-Worker& World::AddMachine(const std::string& type, const std::string& zone, bool spot) {
+SimulatedAgent& SimulatedEnvironment::AddMachine(const std::string& type, const std::string& zone,
+                                                 bool spot) {
   return Add(NextName(), type, zone, spot);
 }
 
-std::string World::Rent(const std::string& type, const std::string& zone, bool spot) {
-  const auto up = static_cast<size_t>(std::count_if(
-      workers.begin(), workers.end(), [](const auto& w) { return w.second->alive(); }));
+std::string SimulatedEnvironment::Rent(const std::string& type, const std::string& zone,
+                                       bool spot) {
+  const auto up = static_cast<size_t>(
+      std::count_if(agents.begin(), agents.end(), [](const auto& w) { return w.second->alive(); }));
   const std::string id = up + booting_ < capacity ? NextName() : "";
   decisions.Rented(clock.now(), type, zone, spot, id);
   if (id.empty()) return id;
@@ -722,10 +737,10 @@
   return id;
 }
 
-std::vector<wire::ListedMachine> World::List() const {
+std::vector<wire::ListedMachine> SimulatedEnvironment::List() const {
   std::vector<wire::ListedMachine> out;
-  const double then = std::max(0.0, clock.now() - settings.list_lag_s);
-  for (const auto& [id, w] : workers) {
+  const double then = std::max(0.0, clock.now() - settings.machine_list_lag_s);
+  for (const auto& [id, w] : agents) {
     if (!w->Had(then)) continue;
     out.push_back({id, w->address(), w->type(), w->zone(), w->spot(), wire::MachineState::kRunning,
                    clock.now()});
@@ -733,29 +748,29 @@
   return out;
 }
 
-bool World::Runs(const std::string& job) const {
-  return std::any_of(workers.begin(), workers.end(),
+bool SimulatedEnvironment::Runs(const std::string& job) const {
+  return std::any_of(agents.begin(), agents.end(),
                      [&](const auto& w) { return w.second->alive() && w.second->Has(job); });
 }
 
-Worker* World::At(const std::string& address) {
-  for (auto& [id, w] : workers) {
+SimulatedAgent* SimulatedEnvironment::At(const std::string& address) {
+  for (auto& [id, w] : agents) {
     if (w->alive() && w->address() == address) return w.get();
   }
   return nullptr;
 }
 
-void World::Replace(const std::string& id) {
-  Worker& old = *workers.at(id);
+void SimulatedEnvironment::Replace(const std::string& id) {
+  SimulatedAgent& old = *agents.at(id);
   if (!old.alive()) return;
   old.Die();
   AddMachine(types.front().name, old.zone(), false).MoveTo(old.address());
 }
 
-void World::Delete(const std::string& id) {
+void SimulatedEnvironment::Delete(const std::string& id) {
   decisions.Returned(clock.now(), id);
   // Kept as a dead object: events that refer to it may still be queued.
-  if (auto it = workers.find(id); it != workers.end()) it->second->Die();
+  if (auto it = agents.find(id); it != agents.end()) it->second->Die();
 }
 
 }  // namespace mosspath::simulation
--- a/simulation/world.h
+++ b/simulation/world.h
@@ -15,15 +15,15 @@
 #include <vector>
 
 #include "mosspath/config/settings.h"
-#include "mosspath/wire/block_frame.h"
 #include "mosspath/wire/json.h"
 #include "mosspath/wire/messages.h"
+#include "mosspath/wire/shard_frame.h"
 #include "simulation/decisions.h"
 
 namespace mosspath::simulation {
 
 // Events in the order of their times; equal times in the order they were added.
-class Clock {
+class SimulatedClock {
  public:
   double now() const { return now_; }
   void At(double when, std::function<void()> f) { queue_.push({when, next_++, std::move(f)}); }
@@ -57,9 +57,9 @@
 };
 
 // Hosts are names. A cut holds messages back and delivers them when it ends, or drops them.
-class Network {
+class SimulatedNetwork {
  public:
-  Network(Clock& clock, Random& random) : clock_(clock), random_(random) {}
+  SimulatedNetwork(SimulatedClock& clock, Random& random) : clock_(clock), random_(random) {}
   void Send(const std::string& from, const std::string& to, std::function<void()> deliver);
   void Cut(const std::string& a, const std::string& b, double for_s, bool hold);
   // Only what goes this way; the other way is as before.
@@ -82,7 +82,7 @@
     double until = 0;
     bool hold = false;
   };
-  Clock& clock_;
+  SimulatedClock& clock_;
   Random& random_;
   using Ends = std::pair<std::string, std::string>;
   static const CutState* Find(const std::map<Ends, CutState>& cuts, const Ends& ends, double now);
@@ -105,7 +105,7 @@
   // Users were told that it is accepted: from now on they ask about it.
   void Accepted(const std::string& id, double now);
   // A question about it, of that time, was answered so.
-  void Answered(const std::string& id, int status, wire::Stage stage, double asked, double now);
+  void Answered(const std::string& id, int status, wire::JobState stage, double asked, double now);
   // The user has asked to cancel it.
   void CancelAsked(const std::string& id) { jobs_[id].cancel_asked = true; }
   // Sent by a user although it can never run; nobody is to serve it.
@@ -172,7 +172,7 @@
     bool cancel_asked = false;
     bool forgotten = false;
     bool down = false;
-    std::optional<wire::Stage> told_over;
+    std::optional<wire::JobState> told_over;
     double told_over_at = 0;
     std::map<std::string, double> room_since;  // machines that had room ever since
     bool waits = false;                        // and was told of
@@ -196,7 +196,7 @@
   double longest_unanswered_s_ = 0;
 };
 
-class StateService {
+class SimulatedKeyValueStore {
  public:
   struct Pair {
     wire::Json value;
@@ -204,7 +204,8 @@
     uint64_t grant;
   };
   // Changes that are carried out go into the decisions.
-  StateService(Clock& clock, Decisions& decisions) : clock_(clock), decisions_(decisions) {}
+  SimulatedKeyValueStore(SimulatedClock& clock, Decisions& decisions)
+      : clock_(clock), decisions_(decisions) {}
 
   // These run at the service; the network is the caller's business.
   bool up() const { return clock_.now() >= down_until_; }
@@ -231,7 +232,7 @@
     double life = 0;
     double until = 0;
   };
-  Clock& clock_;
+  SimulatedClock& clock_;
   Decisions& decisions_;
   uint64_t revision_ = 0;
   uint64_t next_grant_ = 1;
@@ -241,36 +242,37 @@
   std::shared_ptr<const View> snapshot_;
 };
 
-class World;
+class SimulatedEnvironment;
 
 // A worker as the protocol describes it.
-class Worker {
+class SimulatedAgent {
  public:
-  Worker(World& world, std::string id, const wire::MachineType& type, std::string zone, bool spot);
+  SimulatedAgent(SimulatedEnvironment& world, std::string id, const wire::MachineType& type,
+                 std::string zone, bool spot);
 
   const std::string& id() const { return id_; }
   const std::string& zone() const { return zone_; }
   const std::string& type() const { return type_.name; }
   double cpus() const { return type_.cpus; }
   bool spot() const { return spot_; }
-  wire::Report Answer();  // its report, with the next sequence number
-  int Commands(uint64_t token, uint64_t session, const std::vector<wire::Command>& commands);
+  wire::Heartbeat MakeHeartbeat();  // its report, with the next sequence number
+  int OnCommands(uint64_t token, uint64_t session, const std::vector<wire::Command>& commands);
   void Die();
   // It runs nothing and answers nothing until then; what comes for it is done when it goes on.
   void Hang(double for_s);
   // Its reports reach no controller until then, nor any answer to them; direct orders do, and their
   // answers come back.
-  void Mute(double for_s);
-  bool mute() const;
+  void CutOutbound(double for_s);
+  bool outbound_cut() const;
   bool hung() const;
   double used_cpus() const;
   bool Has(const std::string& job) const;  // a task of it runs here
   // It comes back under its name with nothing on it, in its next session, or in its first as if it
   // had never been.
-  void Reborn(bool next_session);
+  void Restart(bool next_session);
   void Running(std::function<void()> f);
   bool alive() const { return alive_; }
-  uint64_t session() const { return session_; }
+  uint64_t agent_epoch() const { return agent_epoch_; }
   uint64_t heard_seq() const { return heard_seq_; }  // of its last report that was answered 200
   size_t running() const {
     return static_cast<size_t>(std::count_if(tasks_.begin(), tasks_.end(), [](const auto& t) {
@@ -278,7 +280,7 @@
     }));
   }
   const std::string& address() const { return address_; }
-  uint64_t life() const { return life_; }  // one more with each rebirth
+  uint64_t incarnation() const { return incarnation_; }  // one more with each rebirth
   void MoveTo(const std::string& address) { address_ = address; }
   bool sick = false;  // fails every task
   // Whether the cloud had it at that time.
@@ -288,7 +290,7 @@
  private:
   struct Task {
     wire::TaskState state = wire::TaskState::kFetching;
-    wire::Why why = wire::Why::kNone;
+    wire::ExitReason why = wire::ExitReason::kNone;
     bool on = false;  // counted by the checker
     uint64_t turn = 0;
   };
@@ -300,11 +302,11 @@
   void Execute(const std::vector<wire::Command>& commands);
   void Start(const wire::TaskId& task, uint64_t attempt);
   void Begin(const Key& key);
-  void Exit(const Key& key, wire::Why why);
+  void Exit(const Key& key, wire::ExitReason why);
   void CheckLease();
   void KillAll();
 
-  World& world_;
+  SimulatedEnvironment& world_;
   const std::string id_;
   const wire::MachineType type_;
   const std::string zone_;
@@ -314,8 +316,8 @@
   const double born_;
   double died_ = 0;
   double hung_until_ = -1e18;
-  double mute_until_ = -1e18;
-  uint64_t session_ = 1;
+  double outbound_cut_until_ = -1e18;
+  uint64_t agent_epoch_ = 1;
   uint64_t seq_ = 0;
   uint64_t heard_seq_ = 0;
   uint64_t token_ = 0;
@@ -324,27 +326,28 @@
   bool waiting_ = false;
   uint64_t report_turn_ = 0;
   uint64_t turns_ = 0;  // of its tasks
-  uint64_t life_ = 0;
+  uint64_t incarnation_ = 0;
   double last_report_ = -1e9;
   std::map<Key, Task> tasks_;
   std::set<std::string> images_;
 };
 
-class World {
+class SimulatedEnvironment {
  public:
-  World(config::Settings settings, std::vector<wire::MachineType> types, uint64_t seed);
+  SimulatedEnvironment(config::Settings settings, std::vector<wire::MachineType> types,
+                       uint64_t seed);
 
   using ReportAnswer = std::function<void(int status, uint64_t token,
                                           std::vector<wire::Command> commands, std::string to)>;
 
   void Submit(const wire::JobSpec& spec) {
     specs[spec.id] = spec;
-    checker.Submitted(spec, clock.now());
+    rule_checker.Submitted(spec, clock.now());
   }
   // Durable without a controller's doing; the revision of the cancellation, 0: it is over.
   void Accept(const wire::JobSpec& spec);
   uint64_t Cancel(const std::string& id);
-  Worker& AddMachine(const std::string& type, const std::string& zone, bool spot);
+  SimulatedAgent& AddMachine(const std::string& type, const std::string& zone, bool spot);
   // The name of a machine that will be up after its boot time; empty: no capacity.
   std::string Rent(const std::string& type, const std::string& zone, bool spot);
   void Delete(const std::string& id);
@@ -353,7 +356,7 @@
   // The cloud's list, as it was its usual lag ago.
   std::vector<wire::ListedMachine> List() const;
   // Who is reached there now, if anybody.
-  Worker* At(const std::string& address);
+  SimulatedAgent* At(const std::string& address);
   // The machine ends, and another is up under its address at once.
   void Replace(const std::string& id);
   // Each report is delivered again later, to any controller.
@@ -380,33 +383,34 @@
   size_t capacity = 8;  // machines that can be up at once
   const config::Settings settings;
   const std::vector<wire::MachineType> types;
-  Clock clock;
+  SimulatedClock clock;
   Random random;
-  Network network;
+  SimulatedNetwork network;
   Decisions decisions;
-  StateService state;
-  RuleChecker checker;
+  SimulatedKeyValueStore store;
+  RuleChecker rule_checker;
   std::map<std::string, wire::JobSpec> specs;
   std::set<std::string> broken;  // jobs with a mistake: fail everywhere
-  std::map<std::string, std::unique_ptr<Worker>> workers;
+  std::map<std::string, std::unique_ptr<SimulatedAgent>> agents;
   std::map<wire::TaskId, bool> results;  // completed tasks keep their results
   std::vector<std::string> nodes;
   // Controllers stand in the zones in turn.
   std::string ZoneOf(const std::string& node) const;
   // How a node takes a report; called at the node.
-  std::function<void(const std::string& node, wire::Report, ReportAnswer)> on_report;
+  std::function<void(const std::string& node, wire::Heartbeat, ReportAnswer)> on_report;
   // How a node takes a leader's question whether it vouches; no answer while it is down.
   std::map<std::string, std::function<std::optional<std::string>(const std::string& question)>>
       on_vouch;
   // How a node takes a frame about a block; its answer, if it takes it.
-  std::map<std::string, std::function<std::optional<wire::BlockFrame>(const std::string& frame)>>
+  std::map<std::string, std::function<std::optional<wire::ShardFrame>(const std::string& frame)>>
       on_frame;
   // How a node takes another's presence; its answer. None while it is down.
   std::map<std::string, std::function<std::optional<std::string>(const std::string& frame)>>
       on_presence;
 
  private:
-  Worker& Add(const std::string& id, const std::string& type, const std::string& zone, bool spot);
+  SimulatedAgent& Add(const std::string& id, const std::string& type, const std::string& zone,
+                      bool spot);
   std::string NextName();
 
   uint64_t next_machine_ = 0;
--- a/src/admission/runnable.cc
+++ b/src/admission/runnable.cc
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-std::string WhyNeverRuns(const wire::JobSpec& s, const std::vector<config::Team>& teams,
-                         const std::vector<wire::MachineType>& types) {
+std::string ReasonNeverRunnable(const wire::JobSpec& s, const std::vector<config::Team>& teams,
+                                const std::vector<wire::MachineType>& types) {
   const auto team =
       std::find_if(teams.begin(), teams.end(), [&](const auto& t) { return t.name == s.team; });
   if (team == teams.end()) return "unknown team";
@@ -28,14 +28,14 @@
   }
   if (s.zone) std::erase_if(zones, [&](const std::string& zone) { return zone != *s.zone; });
   if (zones.empty()) return "a task fits no allowed machine type";
-  const bool at_once = s.kind != wire::Kind::kArray;
+  const bool at_once = s.kind != wire::JobKind::kArray;
   const double tasks = at_once ? s.tasks : 1;
   if ((team->cpus_max > 0 && tasks * s.cpus > team->cpus_max + kSlack) ||
       (team->gpus_max > 0 && tasks * s.gpus > team->gpus_max + kSlack)) {
     return "more than the team's limit";
   }
   // At most half of them may be in one zone, rounded up: two zones hold all.
-  if (at_once && s.spread && s.tasks > 1 && (s.one_zone || zones.size() < 2)) {
+  if (at_once && s.spread_over_zones && s.tasks > 1 && (s.single_zone || zones.size() < 2)) {
     return "its tasks must be up together and apart, and only one zone may have them";
   }
   return {};
--- a/src/autoscaler/planner.cc
+++ b/src/autoscaler/scaling_planner.cc
@@ -1,4 +1,4 @@
-#include "mosspath/autoscaler/planner.h"
+#include "mosspath/autoscaler/scaling_planner.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,7 @@
 double Cpus(const wire::MachineType& t) { return std::max(t.cpus, 1e-3); }
 
 bool Allows(const Demand& d, const wire::MachineType& t, const std::string& zone, bool spot) {
-  if (spot && !d.spot_ok) return false;
+  if (spot && !d.spot_allowed) return false;
   if (!d.zone.empty() && d.zone != zone) return false;
   if (!d.types.empty() && std::find(d.types.begin(), d.types.end(), t.name) == d.types.end()) {
     return false;
@@ -35,8 +35,8 @@
 
 }  // namespace
 
-Plan MakePlan(const PlannerInput& in, const PlannerTuning& tuning) {
-  Plan plan;
+ScalingPlan PlanScaling(const ScalingInput& in, const ScalingTuning& tuning) {
+  ScalingPlan plan;
   std::vector<Choice> choices;
   std::map<std::string, const wire::MachineType*> by_name;
   for (const auto& t : in.types) {
@@ -51,19 +51,19 @@
   });
 
   // Machines and their free room, by offer, and the most that one of them has.
-  std::map<Offer, double> free_cpus;
-  std::map<Offer, double> free_on_one;
+  std::map<MachineOffer, double> free_cpus;
+  std::map<MachineOffer, double> free_on_one;
   std::map<std::string, int> per_zone;
-  for (const Unit& u : in.units) {
+  for (const FleetMachine& u : in.machines) {
     auto t = by_name.find(u.type);
-    if (t == by_name.end() || !u.usable) continue;
+    if (t == by_name.end() || !u.schedulable) continue;
     const double free = std::max(0.0, Cpus(*t->second) - u.used_cpus);
     free_cpus[{u.type, u.zone, u.spot}] += free;
     double& most = free_on_one[{u.type, u.zone, u.spot}];
     most = std::max(most, free);
     ++per_zone[u.zone];
   }
-  int machines = static_cast<int>(in.units.size());
+  int machines = static_cast<int>(in.machines.size());
 
   // Demands with the fewest choices first; each takes free room, then new machines.
   std::vector<const Demand*> order;
@@ -80,8 +80,8 @@
     double cpus = 0;
     double piece = 1e18;
   };
-  std::map<Offer, Promised> promised;
-  std::map<Offer, double> wanted;
+  std::map<MachineOffer, Promised> promised;
+  std::map<MachineOffer, double> wanted;
   for (const Demand* d : order) {
     // Enough room to run the waiting work within the horizon, but not more than all at once.
     double need = -1;
@@ -90,8 +90,8 @@
       const double weight = Weight(*d, *c.type);
       if (need < 0) {
         const double horizon = std::max(1.0, tuning.horizon_boots * c.type->boot_s);
-        const double all = d->waiting * weight;
-        const double paced = d->waiting_s * weight / horizon;
+        const double all = d->waiting_tasks * weight;
+        const double paced = d->waiting_run_s * weight / horizon;
         need = d->urgent ? all : std::min(all, std::max(paced, weight));
       }
       // Room in pieces that not one task fits into is none: a replica waited for it for ever.
@@ -117,7 +117,7 @@
         const auto closed = in.closed_until.find({c.type->name, c.zone, c.spot});
         if (closed != in.closed_until.end() && closed->second > in.now) continue;
         // An ordinary machine is no stand-in for a cheap one that is sold out just now.
-        if (!c.spot && d->spot_ok && c.type->spot_price > 0) continue;
+        if (!c.spot && d->spot_allowed && c.type->spot_price > 0) continue;
         if (Allows(*d, *c.type, c.zone, c.spot)) open.push_back(&c);
       }
       if (!open.empty()) {
@@ -135,7 +135,7 @@
     }
   }
   for (const auto& [offer, count] : wanted) {
-    plan.rent.push_back(
+    plan.scale_out.push_back(
         {std::get<0>(offer), std::get<1>(offer), std::get<2>(offer), static_cast<int>(count)});
   }
 
@@ -146,9 +146,9 @@
   double free_room = 0;
   double free_ordinary = 0;  // of it
   double used = 0;
-  for (const Unit& u : in.units) {
+  for (const FleetMachine& u : in.machines) {
     const auto t = by_name.find(u.type);
-    if (t == by_name.end() || !u.usable) continue;
+    if (t == by_name.end() || !u.schedulable) continue;
     free_room += std::max(0.0, Cpus(*t->second) - u.used_cpus);
     if (!u.spot) free_ordinary += std::max(0.0, Cpus(*t->second) - u.used_cpus);
     used += u.used_cpus;
@@ -158,51 +158,53 @@
     const auto c = std::find_if(choices.begin(), choices.end(), [&](const Choice& o) {
       return Allows(d, *o.type, o.zone, o.spot);
     });
-    if (c != choices.end()) keep_free += d.waiting * Weight(d, *c->type);
+    if (c != choices.end()) keep_free += d.waiting_tasks * Weight(d, *c->type);
   }
   // What of a machine's free room waiting work is promised.
-  const auto useful = [&](const Unit& u) {
+  const auto useful = [&](const FleetMachine& u) {
     const auto p = promised.find({u.type, u.zone, u.spot});
     const double room = std::max(0.0, Cpus(*by_name[u.type]) - u.used_cpus);
     return p != promised.end() && room + 1e-6 >= p->second.piece ? room : 0.0;
   };
-  std::map<Offer, double> useful_room;
-  for (const Unit& u : in.units) {
-    if (by_name.contains(u.type) && u.usable) useful_room[{u.type, u.zone, u.spot}] += useful(u);
+  std::map<MachineOffer, double> useful_room;
+  for (const FleetMachine& u : in.machines) {
+    if (by_name.contains(u.type) && u.schedulable)
+      useful_room[{u.type, u.zone, u.spot}] += useful(u);
   }
   double cheap_up = 0;
   double ordinary_up = 0;
-  std::vector<const Unit*> dear;
-  for (const Unit& u : in.units) {
+  std::vector<const FleetMachine*> dear;
+  for (const FleetMachine& u : in.machines) {
     const auto t = by_name.find(u.type);
     if (t == by_name.end() || !u.up) continue;
     dear.push_back(&u);
-    if (u.usable) (u.spot ? cheap_up : ordinary_up) += Cpus(*t->second);
+    if (u.schedulable) (u.spot ? cheap_up : ordinary_up) += Cpus(*t->second);
   }
-  const bool ordinary_wanted =
-      std::any_of(in.demand.begin(), in.demand.end(), [](const Demand& d) { return !d.spot_ok; });
-  const bool covered = !ordinary_wanted && cheap_up >= tuning.cheap_cover * ordinary_up;
+  const bool ordinary_wanted = std::any_of(in.demand.begin(), in.demand.end(),
+                                           [](const Demand& d) { return !d.spot_allowed; });
+  const bool covered = !ordinary_wanted && cheap_up >= tuning.spot_cover * ordinary_up;
   // Work that it does for its price: a large machine is emptied before it holds but a few tasks.
-  const auto density = [&](const Unit* u) {
+  const auto density = [&](const FleetMachine* u) {
     const auto* t = by_name[u->type];
-    return u->work_s / std::max(1e-9, u->spot ? t->spot_price : t->price);
+    return u->remaining_cpu_s / std::max(1e-9, u->spot ? t->spot_price : t->price);
   };
-  std::stable_sort(dear.begin(), dear.end(), [&](const Unit* a, const Unit* b) {
+  std::stable_sort(dear.begin(), dear.end(), [&](const FleetMachine* a, const FleetMachine* b) {
     if (a->spot != b->spot) return !a->spot;
     if (a->draining != b->draining) return a->draining;
     return density(a) < density(b);
   });
-  for (const Unit* u : dear) {
+  for (const FleetMachine* u : dear) {
     const auto* t = by_name[u->type];
-    if (!u->usable) {
-      if (u->idle) plan.give_back.push_back(u->id);
+    if (!u->schedulable) {
+      if (u->idle) plan.scale_in.push_back(u->id);
       continue;
     }
     // A dear machine is no longer worth its price once cheap ones carry the work.
-    const bool dear_and_covered = !u->spot && t->spot_price > 0 && covered && !u->needed;
+    const bool dear_and_covered =
+        !u->spot && t->spot_price > 0 && covered && !u->has_on_demand_work;
     const double room = std::max(0.0, Cpus(*t) - u->used_cpus);
     if (!dear_and_covered && free_room - room < keep_free) continue;
-    if (!u->spot && in.ordinary_cpus > 0 && free_ordinary - room < in.ordinary_cpus) continue;
+    if (!u->spot && in.on_demand_cpus > 0 && free_ordinary - room < in.on_demand_cpus) continue;
     // Nor is room taken away that work waits for, and that no other has: with enough on machines
     // that it may not use, all that it may use rested, and nothing was rented either.
     double& useful_left = useful_room[{u->type, u->zone, u->spot}];
@@ -212,9 +214,9 @@
     if (!u->spot) free_ordinary -= room;
     free_room -= room;
     if (u->idle && (dear_and_covered || u->idle_s >= tuning.keep_idle_boots * t->boot_s)) {
-      plan.give_back.push_back(u->id);
+      plan.scale_in.push_back(u->id);
     } else {
-      (dear_and_covered ? plan.drain : plan.rest).push_back(u->id);
+      (dear_and_covered ? plan.drain : plan.cordon).push_back(u->id);
     }
   }
   return plan;
--- a/src/cli/cli.cc
+++ b/src/cli/cli.cc
@@ -13,7 +13,7 @@
 
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
-#include "mosspath/service/node.h"
+#include "mosspath/service/controller.h"
 
 namespace mosspath::cli {
 namespace {
@@ -37,9 +37,9 @@
 }
 
 int Serve(const config::Settings& settings) {
-  SetUpLog(settings.node);
+  SetUpLog(settings.name);
   asio::io_context io(1);
-  service::Node node(io, settings);
+  service::Controller node(io, settings);
   node.Start();
   io.run();
   return 0;
@@ -201,13 +201,13 @@
       return kBadUse;
     }
     config::Settings s = config::Load(path);
-    s.lease_blocks = lease_blocks;
+    s.lease_shards = lease_blocks;
     if (check) {
       std::cout << "settings are valid\n";
       return 0;
     }
     return Serve(s);
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     std::cerr << e.what() << '\n';
     return kBadUse;
   } catch (const std::exception& e) {
--- a/src/cluster/machine.cc
+++ b/src/cluster/machine.cc
@@ -11,7 +11,7 @@
   return *this;
 }
 
-void ImageCache::Use(const std::string& image, double gb, double capacity_gb) {
+void ImageCache::MarkUsed(const std::string& image, double gb, double capacity_gb) {
   if (auto it = index_.find(image); it != index_.end()) {
     order_.splice(order_.begin(), order_, it->second);
     return;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -18,7 +18,7 @@
 constexpr double kViewShare = 0.9;
 
 [[noreturn]] void Bad(const std::string& key, const std::string& what) {
-  throw BadSettings("settings: " + key + " " + what);
+  throw SettingsError("settings: " + key + " " + what);
 }
 
 std::string Text(const toml::table& t, const std::string& path, const char* key) {
@@ -76,7 +76,7 @@
 
 Settings FromTable(const toml::table& t) {
   Settings s;
-  s.node = Text(t, "", "label");
+  s.name = Text(t, "", "label");
   s.zone = Text(t, "", "domain");
   s.public_address = Address(t, "", "public_addr");
   s.peer_address = Address(t, "", "back");
@@ -84,19 +84,19 @@
     s.peers.push_back({Text(p, at, "label"), Text(p, at, "domain"), Address(p, at, "address")});
   });
   // A process that took itself for one of the others would wait for its own word.
-  std::set<std::string> labels{s.node};
+  std::set<std::string> labels{s.name};
   for (size_t i = 0; i < s.peers.size(); ++i) {
     const std::string at = "seeds[" + std::to_string(i) + "].";
-    if (!labels.insert(s.peers[i].node).second) Bad(at + "label", "names a controller twice");
+    if (!labels.insert(s.peers[i].name).second) Bad(at + "label", "names a controller twice");
     if (s.peers[i].address == s.peer_address) Bad(at + "address", "is this controller's own");
   }
   if (s.public_address == s.peer_address) Bad("back", "is the same as public_addr");
   const toml::table& outside = Table(t, "", "outside");
   s.cloud_address = Address(outside, "outside.", "cloud");
-  s.state_address = Address(outside, "outside.", "state");
+  s.store_address = Address(outside, "outside.", "state");
 
   const toml::table& facts = Table(t, "", "facts");
-  s.nodes = Whole(facts, "facts.", "initial_size", 1);
+  s.controller_count = Whole(facts, "facts.", "initial_size", 1);
   const toml::array* zones = facts["zones"].as_array();
   if (zones == nullptr) Bad("facts.zones", facts["zones"] ? "is not a list" : "is missing");
   for (const toml::node& z : *zones) {
@@ -125,18 +125,18 @@
     s.objectives.push_back(std::move(o));
   });
   const toml::table& workers = Table(facts, "facts.", "workers");
-  s.report_s = Number(workers, "facts.workers.", "report_s", 0.01, 3600);
-  s.lease_s = Number(workers, "facts.workers.", "lease_s", 0.1, 86400);
-  s.cancel_s = Number(workers, "facts.workers.", "cancel_s", 0.1, 86400);
-  if (s.lease_s <= s.report_s) Bad("facts.workers.lease_s", "is not above report_s");
+  s.heartbeat_s = Number(workers, "facts.workers.", "report_s", 0.01, 3600);
+  s.agent_lease_s = Number(workers, "facts.workers.", "lease_s", 0.1, 86400);
+  s.cancel_within_s = Number(workers, "facts.workers.", "cancel_s", 0.1, 86400);
+  if (s.agent_lease_s <= s.heartbeat_s) Bad("facts.workers.lease_s", "is not above report_s");
   const toml::table& state = Table(facts, "facts.", "state");
-  s.state_rps = Number(state, "facts.state.", "rps", 1);
-  s.state_write_rps = Number(state, "facts.state.", "write_rps", 1);
-  s.value_kb = Number(state, "facts.state.", "value_kb", 1);
-  s.txn_ops = Whole(state, "facts.state.", "txn_ops", 2);
+  s.store_requests_per_s = Number(state, "facts.state.", "rps", 1);
+  s.store_writes_per_s = Number(state, "facts.state.", "write_rps", 1);
+  s.store_value_kb = Number(state, "facts.state.", "value_kb", 1);
+  s.store_transaction_changes = Whole(state, "facts.state.", "txn_ops", 2);
   const toml::table& cloud = Table(facts, "facts.", "cloud");
-  s.cloud_rps = Number(cloud, "facts.cloud.", "rps", 0.01);
-  s.list_lag_s = Number(cloud, "facts.cloud.", "list_lag_s", 0);
+  s.cloud_requests_per_s = Number(cloud, "facts.cloud.", "rps", 0.01);
+  s.machine_list_lag_s = Number(cloud, "facts.cloud.", "list_lag_s", 0);
   const toml::table& limits = Table(facts, "facts.", "limits");
   s.cpu_share = Number(limits, "facts.limits.", "cores", 0.001);
   s.memory_mb = Number(limits, "facts.limits.", "memory_mb", 16);
@@ -152,49 +152,49 @@
   } catch (const toml::parse_error& e) {
     std::ostringstream where;
     where << "settings: line " << e.source().begin.line << ": " << e.description();
-    throw BadSettings(where.str());
+    throw SettingsError(where.str());
   }
 }
 
 Settings Load(const std::string& path) {
   std::ifstream in(path);
-  if (!in) throw BadSettings("settings: can't read " + path);
+  if (!in) throw SettingsError("settings: can't read " + path);
   std::ostringstream text;
   text << in.rdbuf();
   return Parse(text.str());
 }
 
-Derived::Derived(const Settings& s) {
+DerivedSettings::DerivedSettings(const Settings& s) {
   // The grant ends well before the workers' leases do, so that a successor finds them working; and
   // soon, since nothing starts meanwhile.
-  grant_s = s.lease_s / 8;
-  renew_s = grant_s / 6;
-  renew_timeout_s = grant_s / 3;
-  promise_s = s.lease_s / 24;
-  lapse_margin_s = grant_s * (4 * kDrift) + 0.02 * grant_s;
-  gone_s = s.lease_s * (1 + 4 * kDrift) + 0.02 * s.lease_s;
-  ask_s = s.report_s / 4;
+  store_lease_s = s.agent_lease_s / 8;
+  store_lease_renew_s = store_lease_s / 6;
+  renew_timeout_s = store_lease_s / 3;
+  promise_s = s.agent_lease_s / 24;
+  lapse_margin_s = store_lease_s * (4 * kMaxClockDrift) + 0.02 * store_lease_s;
+  agent_lease_over_s = s.agent_lease_s * (1 + 4 * kMaxClockDrift) + 0.02 * s.agent_lease_s;
+  probe_answer_s = s.heartbeat_s / 4;
   // After a takeover: a report, and as much again for those that have to find the new leader.
-  find_s = 1.25 * s.report_s + 2.0;
+  agents_find_leader_s = 1.25 * s.heartbeat_s + 2.0;
   // A worker gives up on an answer after 4 s, and tries the next node 1 s later.
-  silent_s = 2 * s.report_s + 4.0;
-  search_s = s.nodes * (4.0 + 1.0) + 1.25 * s.report_s;
+  agent_suspect_s = 2 * s.heartbeat_s + 4.0;
+  agents_try_all_s = s.controller_count * (4.0 + 1.0) + 1.25 * s.heartbeat_s;
   // Told of at T, a cancellation is acted on at T + view_s at the latest, or no worker is answered
   // from then on and their leases end what they run by T + view_s + gone_s, which is before T +
   // cancel_s.
-  view_s = std::max(kViewShare * (s.cancel_s - gone_s), s.report_s);
+  max_view_age_s = std::max(kViewShare * (s.cancel_within_s - agent_lease_over_s), s.heartbeat_s);
   // By its own clock a view must not be older than view_s.
-  hold_s = view_s * (1 + 2 * kDrift);
-  flush_s = std::max(0.25, 6.0 / s.state_write_rps);
-  place_gap_s = s.report_s / 40;
-  plan_gap_s = 1 / s.cloud_rps;
-  read_gap_s = std::max(0.05, 3.0 * s.nodes / s.state_rps);
+  shard_hold_s = max_view_age_s * (1 + 2 * kMaxClockDrift);
+  record_flush_s = std::max(0.25, 6.0 / s.store_writes_per_s);
+  placement_interval_s = s.heartbeat_s / 40;
+  scaling_interval_s = 1 / s.cloud_requests_per_s;
+  catch_up_interval_s = std::max(0.05, 3.0 * s.controller_count / s.store_requests_per_s);
   // A view is as old as when the last look was asked for, so it grows to two waits before the next
   // returns: well below the half of view_s at which a leader resigns.
-  watch_s = std::min(std::max(2.0, s.lease_s / 4), std::max(0.5, view_s / 6));
-  call_timeout_s = std::min(2.0, s.lease_s / 12);
-  cloud_timeout_s = std::max(5.0, 2 * s.report_s);
-  list_s = std::max(s.list_lag_s, 10.0 / s.cloud_rps);
+  watch_s = std::min(std::max(2.0, s.agent_lease_s / 4), std::max(0.5, max_view_age_s / 6));
+  call_timeout_s = std::min(2.0, s.agent_lease_s / 12);
+  cloud_timeout_s = std::max(5.0, 2 * s.heartbeat_s);
+  machine_list_interval_s = std::max(s.machine_list_lag_s, 10.0 / s.cloud_requests_per_s);
   user_deadline_s = 2.0;
 }
 
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -7,121 +7,127 @@
 namespace mosspath::election {
 
 Elector::Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
-                 const config::Derived& derived, std::string key, Handlers handlers)
+                 const config::DerivedSettings& derived, std::string key, Handlers handlers)
     : client_(client),
       derived_(derived),
-      node_(settings.node),
+      node_(settings.name),
       key_(std::move(key)),
       handlers_(std::move(handlers)),
       renew_timer_(io),
       campaign_timer_(io),
-      look_timer_(io),
-      backoff_(0.1, derived.renew_s),
-      lead_(settings, derived, net::Now()) {}
+      evaluate_timer_(io),
+      backoff_(0.1, derived.store_lease_renew_s),
+      leadership_(settings, derived, net::Now()) {}
 
-void Elector::Start() { Obtain(); }
+void Elector::Start() { GrantStoreLease(); }
 
-void Elector::Obtain() {
+void Elector::GrantStoreLease() {
   const double sent = net::Now();
-  client_.Grant(derived_.grant_s, [this, sent](kvstore::Outcome outcome, uint64_t grant) {
-    if (lead_.grant() != 0) return;
-    if (outcome != kvstore::Outcome::kDone) {
-      renew_timer_.After(backoff_.Next(), [this] { Obtain(); });
-      return;
-    }
-    backoff_.Reset();
-    lead_.Granted(grant, sent);
-    renew_timer_.After(derived_.renew_s, [this] { Renew(); });
-    Consider();
-  });
+  client_.GrantLease(
+      derived_.store_lease_s, [this, sent](kvstore::Outcome outcome, uint64_t grant) {
+        if (leadership_.store_lease() != 0) return;
+        if (outcome != kvstore::Outcome::kDone) {
+          renew_timer_.After(backoff_.Next(), [this] { GrantStoreLease(); });
+          return;
+        }
+        backoff_.Reset();
+        leadership_.OnStoreLeaseGranted(grant, sent);
+        renew_timer_.After(derived_.store_lease_renew_s, [this] { RenewStoreLease(); });
+        Evaluate();
+      });
 }
 
-void Elector::Renew() {
+void Elector::RenewStoreLease() {
   const double sent = net::Now();
-  client_.Renew(lead_.grant(), [this, sent, grant = lead_.grant()](kvstore::Outcome outcome) {
-    if (grant != lead_.grant()) return;  // resigned meanwhile
-    if (outcome == kvstore::Outcome::kNoGrant) {
-      Told(lead_.GrantEnded());
-      return Obtain();
+  client_.RenewLease(leadership_.store_lease(), [this, sent, grant = leadership_.store_lease()](
+                                                    kvstore::Outcome outcome) {
+    if (grant != leadership_.store_lease()) return;  // resigned meanwhile
+    if (outcome == kvstore::Outcome::kLeaseNotFound) {
+      HandleLoss(leadership_.OnStoreLeaseEnded());
+      return GrantStoreLease();
     }
     if (outcome == kvstore::Outcome::kDone) {
-      if (logged_lapse_) spdlog::info("lease: resumed token={}", lead_.token());
-      logged_lapse_ = false;
-      lead_.Renewed(sent);
+      if (lapse_logged_) spdlog::info("lease: resumed token={}", leadership_.token());
+      lapse_logged_ = false;
+      leadership_.OnStoreLeaseRenewed(sent);
     } else if (const double now = net::Now();
-               lead_.token() != 0 && !lead_.GrantHolds(now) && !logged_lapse_) {
-      logged_lapse_ = true;
-      spdlog::info("lease: the grant of token={} may be over, {}", lead_.token(),
-                   Entitled(now) ? "going on as all peers vouch" : "commanding nothing");
+               leadership_.token() != 0 && !leadership_.StoreLeaseHolds(now) && !lapse_logged_) {
+      lapse_logged_ = true;
+      spdlog::info("lease: the grant of token={} may be over, {}", leadership_.token(),
+                   MayAct(now) ? "going on as all peers vouch" : "commanding nothing");
     }
-    const double pause = outcome == kvstore::Outcome::kDone ? derived_.renew_s : derived_.renew_s / 4;
-    renew_timer_.After(sent + pause - net::Now(), [this] { Renew(); });
+    const double pause = outcome == kvstore::Outcome::kDone ? derived_.store_lease_renew_s
+                                                            : derived_.store_lease_renew_s / 4;
+    renew_timer_.After(sent + pause - net::Now(), [this] { RenewStoreLease(); });
   });
 }
 
-void Elector::MirrorLoaded(bool fresh) {
-  Told(lead_.Loaded(fresh));
-  Consider();
+void Elector::OnCacheLoaded(bool fresh) {
+  HandleLoss(leadership_.OnLoaded(fresh));
+  Evaluate();
 }
 
-void Elector::KeyChanged(const kvstore::Event& e) {
-  Leadership::Key key;
+void Elector::OnLeaderKey(const kvstore::Event& e) {
+  Leadership::LeaderKey key;
   if (e.value) key = {e.value->value("node", ""), e.value->value("grant", uint64_t{0}), e.version};
-  Told(lead_.Read(key));
-  Consider();
+  HandleLoss(leadership_.OnLeaderKey(key));
+  Evaluate();
 }
 
-void Elector::Consider() {
+void Elector::Evaluate() {
   using Kind = Leadership::Step::Kind;
-  const Leadership::Step step = lead_.Next(net::Now());
+  const Leadership::Step step = leadership_.NextStep(net::Now());
   switch (step.kind) {
     case Kind::kNone:
       return;
     case Kind::kWait:
-      look_timer_.After(step.wait_s, [this] { Consider(); });
+      evaluate_timer_.After(step.wait_s, [this] { Evaluate(); });
       return;
     case Kind::kCampaign:
       return Campaign(step.version);
     case Kind::kElected:
-      spdlog::info("lease: elected node={} token={}", node_, lead_.token());
-      return handlers_.elected(lead_.token());
+      spdlog::info("lease: elected node={} token={}", node_, leadership_.token());
+      return handlers_.elected(leadership_.token());
   }
 }
 
 void Elector::Campaign(uint64_t version) {
-  lead_.Campaigning(true);
+  leadership_.SetCampaigning(true);
   kvstore::Transaction txn;
   txn.conditions.push_back({key_, version});
-  txn.changes.push_back({key_, wire::Json{{"node", node_}, {"grant", grant()}}, grant()});
-  client_.Commit(std::move(txn), derived_.call_timeout_s, [this](kvstore::TxnResult r) {
+  txn.changes.push_back(
+      {key_, wire::Json{{"node", node_}, {"grant", store_lease()}}, store_lease()});
+  client_.Commit(std::move(txn), derived_.call_timeout_s, [this](kvstore::TransactionResult r) {
     // The mirror tells how it went; try again if it shows the key free for a while.
     const double pause = r.outcome == kvstore::Outcome::kDone ? derived_.call_timeout_s : 0.3;
     campaign_timer_.After(pause, [this] {
-      lead_.Campaigning(false);
-      Consider();
+      leadership_.SetCampaigning(false);
+      Evaluate();
     });
   });
 }
 
 void Elector::Resign(const char* why) {
   if (token() == 0) return;
-  const uint64_t grant = lead_.grant();
-  Told(lead_.Resign(why, net::Now()));
-  client_.EndGrant(grant);
+  const uint64_t grant = leadership_.store_lease();
+  HandleLoss(leadership_.Resign(why, net::Now()));
+  client_.RevokeLease(grant);
   renew_timer_.Cancel();
-  Obtain();
+  GrantStoreLease();
 }
 
-Leadership::Promise Elector::Asked(const wire::VouchQuestion& question, double now) {
-  Leadership::Promise promise = lead_.Asked(question, client_.last_contact(), now);
-  Told(promise.lost);
+Leadership::PromiseDecision Elector::OnPromiseRequest(const wire::PromiseRequest& question,
+                                                      double now) {
+  Leadership::PromiseDecision promise =
+      leadership_.OnPromiseRequest(question, client_.last_contact(), now);
+  HandleLoss(promise.loss);
   return promise;
 }
 
-void Elector::Told(const Leadership::Lost& lost) {
+void Elector::HandleLoss(const Leadership::MaybeLoss& lost) {
   if (!lost) return;
-  logged_lapse_ = false;
-  spdlog::info("lease: lost token={}: {}", lost->token, lost->why);
+  lapse_logged_ = false;
+  spdlog::info("lease: lost token={}: {}", lost->token, lost->reason);
   handlers_.lost();
 }
 
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -7,37 +7,37 @@
 namespace mosspath::jobs {
 
 Job::Job(wire::JobSpec s, uint64_t v, double at)
-    : spec(std::move(s)), version(v), submitted(at), tasks(spec.tasks) {
-  pending.Fill(spec.tasks);
+    : spec(std::move(s)), version(v), submitted_at(at), tasks(spec.tasks) {
+  pending.FillUpTo(spec.tasks);
 }
 
 bool Job::MarkDone(uint32_t index) {
   Task& t = tasks[index];
-  if (t.phase == Phase::kDone) return false;
+  if (t.phase == TaskPhase::kDone) return false;
   pending.erase(index);
-  t.phase = Phase::kDone;
+  t.phase = TaskPhase::kDone;
   ++done;
-  if (!t.durable) unsaved.insert(index);
+  if (!t.durable) done_not_durable.insert(index);
   return true;
 }
 
-std::string DoubtName(const std::string& job) { return job + "!"; }
+std::string CrashLoopRecordName(const std::string& job) { return job + "!"; }
 
-std::string MarkName(const std::string& job) { return job + "+"; }
+std::string StartMarkerRecordName(const std::string& job) { return job + "+"; }
 
-std::string SegmentName(const std::string& job, uint32_t segment) {
+std::string SegmentRecordName(const std::string& job, uint32_t segment) {
   return job + "#" + std::to_string(segment);
 }
 
-wire::Json DoneBits(const Job& job, uint32_t segment) {
+wire::Json EncodeDoneBitmap(const Job& job, uint32_t segment) {
   constexpr char kDigits[] = "0123456789abcdef";
   std::string bits;
-  const uint32_t first = segment * kSegment;
-  const uint32_t last = std::min(job.spec.tasks, first + kSegment);
+  const uint32_t first = segment * kTasksPerSegment;
+  const uint32_t last = std::min(job.spec.tasks, first + kTasksPerSegment);
   for (uint32_t i = first; i < last; i += 4) {
     unsigned digit = 0;
     for (uint32_t k = i; k < i + 4; ++k) {
-      digit = digit << 1 | (k < last && job.tasks[k].phase == Phase::kDone ? 1U : 0U);
+      digit = digit << 1 | (k < last && job.tasks[k].phase == TaskPhase::kDone ? 1U : 0U);
     }
     bits.push_back(kDigits[digit]);
   }
@@ -45,21 +45,21 @@
   return bits;
 }
 
-void ApplyBits(const wire::Json& bits, uint32_t segment, Job* job) {
+void ApplyDoneBitmap(const wire::Json& bits, uint32_t segment, Job* job) {
   if (!bits.is_string()) return;
   const auto& text = bits.get_ref<const std::string&>();
-  if (text.size() > kSegment / 4) return;
+  if (text.size() > kTasksPerSegment / 4) return;
   for (size_t d = 0; d < text.size(); ++d) {
     unsigned digit = 0;
     const auto [end, error] = std::from_chars(text.data() + d, text.data() + d + 1, digit, 16);
     if (error != std::errc{}) return;
     for (unsigned k = 0; k < 4; ++k) {
-      const uint64_t i = uint64_t{segment} * kSegment + 4 * d + k;
+      const uint64_t i = uint64_t{segment} * kTasksPerSegment + 4 * d + k;
       if ((digit >> (3 - k) & 1) == 0 || i >= job->spec.tasks) continue;
       const auto index = static_cast<uint32_t>(i);
       job->tasks[index].durable = true;
       job->MarkDone(index);
-      job->unsaved.erase(index);
+      job->done_not_durable.erase(index);
     }
   }
 }
--- /dev/null
+++ b/src/jobs/job_index.cc
@@ -0,0 +1,108 @@
+#include "mosspath/jobs/job_index.h"
+
+namespace mosspath::jobs {
+namespace {
+
+JobStatus EndOf(const wire::Json& final_record) {
+  const std::string stage = final_record.is_object() ? final_record.value("stage", "") : "";
+  if (stage == wire::JobStateName(wire::JobState::kDone)) return JobStatus::kDone;
+  if (stage == wire::JobStateName(wire::JobState::kCancelled)) return JobStatus::kCancelled;
+  return JobStatus::kUndetermined;
+}
+
+}  // namespace
+
+wire::Json EncodeFinalRecord(JobStatus end) {
+  const auto stage = end == JobStatus::kDone ? wire::JobState::kDone : wire::JobState::kCancelled;
+  return {{"stage", wire::JobStateName(stage)}};
+}
+
+void JobIndex::Reset() {
+  records_.Clear();
+  missing_.clear();
+}
+
+JobRecords::Change JobIndex::OnRecord(const std::string& key, const wire::Json* value,
+                                      uint64_t version) {
+  auto change = records_.OnRecord(key, value, version);
+  for (const auto& id : change.accepted) missing_.erase(id);
+  for (const auto& id : change.ended) {
+    missing_.erase(id);
+    cancelled_ahead_.erase(id);
+  }
+  return change;
+}
+
+void JobIndex::OnFinalRecord(const std::string& id, const wire::Json& value, uint64_t version) {
+  missing_.erase(id);
+  const JobStatus end = EndOf(value);
+  if (end == JobStatus::kCancelled) cancellations_.Add(id, version);
+  if (end != JobStatus::kUndetermined) OnEnded(id, end);
+}
+
+void JobIndex::OnEnded(const std::string& id, JobStatus end) {
+  if (!ended_.emplace(id, end).second) return;
+  ended_order_.push_back(id);
+  if (ended_order_.size() > limits_.finals) {
+    ended_.erase(ended_order_.front());
+    ended_order_.pop_front();
+  }
+}
+
+void JobIndex::OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read) {
+  cancellations_.Add(id, revision);
+  OnEnded(id, JobStatus::kCancelled);
+  ForgetCancelledAhead(read);
+  if (revision > read) cancelled_ahead_[id] = revision;
+}
+
+void JobIndex::ForgetCancelledAhead(uint64_t read) {
+  std::erase_if(cancelled_ahead_, [read](const auto& a) { return a.second <= read; });
+}
+
+std::optional<JobStatus> JobIndex::FindEnded(const std::string& id) const {
+  const auto it = ended_.find(id);
+  return it == ended_.end() ? std::nullopt : std::optional(it->second);
+}
+
+std::optional<JobStatus> JobIndex::StatusAfterRead(const std::string& id) const {
+  if (const auto over = FindEnded(id)) return over;
+  if (records_.Find(id) != nullptr) return JobStatus::kLive;
+  if (missing_.contains(id)) return JobStatus::kMissing;
+  return std::nullopt;  // over, or never accepted
+}
+
+JobStatus JobIndex::StatusFromFinalRecord(const std::string& id, const wire::Json* value,
+                                          uint64_t version, uint64_t looked, uint64_t read) {
+  if (value == nullptr) {
+    // What came since may have told of it already.
+    if (looked == read) {
+      if (missing_.size() >= limits_.finals) missing_.clear();
+      missing_.insert(id);
+    }
+    return JobStatus::kMissing;
+  }
+  const JobStatus end = EndOf(*value);
+  // Told by this controller from now on, though it may not have read that far.
+  if (end == JobStatus::kCancelled) OnCancellationLearned(id, version, read);
+  if (end != JobStatus::kUndetermined) OnEnded(id, end);
+  return end;
+}
+
+JobIndex::CancelStep JobIndex::PlanCancellation(const std::string& id, JobStatus known,
+                                                uint64_t read) const {
+  using Kind = CancelStep::Kind;
+  if (known != JobStatus::kLive) return {Kind::kAnswer, known, {}};
+  auto records = records_.PlanEnd({id}, read);
+  if (records.empty()) return {Kind::kReadAgain, known, {}};
+  return {Kind::kCommit, known, std::move(records)};
+}
+
+void JobIndex::ForEachLive(
+    const std::function<void(const std::string& id, const AcceptedJob&)>& f) const {
+  for (const auto& [id, job] : records_.live()) {
+    if (!cancelled_ahead_.contains(id)) f(id, job);
+  }
+}
+
+}  // namespace mosspath::jobs
--- a/src/jobs/ledger.cc
+++ b/src/jobs/job_records.cc
@@ -1,4 +1,4 @@
-#include "mosspath/jobs/ledger.h"
+#include "mosspath/jobs/job_records.h"
 
 #include <algorithm>
 #include <set>
@@ -13,128 +13,129 @@
 
 }  // namespace
 
-void Ledger::Clear() {
+void JobRecords::Clear() {
   records_.clear();
-  standing_.clear();
+  homes_.clear();
   live_.clear();
 }
 
-wire::Json Ledger::Entry(const wire::JobSpec& spec, double at_wall_s) {
+wire::Json JobRecords::EncodeEntry(const wire::JobSpec& spec, double at_wall_s) {
   return {{"spec", wire::ToJson(spec)}, {"at", at_wall_s}};
 }
 
-wire::Json Ledger::Shared(std::vector<wire::Json> entries) {
+wire::Json JobRecords::EncodeBatch(std::vector<wire::Json> entries) {
   return {{"jobs", std::move(entries)}};
 }
 
-Ledger::Record Ledger::Parse(const std::string& key, const wire::Json& value, uint64_t version,
-                             std::vector<Accepted>& accepted) const {
+JobRecords::Record JobRecords::Parse(const std::string& key, const wire::Json& value,
+                                     uint64_t version, std::vector<AcceptedJob>& accepted) const {
   Record r;
-  r.version = r.born = version;
+  r.version = r.created_at_revision = version;
   const auto take = [&](const wire::Json& entry) {
-    Accepted a{wire::ParseJob(entry.at("spec")), 0, entry.value("at", 0.0)};
+    AcceptedJob a{wire::ParseJob(entry.at("spec")), 0, entry.value("at", 0.0)};
     r.jobs.push_back(a.spec.id);
     accepted.push_back(std::move(a));
   };
-  if (key.starts_with(single_)) {
+  if (key.starts_with(single_prefix_)) {
     take(value);
   } else {
     for (const wire::Json& entry : value.at("jobs")) take(entry);
-    r.born = value.value("born", version);
-    r.over = value.value("over", std::vector<std::string>{});
+    r.created_at_revision = value.value("born", version);
+    r.ended = value.value("over", std::vector<std::string>{});
   }
-  for (Accepted& a : accepted) a.version = r.born;
+  for (AcceptedJob& a : accepted) a.version = r.created_at_revision;
   return r;
 }
 
-Ledger::Change Ledger::Seen(const std::string& key, const wire::Json* value, uint64_t version) {
-  std::vector<Accepted> accepted;
+JobRecords::Change JobRecords::OnRecord(const std::string& key, const wire::Json* value,
+                                        uint64_t version) {
+  std::vector<AcceptedJob> accepted;
   Record next;
   if (value != nullptr) next = Parse(key, *value, version, accepted);
   std::set<std::string> touched;
   if (const auto old = records_.find(key); old != records_.end()) {
     for (const auto& id : old->second.jobs) {
-      std::erase(standing_[id].homes, key);
+      std::erase(homes_[id].records, key);
       touched.insert(id);
     }
-    for (const auto& id : old->second.over) {
-      std::erase(standing_[id].over_in, key);
+    for (const auto& id : old->second.ended) {
+      std::erase(homes_[id].ended_in, key);
       touched.insert(id);
     }
     records_.erase(old);
   }
   Change change;
-  for (const Accepted& a : accepted) {
-    standing_[a.spec.id].homes.push_back(key);
+  for (const AcceptedJob& a : accepted) {
+    homes_[a.spec.id].records.push_back(key);
     touched.insert(a.spec.id);
   }
-  for (const auto& id : next.over) {
-    standing_[id].over_in.push_back(key);
+  for (const auto& id : next.ended) {
+    homes_[id].ended_in.push_back(key);
     touched.insert(id);
   }
   if (value != nullptr) records_[key] = std::move(next);
   for (const auto& id : touched) {
-    const auto s = standing_.find(id);
-    const bool live = !s->second.homes.empty() && s->second.over_in.empty();
+    const auto s = homes_.find(id);
+    const bool live = !s->second.records.empty() && s->second.ended_in.empty();
     const auto known = live_.find(id);
     if (!live && known != live_.end()) {
       live_.erase(known);
       change.ended.push_back(id);
     } else if (live && known == live_.end()) {
       const auto a = std::find_if(accepted.begin(), accepted.end(),
-                                  [&](const Accepted& x) { return x.spec.id == id; });
+                                  [&](const AcceptedJob& x) { return x.spec.id == id; });
       if (a != accepted.end()) {
         live_.emplace(id, *a);
-        change.came.push_back(id);
+        change.accepted.push_back(id);
       }
     } else if (live) {  // a second home; records that are loaded come in no order of time
-      for (const Accepted& a : accepted) {
+      for (const AcceptedJob& a : accepted) {
         if (a.spec.id == id) known->second.version = std::min(known->second.version, a.version);
       }
     }
-    if (s->second.homes.empty() && s->second.over_in.empty()) standing_.erase(s);
+    if (s->second.records.empty() && s->second.ended_in.empty()) homes_.erase(s);
   }
   return change;
 }
 
-const Accepted* Ledger::Find(const std::string& id) const {
+const AcceptedJob* JobRecords::Find(const std::string& id) const {
   const auto it = live_.find(id);
   return it == live_.end() ? nullptr : &it->second;
 }
 
-uint64_t Ledger::VersionOf(const std::string& key) const {
+uint64_t JobRecords::VersionOf(const std::string& key) const {
   const auto it = records_.find(key);
   return it == records_.end() ? 0 : it->second.version;
 }
 
-bool Ledger::MayForget(const Record& r, const std::string& id, uint64_t revision) const {
-  return revision >= r.version && standing_.at(id).homes.empty();
+bool JobRecords::MayForget(const Record& r, const std::string& id, uint64_t revision) const {
+  return revision >= r.version && homes_.at(id).records.empty();
 }
 
-wire::Json Ledger::Render(const Record& r, const std::vector<std::string>& ended,
-                          uint64_t revision) const {
+wire::Json JobRecords::Render(const Record& r, const std::vector<std::string>& ended,
+                              uint64_t revision) const {
   std::vector<wire::Json> jobs;
   std::vector<std::string> over;
-  for (const auto& id : r.over) {
+  for (const auto& id : r.ended) {
     if (!MayForget(r, id, revision)) over.push_back(id);
   }
   for (const auto& id : r.jobs) {
-    const Accepted* a = Find(id);
+    const AcceptedJob* a = Find(id);
     if (Has(ended, id) || a == nullptr) {
       over.push_back(id);
     } else {
-      jobs.push_back(Entry(a->spec, a->submitted_wall_s));
+      jobs.push_back(EncodeEntry(a->spec, a->submitted_wall_s));
     }
   }
-  return {{"jobs", std::move(jobs)}, {"over", std::move(over)}, {"born", r.born}};
+  return {{"jobs", std::move(jobs)}, {"over", std::move(over)}, {"born", r.created_at_revision}};
 }
 
-std::vector<RecordChange> Ledger::End(const std::vector<std::string>& ids,
-                                      uint64_t revision) const {
+std::vector<RecordChange> JobRecords::PlanEnd(const std::vector<std::string>& ids,
+                                              uint64_t revision) const {
   std::set<std::string> keys;
   for (const auto& id : ids) {
     if (!live_.contains(id)) continue;
-    const auto& homes = standing_.at(id).homes;
+    const auto& homes = homes_.at(id).records;
     // What was loaded ahead of the revision may have another home that isn't seen yet.
     const bool seen = std::all_of(homes.begin(), homes.end(), [&](const std::string& key) {
       return records_.at(key).version <= revision;
@@ -145,13 +146,13 @@
   for (const auto& key : keys) {
     const Record& r = records_.at(key);
     RecordChange c{key, r.version, std::nullopt};
-    if (!key.starts_with(single_)) c.value = Render(r, ids, revision);
+    if (!key.starts_with(single_prefix_)) c.value = Render(r, ids, revision);
     out.push_back(std::move(c));
   }
   return out;
 }
 
-std::vector<RecordChange> Ledger::Tidy(uint64_t revision, size_t most) const {
+std::vector<RecordChange> JobRecords::PlanCleanup(uint64_t revision, size_t most) const {
   std::vector<RecordChange> out;
   for (const auto& [key, r] : records_) {
     if (out.size() >= most) break;
@@ -159,10 +160,10 @@
                                    [&](const std::string& id) { return !live_.contains(id); });
     if (stray) {  // over elsewhere
       RecordChange c{key, r.version, std::nullopt};
-      if (!key.starts_with(single_)) c.value = Render(r, {}, revision);
+      if (!key.starts_with(single_prefix_)) c.value = Render(r, {}, revision);
       out.push_back(std::move(c));
     } else if (r.jobs.empty() &&
-               std::all_of(r.over.begin(), r.over.end(),
+               std::all_of(r.ended.begin(), r.ended.end(),
                            [&](const std::string& id) { return MayForget(r, id, revision); })) {
       out.push_back({key, r.version, std::nullopt});
     }
--- a/src/kvstore/client.cc
+++ b/src/kvstore/client.cc
@@ -44,7 +44,7 @@
       continue;
     }
     Json put{{"put", c.key}, {"v", *c.value}};
-    if (c.grant != 0) put["berth"] = c.grant;
+    if (c.lease != 0) put["berth"] = c.lease;
     changes.push_back(std::move(put));
   }
   Json body{{"if", std::move(conditions)}};
@@ -60,18 +60,19 @@
   double deadline = 0;
   net::Timer timer;
   net::Backoff backoff;
-  std::function<void(TxnResult)> done;
+  std::function<void(TransactionResult)> done;
 };
 
-Client::Client(asio::io_context& io, const config::Settings& s, const config::Derived& d,
+Client::Client(asio::io_context& io, const config::Settings& s, const config::DerivedSettings& d,
                const std::shared_ptr<net::SocketBudget>& sockets)
     : io_(io),
       derived_(d),
-      requests_(io, s.state_address, {.max_connections = 8, .max_queue = 512, .sockets = sockets}),
-      watches_(io, s.state_address, {.max_connections = 2, .max_queue = 8, .sockets = sockets}),
-      renewals_(io, s.state_address, {.max_connections = 2, .max_queue = 8, .sockets = sockets}),
-      reads_(s.state_rps / s.nodes, std::max(2.0, s.state_rps / s.nodes / 2)),
-      writes_(s.state_write_rps * 0.7, std::max(2.0, s.state_write_rps * 0.5)) {}
+      requests_(io, s.store_address, {.max_connections = 8, .max_queue = 512, .sockets = sockets}),
+      watches_(io, s.store_address, {.max_connections = 2, .max_queue = 8, .sockets = sockets}),
+      renewals_(io, s.store_address, {.max_connections = 2, .max_queue = 8, .sockets = sockets}),
+      reads_(s.store_requests_per_s / s.controller_count,
+             std::max(2.0, s.store_requests_per_s / s.controller_count / 2)),
+      writes_(s.store_writes_per_s * 0.7, std::max(2.0, s.store_writes_per_s * 0.5)) {}
 
 void Client::Send(net::HttpClient& through, std::string method, std::string target,
                   std::string body, double timeout_s, std::function<void(int, Json)> done) {
@@ -81,23 +82,24 @@
                  if (r.too_large) return done(kTooLarge, {});
                  if (r.status == 0) return done(r.sent ? 0 : -1, {});
                  if (r.status != 503) last_contact_ = std::max(last_contact_, sent);
-                 if (r.status == 429 || r.status == 503) ++refusals_;
+                 if (r.status == 429 || r.status == 503) ++throttled_requests_;
                  Json j;
                  if (!r.body.empty()) j = Json::parse(r.body, nullptr, false);
                  if (j.is_discarded()) {
-                   net::Malformed(kState, "JSON", "not JSON", on_malformed);
+                   net::ReportMalformed(kState, "JSON", "not JSON", on_malformed);
                    return done(0, {});
                  }
                  done(r.status, std::move(j));
                });
 }
 
-double Client::WaitToChange(double changes) {
+double Client::WriteDelay(double changes) {
   const double now = net::Now();
-  return std::max(writes_.Wait(now, changes), reads_.Wait(now));
+  return std::max(writes_.DelayFor(now, changes), reads_.DelayFor(now));
 }
 
-void Client::Commit(Transaction txn, double deadline_s, std::function<void(TxnResult)> done) {
+void Client::Commit(Transaction txn, double deadline_s,
+                    std::function<void(TransactionResult)> done) {
   auto job = std::make_shared<CommitJob>(
       CommitJob{Render(txn), static_cast<double>(txn.changes.size()), net::Now() + deadline_s,
                 net::Timer(io_), net::Backoff(0.1, 0.8), std::move(done)});
@@ -106,7 +108,7 @@
 
 void Client::TryCommit(std::shared_ptr<CommitJob> job) {
   const double now = net::Now();
-  const double wait = std::max(writes_.Wait(now, job->amount), reads_.Wait(now));
+  const double wait = std::max(writes_.DelayFor(now, job->amount), reads_.DelayFor(now));
   if (wait > 0) {
     if (now + wait >= job->deadline) {
       job->timer.After(0, [job] { job->done({Outcome::kRefused, 0}); });
@@ -119,11 +121,11 @@
   reads_.TryTake(now);
   const double timeout = std::min(derived_.call_timeout_s, std::max(0.05, job->deadline - now));
   Send(requests_, "POST", "/multi", job->body, timeout, [this, job](int status, Json body) {
-    TxnResult result;
+    TransactionResult result;
     switch (status) {
       case 200:
-        if (net::Understood(kState, "multi", on_malformed,
-                            [&] { result.revision = Number(body, "epoch"); })) {
+        if (net::TryRead(kState, "multi", on_malformed,
+                         [&] { result.revision = Number(body, "epoch"); })) {
           result.outcome = Outcome::kDone;
         }
         break;
@@ -131,7 +133,7 @@
         result.outcome = Outcome::kConflict;
         break;
       case 400:
-        result.outcome = Outcome::kNoGrant;
+        result.outcome = Outcome::kLeaseNotFound;
         spdlog::info("state: transaction refused as invalid: {}", body.dump());
         break;
       case 0:
@@ -153,35 +155,35 @@
   });
 }
 
-void Client::Get(const std::string& key, std::function<void(Value)> done) {
+void Client::Get(const std::string& key, std::function<void(GetResult)> done) {
   if (!reads_.TryTake(net::Now())) {
     asio::post(io_, [done = std::move(done)] { done({}); });
     return;
   }
   Send(requests_, "GET", "/kv/" + key, {}, derived_.call_timeout_s,
        [this, done = std::move(done)](int status, Json body) {
-         Value v;
-         if (status == 404) v.kind = Value::Kind::kMissing;
-         if (status == 200 && net::Understood(kState, "get", on_malformed, [&] {
+         GetResult v;
+         if (status == 404) v.kind = GetResult::Kind::kMissing;
+         if (status == 200 && net::TryRead(kState, "get", on_malformed, [&] {
                v.value = body.at("v");
                v.version = Number(body, "mark");
              })) {
-           v.kind = Value::Kind::kFound;
+           v.kind = GetResult::Kind::kFound;
          }
          done(std::move(v));
        });
 }
 
 void Client::List(const std::string& prefix, const std::string& after,
-                  std::function<void(Pairs)> done) {
+                  std::function<void(ListResult)> done) {
   std::string target = "/kv?under=" + prefix + "&most=500";
   if (!after.empty()) target += "&since=" + after;
   reads_.TryTake(net::Now());
   Send(requests_, "GET", std::move(target), {}, 2 * derived_.call_timeout_s,
        [this, done = std::move(done)](int status, Json body) {
-         Pairs pairs;
+         ListResult pairs;
          if (status == 200) {
-           pairs.ok = net::Understood(kState, "list", on_malformed, [&] {
+           pairs.ok = net::TryRead(kState, "list", on_malformed, [&] {
              pairs.revision = Number(body, "epoch");
              pairs.more = body.value("truncated", false);
              for (const Json& item : kvstore::List(body, "pairs")) {
@@ -194,18 +196,18 @@
 }
 
 void Client::Watch(const std::string& prefix, uint64_t since, double wait_s,
-                   std::function<void(Log)> done) {
+                   std::function<void(WatchResult)> done) {
   const std::string target = "/follow?under=" + prefix + "&since=" + std::to_string(since) +
                              "&wait_ms=" + std::to_string(std::lround(wait_s * 1000));
   reads_.TryTake(net::Now());
   net::HttpClient& through = wait_s > 0 ? watches_ : requests_;
   Send(through, "GET", target, {}, wait_s + derived_.call_timeout_s,
        [this, done = std::move(done)](int status, Json body) {
-         Log log;
+         WatchResult log;
          // What has grown beyond an answer's bound only grows further: reading all keys again is
          // the way out. (A node that had been cut off for minutes never caught up.)
-         if (status == 410 || status == kTooLarge) log.kind = Log::Kind::kTooOld;
-         if (status == 200 && net::Understood(kState, "follow", on_malformed, [&] {
+         if (status == 410 || status == kTooLarge) log.kind = WatchResult::Kind::kTooOld;
+         if (status == 200 && net::TryRead(kState, "follow", on_malformed, [&] {
                log.revision = Number(body, "epoch");
                for (const Json& item : kvstore::List(body, "log")) {
                  const bool put = item.contains("put");
@@ -214,37 +216,37 @@
                  log.events.push_back(std::move(e));
                }
              })) {
-           log.kind = Log::Kind::kOk;
+           log.kind = WatchResult::Kind::kOk;
          }
          done(std::move(log));
        });
 }
 
-void Client::Grant(double life_s, std::function<void(Outcome, uint64_t)> done) {
+void Client::GrantLease(double life_s, std::function<void(Outcome, uint64_t)> done) {
   const Json body{{"life_ms", static_cast<uint64_t>(life_s * 1000)}};
   reads_.TryTake(net::Now());
   Send(renewals_, "POST", "/grants", body.dump(), derived_.renew_timeout_s,
        [this, done = std::move(done)](int status, Json answer) {
          uint64_t grant = 0;
-         if (status == 200 && net::Understood(kState, "grants", on_malformed,
-                                              [&] { grant = Number(answer, "berth"); })) {
+         if (status == 200 && net::TryRead(kState, "grants", on_malformed,
+                                           [&] { grant = Number(answer, "berth"); })) {
            return done(Outcome::kDone, grant);
          }
-         done(status > 0 ? Outcome::kRefused : Outcome::kUnsure, 0);
+         done(status > 0 ? Outcome::kRefused : Outcome::kUndetermined, 0);
        });
 }
 
-void Client::Renew(uint64_t grant, std::function<void(Outcome)> done) {
+void Client::RenewLease(uint64_t grant, std::function<void(Outcome)> done) {
   reads_.TryTake(net::Now());
   Send(renewals_, "POST", "/grants/" + std::to_string(grant) + "/touch", {},
        derived_.renew_timeout_s, [done = std::move(done)](int status, const Json&) {
          if (status == 200) return done(Outcome::kDone);
-         if (status == 404) return done(Outcome::kNoGrant);
-         done(status > 0 ? Outcome::kRefused : Outcome::kUnsure);
+         if (status == 404) return done(Outcome::kLeaseNotFound);
+         done(status > 0 ? Outcome::kRefused : Outcome::kUndetermined);
        });
 }
 
-void Client::EndGrant(uint64_t grant) {
+void Client::RevokeLease(uint64_t grant) {
   Send(renewals_, "DELETE", "/grants/" + std::to_string(grant), {}, derived_.renew_timeout_s,
        [](int, const Json&) {});
 }
--- a/src/kvstore/mirror.cc
+++ b/src/kvstore/watch_cache.cc
@@ -1,4 +1,4 @@
-#include "mosspath/kvstore/mirror.h"
+#include "mosspath/kvstore/watch_cache.h"
 
 #include <spdlog/spdlog.h>
 
@@ -7,8 +7,8 @@
 
 namespace mosspath::kvstore {
 
-Mirror::Mirror(asio::io_context& io, Client& client, const config::Derived& derived,
-               std::string loaded, std::string followed, Handlers handlers)
+WatchCache::WatchCache(asio::io_context& io, Client& client, const config::DerivedSettings& derived,
+                       std::string loaded, std::string followed, Handlers handlers)
     : client_(client),
       derived_(derived),
       loaded_prefix_(std::move(loaded)),
@@ -19,9 +19,9 @@
       read_gap_(io),
       backoff_(0.1, 1.0) {}
 
-void Mirror::Start() { Load(); }
+void WatchCache::Start() { Load(); }
 
-void Mirror::Load() {
+void WatchCache::Load() {
   ++generation_;
   loaded_ = false;
   read_gap_.Cancel();
@@ -35,8 +35,8 @@
   LoadPage("");
 }
 
-void Mirror::LoadPage(const std::string& after) {
-  client_.List(loaded_prefix_, after, [this, after](Pairs page) {
+void WatchCache::LoadPage(const std::string& after) {
+  client_.List(loaded_prefix_, after, [this, after](ListResult page) {
     if (!page.ok) {
       retry_.After(backoff_.Next(), [this, after] { LoadPage(after); });
       return;
@@ -55,15 +55,15 @@
   });
 }
 
-bool Mirror::Apply(const Log& log, double asked) {
-  if (log.kind == Log::Kind::kTooOld) {
+bool WatchCache::ApplyEvents(const WatchResult& log, double asked) {
+  if (log.kind == WatchResult::Kind::kTooOld) {
     if (loaded_) {
       spdlog::info("state: fell too far behind, loading again");
       Load();
     }
     return false;
   }
-  if (log.kind != Log::Kind::kOk) return false;
+  if (log.kind != WatchResult::Kind::kOk) return false;
   // The watch and the catch-up reads overlap: what was applied already is passed over.
   const uint64_t known = revision_;
   bool any = false;
@@ -78,14 +78,14 @@
   return true;
 }
 
-void Mirror::Follow() {
+void WatchCache::Follow() {
   const uint64_t generation = generation_;
   const double asked = net::Now();
   client_.Watch(followed_prefix_, revision_, derived_.watch_s,
-                [this, generation, asked](const Log& log) {
+                [this, generation, asked](const WatchResult& log) {
                   if (generation != generation_) return;
-                  double pause = derived_.read_gap_s;
-                  if (Apply(log, asked)) {
+                  double pause = derived_.catch_up_interval_s;
+                  if (ApplyEvents(log, asked)) {
                     backoff_.Reset();
                   } else {
                     pause = backoff_.Next();
@@ -95,17 +95,17 @@
                 });
 }
 
-void Mirror::CatchUp(std::function<void(bool)> done) {
+void WatchCache::CatchUp(std::function<void(bool)> done) {
   if (!loaded_) return done(false);
   waiting_.push_back(std::move(done));
-  if (!reading_ && !read_planned_) Read();
+  if (!reading_ && !read_planned_) ReadNow();
 }
 
-void Mirror::Read() {
-  const double wait = last_read_ + derived_.read_gap_s - net::Now();
+void WatchCache::ReadNow() {
+  const double wait = last_read_ + derived_.catch_up_interval_s - net::Now();
   if (wait > 0) {
     read_planned_ = true;
-    read_gap_.After(wait, [this] { Read(); });
+    read_gap_.After(wait, [this] { ReadNow(); });
     return;
   }
   read_planned_ = false;
@@ -114,11 +114,11 @@
   auto waiting = std::move(waiting_);
   waiting_.clear();
   client_.Watch(followed_prefix_, revision_, 0,
-                [this, asked = last_read_, waiting = std::move(waiting)](const Log& log) {
+                [this, asked = last_read_, waiting = std::move(waiting)](const WatchResult& log) {
                   reading_ = false;
-                  const bool ok = loaded_ && Apply(log, asked);
+                  const bool ok = loaded_ && ApplyEvents(log, asked);
                   for (const auto& done : waiting) done(ok);
-                  if (!waiting_.empty() && loaded_ && !reading_ && !read_planned_) Read();
+                  if (!waiting_.empty() && loaded_ && !reading_ && !read_planned_) ReadNow();
                 });
 }
 
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -35,7 +35,7 @@
         timer_(owner.io_),
         max_answer_(owner.options_.max_answer),
         sockets_(owner.options_.sockets),
-        party_(owner.options_.party) {}
+        party_(owner.options_.connection_class) {}
 
   bool open() const { return open_; }
 
@@ -53,7 +53,7 @@
       Write();
       return;
     }
-    if (sockets_ && !sockets_->Take(party_)) {
+    if (sockets_ && !sockets_->Acquire(party_)) {
       timer_.After(0, [self] { self->Finish(false); });
       return;
     }
@@ -157,7 +157,7 @@
 
   void Close() {
     open_ = false;
-    if (std::exchange(counted_, false)) sockets_->Give(party_);
+    if (std::exchange(counted_, false)) sockets_->Release(party_);
     std::error_code ignored;
     socket_.close(ignored);
     timer_.Cancel();
@@ -168,7 +168,7 @@
   Timer timer_;
   size_t max_answer_;
   const std::shared_ptr<SocketBudget> sockets_;
-  const Party party_;
+  const ConnectionClass party_;
   bool counted_ = false;  // of the budget
   Pending pending_;
   HttpResult result_;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -17,7 +17,7 @@
 constexpr double kLingerS = 1;
 constexpr size_t kOwnSockets = 512;
 
-std::string Render(const HttpAnswer& answer, bool keep) {
+std::string Render(const HttpResponse& answer, bool keep) {
   std::string text = "HTTP/1.1 " + std::to_string(answer.status) + " " +
                      http_status_str(static_cast<http_status>(answer.status)) +
                      "\r\nContent-Type: " + answer.content_type +
@@ -41,7 +41,7 @@
         socket_(std::move(socket)),
         timer_(owner.io_),
         options_(owner.options_),
-        party_(options_.party) {
+        party_(options_.connection_class) {
     std::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   }
@@ -149,19 +149,19 @@
     timer_.Cancel();
     if (owner_ == nullptr) return;
     std::weak_ptr<Connection> weak = weak_from_this();
-    owner_->handler_(std::move(request_), [weak](HttpAnswer answer) {
+    owner_->handler_(std::move(request_), [weak](HttpResponse answer) {
       if (auto self = weak.lock()) self->Answer(std::move(answer));
     });
   }
 
-  void Answer(HttpAnswer answer) {
+  void Answer(HttpResponse answer) {
     if (closed_) return;
-    if (answer.party != Party::kNew) {
-      options_.sockets->Change(party_, answer.party);
-      party_ = answer.party;
+    if (answer.connection_class != ConnectionClass::kUnidentified) {
+      options_.sockets->Reclassify(party_, answer.connection_class);
+      party_ = answer.connection_class;
     }
     idle_s_ = answer.idle_s;
-    if (answer.close || !options_.sockets->MayStay(party_)) keep_ = false;
+    if (answer.close || !options_.sockets->MayKeepAlive(party_)) keep_ = false;
     out_ = Render(answer, keep_);
     auto self = shared_from_this();
     timer_.After(options_.request_s, [self] { self->Close(); });
@@ -197,7 +197,7 @@
     socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
     socket_.close(ignored);
     timer_.Cancel();
-    options_.sockets->Give(party_);
+    options_.sockets->Release(party_);
     auto self = shared_from_this();
     if (owner_ != nullptr) owner_->connections_.erase(self);
   }
@@ -206,7 +206,7 @@
   asio::ip::tcp::socket socket_;
   Timer timer_;
   const Options options_;
-  Party party_;
+  ConnectionClass party_;
   double idle_s_ = 0;
   http_parser parser_{};
   std::array<char, 4096> buffer_{};
@@ -249,7 +249,7 @@
       accept_pause_.After(kAcceptPauseS, [this] { Accept(); });
       return;
     }
-    if (options_.sockets->Take(options_.party)) {
+    if (options_.sockets->Acquire(options_.connection_class)) {
       auto c = std::make_shared<Connection>(*this, std::move(socket));
       connections_.insert(c);
       c->Start();
--- a/src/net/socket_budget.cc
+++ b/src/net/socket_budget.cc
@@ -21,19 +21,19 @@
 
 }  // namespace
 
-const char* Name(Party p) {
+const char* Name(ConnectionClass p) {
   switch (p) {
-    case Party::kNew:
+    case ConnectionClass::kUnidentified:
       return "new";
-    case Party::kUser:
+    case ConnectionClass::kUser:
       return "users";
-    case Party::kWorker:
+    case ConnectionClass::kAgent:
       return "workers";
-    case Party::kPeer:
+    case ConnectionClass::kPeer:
       return "peers";
-    case Party::kOrder:
+    case ConnectionClass::kCommand:
       return "orders";
-    case Party::kOutside:
+    case ConnectionClass::kOutbound:
       break;
   }
   return "outside";
@@ -48,23 +48,24 @@
       users_stay_(Share(public_, kUsersStay)) {}
 
 size_t SocketBudget::public_used() const {
-  return used(Party::kNew) + used(Party::kUser) + used(Party::kWorker);
+  return used(ConnectionClass::kUnidentified) + used(ConnectionClass::kUser) +
+         used(ConnectionClass::kAgent);
 }
 
-size_t SocketBudget::limit(Party p) const {
+size_t SocketBudget::limit(ConnectionClass p) const {
   switch (p) {
-    case Party::kPeer:
+    case ConnectionClass::kPeer:
       return peers_;
-    case Party::kOrder:
+    case ConnectionClass::kCommand:
       return orders_;
-    case Party::kOutside:
+    case ConnectionClass::kOutbound:
       return outside_;
     default:
       return public_;
   }
 }
 
-bool SocketBudget::Take(Party p) {
+bool SocketBudget::Acquire(ConnectionClass p) {
   if ((IsPublic(p) ? public_used() : used(p)) >= limit(p)) {
     ++refused_[Index(p)];
     return false;
@@ -73,23 +74,23 @@
   return true;
 }
 
-void SocketBudget::Give(Party p) { used_[Index(p)] -= std::min<size_t>(1, used(p)); }
+void SocketBudget::Release(ConnectionClass p) { used_[Index(p)] -= std::min<size_t>(1, used(p)); }
 
-void SocketBudget::Change(Party from, Party to) {
+void SocketBudget::Reclassify(ConnectionClass from, ConnectionClass to) {
   if (from == to) return;
-  Give(from);
+  Release(from);
   ++used_[Index(to)];
 }
 
-bool SocketBudget::MayStay(Party p) {
+bool SocketBudget::MayKeepAlive(ConnectionClass p) {
   bool stays = true;
-  if (p == Party::kWorker) {
+  if (p == ConnectionClass::kAgent) {
     stays = used(p) <= workers_stay_;
   } else if (IsPublic(p)) {
     stays = used(p) <= users_stay_ ||
             static_cast<double>(public_used()) <= kScarce * static_cast<double>(public_);
   }
-  if (!stays) ++sent_off_[Index(p)];
+  if (!stays) ++closed_after_answer_[Index(p)];
   return stays;
 }
 
--- a/src/scheduler/activity.cc
+++ b/src/scheduler/activity_tracker.cc
@@ -1,4 +1,4 @@
-#include "mosspath/scheduler/activity.h"
+#include "mosspath/scheduler/activity_tracker.h"
 
 namespace mosspath::scheduler {
 namespace {
@@ -8,17 +8,17 @@
 
 }  // namespace
 
-Activity::Activity(const config::Settings& settings)
+ActivityTracker::ActivityTracker(const config::Settings& settings)
     : objectives_(settings.objectives),
-      log_every_s_(settings.lease_s / 2),
-      counts_(settings.objectives.size()) {}
+      log_every_s_(settings.agent_lease_s / 2),
+      progress_(settings.objectives.size()) {}
 
-void Activity::Trouble(double now, std::string what) {
-  troubles_.emplace_back(now, std::move(what));
-  if (troubles_.size() > kMaxTroubles) troubles_.pop_front();
+void ActivityTracker::AddIncident(double now, std::string what) {
+  incidents_.emplace_back(now, std::move(what));
+  if (incidents_.size() > kMaxTroubles) incidents_.pop_front();
 }
 
-void Activity::Note(const jobs::Job& job, double Times::*what, double now) {
+void ActivityTracker::Record(const jobs::Job& job, double LastActivity::*what, double now) {
   // Teams are those of the settings, but users choose the names of classes.
   if (classes_.size() >= kMaxClasses && !classes_.contains(job.spec.job_class)) {
     classes_.erase(classes_.begin());
@@ -27,45 +27,45 @@
   teams_[job.spec.team].*what = now;
 }
 
-void Activity::Started(jobs::Job& job, uint32_t index, double now) {
-  Note(job, &Times::started, now);
-  if (job.tasks[index].counted) return;
-  job.tasks[index].counted = true;
+void ActivityTracker::OnTaskStarted(jobs::Job& job, uint32_t index, double now) {
+  Record(job, &LastActivity::started_at, now);
+  if (job.tasks[index].start_counted) return;
+  job.tasks[index].start_counted = true;
   for (size_t i = 0; i < objectives_.size(); ++i) {
     const auto& o = objectives_[i];
     if (o.kind != "wait" || o.job_class != job.spec.job_class) continue;
-    auto& [met, of] = counts_[i];
+    auto& [met, of] = progress_[i];
     ++of;
-    met += now - job.submitted <= o.within_s ? 1 : 0;
+    met += now - job.submitted_at <= o.within_s ? 1 : 0;
   }
 }
 
-void Activity::Finished(const jobs::Job& job, double now) {
-  Note(job, &Times::finished, now);
-  const double took = now - job.submitted;
+void ActivityTracker::OnJobFinished(const jobs::Job& job, double now) {
+  Record(job, &LastActivity::finished_at, now);
+  const double took = now - job.submitted_at;
   for (size_t i = 0; i < objectives_.size(); ++i) {
     const auto& o = objectives_[i];
     if (o.job_class != job.spec.job_class) continue;
     const bool deadline = o.kind == "deadline" && job.spec.deadline_s;
     if (!deadline && o.kind != "finished") continue;
-    auto& [met, of] = counts_[i];
+    auto& [met, of] = progress_[i];
     ++of;
     met += took <= (deadline ? o.times * *job.spec.deadline_s : o.within_s) ? 1 : 0;
   }
 }
 
-void Activity::Tell(double now, wire::Digest& d) const {
+void ActivityTracker::FillSnapshot(double now, wire::StatusSnapshot& d) const {
   for (size_t i = 0; i < objectives_.size(); ++i) {
     const auto& o = objectives_[i];
-    const auto& [met, of] = counts_[i];
+    const auto& [met, of] = progress_[i];
     d.progress.push_back({o.kind, o.job_class, o.within_s, o.times, o.share, met, of});
   }
-  for (auto t = troubles_.rbegin(); t != troubles_.rend(); ++t) {
-    d.troubles.push_back({now - t->first, t->second});
+  for (auto t = incidents_.rbegin(); t != incidents_.rend(); ++t) {
+    d.incidents.push_back({now - t->first, t->second});
   }
 }
 
-bool Activity::LogDue(double now) {
+bool ActivityTracker::IsLogDue(double now) {
   if (now < next_log_) return false;
   next_log_ = now + log_every_s_;
   return true;
--- a/src/scheduler/locality.cc
+++ b/src/scheduler/locality.cc
@@ -7,11 +7,11 @@
 
 double Share(const Candidate& c, double pool_gb) { return pool_gb > 0 ? c.held_gb / pool_gb : 0; }
 
-double Score(const Candidate& c, double pool_gb, const Policy& policy) {
+double Score(const Candidate& c, double pool_gb, const LocalityPolicy& policy) {
   return -c.missing_gb - policy.epsilon * Share(c, pool_gb);
 }
 
-double Cap(size_t block_size, const Policy& policy) {
+double Cap(size_t block_size, const LocalityPolicy& policy) {
   return policy.gamma / static_cast<double>(std::max<size_t>(1, block_size));
 }
 
@@ -29,7 +29,7 @@
 
 // With no machine passing, the filter is skipped.
 std::vector<const Candidate*> Passing(const std::vector<Candidate>& candidates, double pool_gb,
-                                      size_t block_size, const Policy& policy) {
+                                      size_t block_size, const LocalityPolicy& policy) {
   const double cap = Cap(block_size, policy);
   std::vector<const Candidate*> pass;
   std::vector<const Candidate*> room;
@@ -43,17 +43,17 @@
 
 }  // namespace
 
-size_t Best(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
-            const Policy& policy) {
+size_t BestMachine(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
+                   const LocalityPolicy& policy) {
   const auto pass = Passing(candidates, pool_gb, block_size, policy);
   const auto best = std::max_element(pass.begin(), pass.end(), [&](auto* a, auto* b) {
     return Score(*a, pool_gb, policy) < Score(*b, pool_gb, policy);
   });
-  return best == pass.end() ? kNone : (*best)->machine;
+  return best == pass.end() ? kNoMachine : (*best)->machine;
 }
 
-Picker::Picker(const std::vector<Candidate>& candidates, double pool_gb, size_t block_size,
-               const Policy& policy)
+LocalityPicker::LocalityPicker(const std::vector<Candidate>& candidates, double pool_gb,
+                               size_t block_size, const LocalityPolicy& policy)
     : pool_gb_(pool_gb), cap_(Cap(block_size, policy)), policy_(policy) {
   for (const Candidate& c : candidates) {
     if (c.has_room) groups_[c.missing_gb].push_back(c);
@@ -61,7 +61,7 @@
   for (auto& [missing, group] : groups_) std::make_heap(group.begin(), group.end(), Later);
 }
 
-size_t Picker::Best() {
+size_t LocalityPicker::Best() {
   const Candidate* best = nullptr;
   bool best_passes = false;
   for (const auto& [missing, group] : groups_) {
@@ -80,10 +80,10 @@
     best_passes = passes;
     chosen_ = missing;
   }
-  return best == nullptr ? kNone : best->machine;
+  return best == nullptr ? kNoMachine : best->machine;
 }
 
-void Picker::Placed(double held_gb, bool has_room) {
+void LocalityPicker::OnPlaced(double held_gb, bool has_room) {
   Candidate c = Take();
   pool_gb_ += held_gb - c.held_gb;
   c.held_gb = held_gb;
@@ -91,9 +91,9 @@
   if (has_room) Put(c);
 }
 
-void Picker::Drop() { Take(); }
+void LocalityPicker::DropBest() { Take(); }
 
-Candidate Picker::Take() {
+Candidate LocalityPicker::Take() {
   Group& group = groups_[chosen_];
   std::pop_heap(group.begin(), group.end(), Later);
   const Candidate c = group.back();
@@ -101,14 +101,15 @@
   return c;
 }
 
-void Picker::Put(const Candidate& c) {
+void LocalityPicker::Put(const Candidate& c) {
   Group& group = groups_[c.missing_gb];
   group.push_back(c);
   std::push_heap(group.begin(), group.end(), Later);
 }
 
-std::vector<size_t> BestDistinct(const std::vector<Candidate>& candidates, size_t replicas,
-                                 double pool_gb, size_t block_size, const Policy& policy) {
+std::vector<size_t> BestDistinctMachines(const std::vector<Candidate>& candidates, size_t replicas,
+                                         double pool_gb, size_t block_size,
+                                         const LocalityPolicy& policy) {
   auto pass = Passing(candidates, pool_gb, block_size, policy);
   std::stable_sort(pass.begin(), pass.end(), [&](auto* a, auto* b) {
     return Score(*a, pool_gb, policy) > Score(*b, pool_gb, policy);
--- a/src/scheduler/hires.cc
+++ b/src/scheduler/provisioning_tracker.cc
@@ -1,4 +1,4 @@
-#include "mosspath/scheduler/hires.h"
+#include "mosspath/scheduler/provisioning_tracker.h"
 
 #include <algorithm>
 #include <set>
@@ -12,7 +12,7 @@
 constexpr double kLatelyReports = 10;  // reports, over which the largest urgent job counts
 constexpr double kUpPatience = 4;      // leases, for a machine that is up to find us
 
-cluster::Machine* Find(const Hires::Fleet& fleet, const std::string& id) {
+cluster::Machine* Find(const ProvisioningTracker::Fleet& fleet, const std::string& id) {
   for (cluster::Machines* machines : fleet) {
     if (const auto it = machines->find(id); it != machines->end()) return &it->second;
   }
@@ -21,50 +21,52 @@
 
 }  // namespace
 
-Hires::Hires(const config::Settings& settings, const config::Derived& derived)
-    : report_s_(settings.report_s),
-      lease_s_(settings.lease_s),
-      list_lag_s_(settings.list_lag_s),
-      silent_s_(derived.silent_s) {}
+ProvisioningTracker::ProvisioningTracker(const config::Settings& settings,
+                                         const config::DerivedSettings& derived)
+    : report_s_(settings.heartbeat_s),
+      lease_s_(settings.agent_lease_s),
+      list_lag_s_(settings.machine_list_lag_s),
+      silent_s_(derived.agent_suspect_s) {}
 
-void Hires::Rented(const std::vector<std::string>& ids, const autoscaler::Wish& offer,
-                   const Fleet& fleet, double now) {
+void ProvisioningTracker::OnProvisioned(const std::vector<std::string>& ids,
+                                        const autoscaler::ScaleOutRequest& offer,
+                                        const Fleet& fleet, double now) {
   for (const auto& id : ids) {
-    if (dead_.contains(id)) continue;
+    if (deleted_at_.contains(id)) continue;
     const cluster::Machine* m = Find(fleet, id);
     if (m != nullptr && !m->address.empty()) continue;
     booting_[id] = {{offer.type, offer.zone, offer.spot, 1}, now, false};
   }
 }
 
-void Hires::Refused(const autoscaler::Wish& offer, double until) {
+void ProvisioningTracker::OnRefused(const autoscaler::ScaleOutRequest& offer, double until) {
   closed_until_[{offer.type, offer.zone, offer.spot}] = until;
 }
 
-void Hires::Deleted(const std::string& id, double now) {
+void ProvisioningTracker::OnMachineDeleted(const std::string& id, double now) {
   booting_.erase(id);
-  dead_[id] = now;
-  while (dead_.size() > kMaxDead) {
-    dead_.erase(std::min_element(dead_.begin(), dead_.end(),
-                                 [](auto& a, auto& b) { return a.second < b.second; }));
+  deleted_at_[id] = now;
+  while (deleted_at_.size() > kMaxDead) {
+    deleted_at_.erase(std::min_element(deleted_at_.begin(), deleted_at_.end(),
+                                       [](auto& a, auto& b) { return a.second < b.second; }));
   }
 }
 
-void Hires::Listed(const std::vector<wire::ListedMachine>& listed, const Fleet& fleet, double asked,
-                   double now) {
+void ProvisioningTracker::OnMachineList(const std::vector<wire::ListedMachine>& listed,
+                                        const Fleet& fleet, double asked, double now) {
   std::set<std::string> names;
   for (const auto& l : listed) {
     names.insert(l.id);
-    if (dead_.contains(l.id)) continue;
+    if (deleted_at_.contains(l.id)) continue;
     const bool failed = l.state == wire::MachineState::kFailed;
     if (cluster::Machine* m = Find(fleet, l.id)) {
       m->failed = failed;
-      m->unlisted = false;
-      if (!m->address.empty() || m->inherited || m->lease != 0) continue;
+      m->missing_from_list = false;
+      if (!m->address.empty() || m->awaits_recovery || m->shard_lease != 0) continue;
     }
     // Not heard of yet: booting, rented by an earlier leader, or never coming up.
     auto [it, added] = booting_.try_emplace(l.id);
-    Booting& b = it->second;
+    BootingMachine& b = it->second;
     if (added) {
       b.offer = {l.type, l.zone, l.spot, 1};
       b.since = now - l.age_s;
@@ -81,16 +83,16 @@
   const double settled_by = asked - 2 * list_lag_s_ - report_s_;
   for (cluster::Machines* machines : fleet) {
     for (auto& [id, m] : *machines) {
-      const double known = m.address.empty() ? m.last_answered : m.first_heard;
-      const double heard = std::max(m.last_heard, known);
+      const double known = m.address.empty() ? m.lease_renewed_at : m.first_contact_at;
+      const double heard = std::max(m.last_contact_at, known);
       if (!names.contains(id) && known < settled_by && heard < asked - 2 * report_s_) {
-        m.unlisted = true;
+        m.missing_from_list = true;
       }
     }
   }
 }
 
-double Hires::Burst(double now, const cluster::Types& types) {
+double ProvisioningTracker::LargestBurstCpus(double now, const cluster::MachineTypeCatalog& types) {
   double boot_s = 0;
   for (const auto& [name, t] : types.all()) boot_s = std::max(boot_s, t.boot_s);
   const double lately = std::max(kLatelyBoots * boot_s, kLatelyReports * report_s_);
@@ -100,8 +102,10 @@
   return most;
 }
 
-void Hires::Plan(double now, const cluster::Types& types, std::vector<autoscaler::Unit>& units,
-                 std::vector<std::string>& hopeless) const {
+void ProvisioningTracker::AppendBootingMachines(double now,
+                                                const cluster::MachineTypeCatalog& types,
+                                                std::vector<autoscaler::FleetMachine>& units,
+                                                std::vector<std::string>& hopeless) const {
   for (const auto& [id, b] : booting_) {
     const auto* t = types.Find(b.offer.type);
     const double patience =
@@ -111,12 +115,12 @@
       hopeless.push_back(id);
       continue;
     }
-    autoscaler::Unit u;
+    autoscaler::FleetMachine u;
     u.id = id;
     u.type = b.offer.type;
     u.zone = b.offer.zone;
     u.spot = b.offer.spot;
-    u.usable = true;
+    u.schedulable = true;
     units.push_back(std::move(u));
   }
 }
--- a/src/scheduler/aims.cc
+++ b/src/scheduler/service_level_objectives.cc
@@ -1,4 +1,4 @@
-#include "mosspath/scheduler/aims.h"
+#include "mosspath/scheduler/service_level_objectives.h"
 
 #include <algorithm>
 
@@ -10,11 +10,14 @@
 
 }  // namespace
 
-double ExpectedRun(const jobs::Job& job) { return std::max(1.0, job.spec.estimate_s); }
+double ExpectedRunS(const jobs::Job& job) { return std::max(1.0, job.spec.estimated_run_s); }
 
-bool Settling(const jobs::Job& job, double ran) { return ran < kSettled * job.spec.checkpoint_s; }
+bool IsSettling(const jobs::Job& job, double ran) {
+  return ran < kSettled * job.spec.checkpoint_interval_s;
+}
 
-Aims::Aims(const config::Settings& settings) : no_aim_s_(settings.lease_s * kNoAimLeases) {
+ServiceLevelObjectives::ServiceLevelObjectives(const config::Settings& settings)
+    : best_effort_within_s_(settings.agent_lease_s * kNoAimLeases) {
   for (const auto& o : settings.objectives) {
     if (o.kind == "finished" && o.within_s > 0) finish_[o.job_class].insert(o.within_s);
     if (o.kind == "wait" && o.within_s > 0) start_[o.job_class].insert(o.within_s);
@@ -22,14 +25,15 @@
   }
 }
 
-Aims::Aim Aims::Next(const jobs::Job& job, double now) const {
-  const double run = ExpectedRun(job);
-  const double age = now - job.submitted;
+ServiceLevelObjectives::NextObjective ServiceLevelObjectives::Next(const jobs::Job& job,
+                                                                   double now) const {
+  const double run = ExpectedRunS(job);
+  const double age = now - job.submitted_at;
   double last = -1;
-  Aim next{true, -1, false};
+  NextObjective next{true, -1, false};
   const auto consider = [&](double due, bool start = false) {
     last = std::max(last, due);
-    if (age + run <= due && (next.hopeless || due < next.within)) next = {false, due, start};
+    if (age + run <= due && (next.unattainable || due < next.within_s)) next = {false, due, start};
   };
   const auto times = deadline_times_.find(job.spec.job_class);
   if (job.spec.deadline_s && times == deadline_times_.end()) consider(*job.spec.deadline_s);
@@ -42,8 +46,8 @@
   if (auto it = start_.find(job.spec.job_class); it != start_.end()) {
     for (double within : it->second) consider(within + run, true);
   }
-  if (last < 0) return {false, no_aim_s_, false, /*none=*/true};
-  if (next.hopeless) next.within = last;
+  if (last < 0) return {false, best_effort_within_s_, false, /*none=*/true};
+  if (next.unattainable) next.within_s = last;
   return next;
 }
 
--- a/src/scheduler/search.cc
+++ b/src/scheduler/task_reconciliation.cc
@@ -1,12 +1,12 @@
-#include "mosspath/scheduler/search.h"
+#include "mosspath/scheduler/task_reconciliation.h"
 
 #include <algorithm>
 
 namespace mosspath::scheduler {
 
-bool Search::Begin(uint64_t key, const std::vector<std::string>& machines) {
+bool TaskReconciliation::Begin(uint64_t key, const std::vector<std::string>& machines) {
   if (machines.empty()) return false;
-  Left& left = left_[key];
+  PendingMachines& left = pending_[key];
   for (const auto& id : machines) {
     left.machines.insert(id);
     by_machine_[id].insert(key);
@@ -15,26 +15,26 @@
   return true;
 }
 
-std::vector<uint64_t> Search::Known(const std::string& machine) {
+std::vector<uint64_t> TaskReconciliation::OnMachineKnown(const std::string& machine) {
   std::vector<uint64_t> ended;
   const auto it = by_machine_.find(machine);
   if (it == by_machine_.end()) return ended;
   for (const uint64_t key : it->second) {
-    Left& left = left_[key];
+    PendingMachines& left = pending_[key];
     left.machines.erase(machine);
     if (!left.machines.empty()) continue;
     ended.push_back(key);
-    left_.erase(key);
+    pending_.erase(key);
   }
   by_machine_.erase(it);
   return ended;
 }
 
-bool Search::NearlyOver(const std::string& machine, double share) const {
+bool TaskReconciliation::IsNearlyComplete(const std::string& machine, double share) const {
   const auto it = by_machine_.find(machine);
   if (it == by_machine_.end()) return false;
   return std::all_of(it->second.begin(), it->second.end(), [&](uint64_t key) {
-    const Left& left = left_.at(key);
+    const PendingMachines& left = pending_.at(key);
     return static_cast<double>(left.machines.size()) <=
            std::max(1.0, share * static_cast<double>(left.total));
   });
--- a/src/service/admission.cc
+++ b/src/service/admission_service.cc
@@ -1,4 +1,4 @@
-#include "mosspath/service/admission.h"
+#include "mosspath/service/admission_service.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,46 +22,47 @@
 
 }  // namespace
 
-Admission::Admission(const config::Settings& settings)
-    : node_(settings.node),
-      life_s_(kPlanReports * settings.report_s),
-      gate_(kTasksPerMb * settings.memory_mb, Names(settings.teams), kLeastRetryS,
-            kUserRetriesS / kLeastTries),
+AdmissionService::AdmissionService(const config::Settings& settings)
+    : node_(settings.name),
+      life_s_(kPlanReports * settings.heartbeat_s),
+      controller_(kTasksPerMb * settings.memory_mb, Names(settings.teams), kLeastRetryS,
+                  kUserRetriesS / kLeastTries),
       share_(settings.peers.size() + 1) {
   controllers_.push_back(node_);
-  for (const auto& p : settings.peers) controllers_.push_back(p.node);
+  for (const auto& p : settings.peers) controllers_.push_back(p.name);
 }
 
-admission::Verdict Admission::Ask(const wire::JobSpec& spec, double now) {
+admission::AdmissionVerdict AdmissionService::Request(const wire::JobSpec& spec, double now) {
   demand_ = Demand(now) + spec.tasks;
   demand_at_ = now;
-  return gate_.Ask(spec, share_.Part(now), now);
+  return controller_.Request(spec, share_.Current(now), now);
 }
 
-double Admission::Demand(double now) const {
+double AdmissionService::Demand(double now) const {
   return demand_ * std::exp(-std::max(0.0, now - demand_at_) / life_s_);
 }
 
-wire::AdmissionUse Admission::Use(double now) const {
-  wire::AdmissionUse use;
-  use.budget = gate_.budget();
-  use.live = gate_.live();
-  use.under_way = gate_.under_way();
-  use.part = share_.Part(now);
+wire::AdmissionUsage AdmissionService::Usage(double now) const {
+  wire::AdmissionUsage use;
+  use.budget = controller_.budget();
+  use.live = controller_.live();
+  use.in_flight = controller_.in_flight();
+  use.share = share_.Current(now);
   use.plan_token = share_.plan().token;
   use.plan_version = share_.plan().version;
-  for (const auto& [of, count] : gate_.counts()) {
-    use.groups.push_back({of.first, of.second, count.asked, count.refused});
+  for (const auto& [of, count] : controller_.counts()) {
+    use.groups.push_back({of.first, of.second, count.requested, count.refused});
   }
   return use;
 }
 
-void Admission::Leads(uint64_t token, double now) {
+void AdmissionService::OnElected(uint64_t token, double now) {
   planner_.emplace(controllers_, token, life_s_, now);
 }
 
-admission::Plan Admission::PlanFor(const std::string& controller, double demand, double now) {
-  return planner_ ? planner_->For(controller, demand, now) : admission::Plan{};
+admission::AdmissionPlan AdmissionService::PlanFor(const std::string& controller, double demand,
+                                                   double now) {
+  return planner_ ? planner_->PlanFor(controller, demand, now) : admission::AdmissionPlan{};
 }
 
 }  // namespace mosspath::service
--- a/src/service/cloud.cc
+++ b/src/service/cloud_client.cc
@@ -1,4 +1,4 @@
-#include "mosspath/service/cloud.h"
+#include "mosspath/service/cloud_client.h"
 
 #include <spdlog/spdlog.h>
 
@@ -14,12 +14,13 @@
 
 }  // namespace
 
-CloudClient::CloudClient(asio::io_context& io, const config::Settings& s, const config::Derived& d,
+CloudClient::CloudClient(asio::io_context& io, const config::Settings& s,
+                         const config::DerivedSettings& d,
                          std::shared_ptr<net::SocketBudget> sockets)
     : derived_(d),
       http_(io, s.cloud_address,
             {.max_connections = 8, .max_queue = 32, .sockets = std::move(sockets)}),
-      budget_(s.cloud_rps * 0.9, std::max(1.0, s.cloud_rps * 1.5)) {}
+      budget_(s.cloud_requests_per_s * 0.9, std::max(1.0, s.cloud_requests_per_s * 1.5)) {}
 
 double CloudClient::net_now() { return net::Now(); }
 
@@ -34,7 +35,7 @@
         wire::Json j;
         if (!r.body.empty()) j = wire::Json::parse(r.body, nullptr, false);
         if (j.is_discarded()) {
-          net::Malformed(kCloud, "JSON", "not JSON", on_malformed);
+          net::ReportMalformed(kCloud, "JSON", "not JSON", on_malformed);
           return done(0, {});
         }
         if (r.status != 200) spdlog::debug("cloud: answer {} {}", r.status, j.dump());
@@ -43,11 +44,11 @@
       std::move(still_wanted));
 }
 
-void CloudClient::Types(std::function<void(bool, std::vector<wire::MachineType>)> done) {
+void CloudClient::ListMachineTypes(std::function<void(bool, std::vector<wire::MachineType>)> done) {
   Send("GET", "/flavors", {}, [this, done = std::move(done)](int status, const wire::Json& j) {
     std::vector<wire::MachineType> types;
-    const bool ok = status == 200 && net::Understood(kCloud, "flavors", on_malformed,
-                                                     [&] { types = wire::ParseMachineTypes(j); });
+    const bool ok = status == 200 && net::TryRead(kCloud, "flavors", on_malformed,
+                                                  [&] { types = wire::ParseMachineTypes(j); });
     done(ok, std::move(types));
   });
 }
@@ -60,11 +61,11 @@
       [this, done = std::move(done)](int status, const wire::Json& j) {
         std::vector<std::string> machines;
         if (status == 200) {
-          const bool ok = net::Understood(kCloud, "hosts", on_malformed,
-                                          [&] { machines = wire::ParseRented(j); });
-          return done(ok ? Outcome::kDone : Outcome::kUnsure, std::move(machines));
+          const bool ok =
+              net::TryRead(kCloud, "hosts", on_malformed, [&] { machines = wire::ParseRented(j); });
+          return done(ok ? Outcome::kDone : Outcome::kUndetermined, std::move(machines));
         }
-        if (status == 0) return done(Outcome::kUnsure, {});
+        if (status == 0) return done(Outcome::kUndetermined, {});
         const bool none = status == 503 && j.is_object() && j.value("error", "") == "no capacity";
         done(none ? Outcome::kNoCapacity : Outcome::kRefused, {});
       },
@@ -77,19 +78,19 @@
   Send(
       "POST", "/hosts/delete", wire::DeleteRequest(machines).dump(),
       [done = std::move(done)](int status, const wire::Json&) {
-        done(status == 200 ? Outcome::kDone : (status == 0 ? Outcome::kUnsure : Outcome::kRefused));
+        done(status == 200 ? Outcome::kDone
+                           : (status == 0 ? Outcome::kUndetermined : Outcome::kRefused));
       },
       std::move(still_wanted));
 }
 
-void CloudClient::List(const std::string& after,
-                       std::function<void(bool, wire::MachinePage)> done) {
+void CloudClient::ListMachines(const std::string& after,
+                               std::function<void(bool, wire::MachinePage)> done) {
   Send("GET", wire::MachineListTarget(after, 500), {},
        [this, done = std::move(done)](int status, const wire::Json& j) {
          wire::MachinePage page;
-         const bool ok = status == 200 && net::Understood(kCloud, "hosts", on_malformed, [&] {
-                           page = wire::ParseMachinePage(j);
-                         });
+         const bool ok = status == 200 && net::TryRead(kCloud, "hosts", on_malformed,
+                                                       [&] { page = wire::ParseMachinePage(j); });
          done(ok, std::move(page));
        });
 }
--- a/src/service/type_keeper.cc
+++ b/src/service/machine_type_cache.cc
@@ -1,4 +1,4 @@
-#include "mosspath/service/type_keeper.h"
+#include "mosspath/service/machine_type_cache.h"
 
 #include <spdlog/spdlog.h>
 
@@ -10,9 +10,10 @@
 
 using wire::Json;
 
-TypeKeeper::TypeKeeper(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
-                       const election::Elector& elector, const config::Derived& derived,
-                       std::function<void(const Types&)> learned)
+MachineTypeCache::MachineTypeCache(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
+                                   const election::Elector& elector,
+                                   const config::DerivedSettings& derived,
+                                   std::function<void(const Types&)> learned)
     : state_(state),
       cloud_(cloud),
       elector_(elector),
@@ -20,15 +21,15 @@
       learned_(std::move(learned)),
       timer_(io) {}
 
-void TypeKeeper::Fetch() {
+void MachineTypeCache::Fetch() {
   if (!types_.empty()) return;
-  cloud_.Types([this](bool ok, const Types& types) {
-    if (ok) return Told(types);
+  cloud_.ListMachineTypes([this](bool ok, const Types& types) {
+    if (ok) return OnCloudTypes(types);
     timer_.After(1.0, [this] { Fetch(); });
   });
 }
 
-void TypeKeeper::OnKey(const kvstore::Event& e) {
+void MachineTypeCache::OnKey(const kvstore::Event& e) {
   if (!e.value) return;
   try {
     published_ = e.value->dump();
@@ -38,12 +39,12 @@
   }
 }
 
-void TypeKeeper::Learn(const Types& types) {
+void MachineTypeCache::Learn(const Types& types) {
   types_ = types;
   learned_(types_);
 }
 
-void TypeKeeper::Told(const Types& types) {
+void MachineTypeCache::OnCloudTypes(const Types& types) {
   Learn(types);
   if (elector_.token() == 0) return;
   Json value = wire::ToJson(types);
@@ -57,9 +58,10 @@
   kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, elector_.token()});
   txn.changes.push_back({keys::kTypes, std::move(value)});
-  state_.Commit(std::move(txn), derived_.user_deadline_s, [this](const kvstore::TxnResult& r) {
-    if (r.outcome != kvstore::Outcome::kDone) published_.clear();
-  });
+  state_.Commit(std::move(txn), derived_.user_deadline_s,
+                [this](const kvstore::TransactionResult& r) {
+                  if (r.outcome != kvstore::Outcome::kDone) published_.clear();
+                });
 }
 
 }  // namespace mosspath::service
--- a/src/service/metrics.cc
+++ b/src/service/metrics.cc
@@ -77,25 +77,25 @@
                .Register(registry_)
                .Add({})) {}
 
-void Metrics::Show(const wire::Status& s) {
-  age_.Set(s.age_s);
+void Metrics::Update(const wire::Status& s) {
+  age_.Set(s.snapshot_age_s);
   for (const auto& c : s.controllers) {
     heard_.Add({{"controller", c.node}}).Set(c.heard_ago_s);
-    lacks_.Add({{"controller", c.node}}).Set(static_cast<double>(c.lacks.size()));
+    lacks_.Add({{"controller", c.node}}).Set(static_cast<double>(c.unreachable.size()));
   }
   for (const auto& u : s.sockets) {
     const auto set = [&](const char* what, uint64_t n) {
-      sockets_.Add({{"party", u.party}, {"what", what}}).Set(static_cast<double>(n));
+      sockets_.Add({{"party", u.connection_class}, {"what", what}}).Set(static_cast<double>(n));
     };
     set("used", u.used);
     set("limit", u.limit);
     set("refused", u.refused);
-    set("sent_off", u.sent_off);
+    set("sent_off", u.closed_after_answer);
   }
   admission_.Add({{"what", "budget"}}).Set(s.admission.budget);
   admission_.Add({{"what", "live"}}).Set(s.admission.live);
-  admission_.Add({{"what", "under_way"}}).Set(s.admission.under_way);
-  admission_.Add({{"what", "part"}}).Set(s.admission.part);
+  admission_.Add({{"what", "under_way"}}).Set(s.admission.in_flight);
+  admission_.Add({{"what", "part"}}).Set(s.admission.share);
   for (const auto& g : s.admission.groups) {
     const std::string name = g.team + "/" + g.job_class;
     if (shown_.size() >= kMostShown && !shown_.contains(name)) continue;
@@ -104,10 +104,10 @@
       submissions_.Add({{"team", g.team}, {"class", g.job_class}, {"what", what}})
           .Set(static_cast<double>(n));
     };
-    set("asked", g.asked);
+    set("asked", g.requested);
     set("refused", g.refused);
   }
-  const auto show = [&](const std::vector<wire::Digest::Queue>& queues, const char* by) {
+  const auto show = [&](const std::vector<wire::StatusSnapshot::Queue>& queues, const char* by) {
     for (const auto& q : queues) {
       if (shown_.size() >= kMostShown && !shown_.contains(q.job_class)) continue;
       shown_.insert(q.job_class);
@@ -116,11 +116,11 @@
       since_.Add({{by, q.job_class}, {"what", "finished"}}).Set(q.finished_ago_s);
     }
   };
-  show(s.digest.queues, "class");
-  show(s.digest.teams, "team");
+  show(s.snapshot.queues, "class");
+  show(s.snapshot.teams, "team");
 }
 
-void Metrics::Answered(Route route, int status, double seconds) {
+void Metrics::OnAnswered(Route route, int status, double seconds) {
   static const prometheus::Histogram::BucketBoundaries kBounds{
       0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5};
   auto& latency = latency_of_[route];
@@ -133,7 +133,7 @@
   answers->Increment();
 }
 
-void Metrics::Malformed(const char* from, const char* what) {
+void Metrics::OnMalformed(const char* from, const char* what) {
   malformed_.Add({{"from", from}, {"what", what}}).Increment();
 }
 
--- a/src/service/operator_desk.cc
+++ b/src/service/operator_settings_api.cc
@@ -1,4 +1,4 @@
-#include "mosspath/service/operator_desk.h"
+#include "mosspath/service/operator_settings_api.h"
 
 #include <spdlog/spdlog.h>
 
@@ -11,7 +11,7 @@
 
 using wire::Json;
 
-void OperatorDesk::OnKey(const kvstore::Event& e) {
+void OperatorSettingsApi::OnKey(const kvstore::Event& e) {
   version_ = e.value ? e.version : 0;
   try {
     settings_ = config::Change({}, e.value ? *e.value : Json::object());
@@ -23,16 +23,16 @@
   changed_();
 }
 
-void OperatorDesk::Answer(const net::HttpRequest& r, net::HttpServer::Responder respond) {
+void OperatorSettingsApi::Answer(const net::HttpRequest& r, net::HttpServer::Responder respond) {
   if (r.method == "PUT") return Put(r, std::move(respond));
-  if (r.method != "GET") return respond(Plain(405, "method not allowed"));
+  if (r.method != "GET") return respond(ErrorResponse(405, "method not allowed"));
   mirror_.CatchUp([this, respond](bool ok) {
-    if (!ok) return respond(Later("can't tell now"));
+    if (!ok) return respond(RetryLaterResponse("can't tell now"));
     respond({200, Json{{"version", version_}, {"settings", config::ToJson(settings_)}}.dump()});
   });
 }
 
-void OperatorDesk::Put(const net::HttpRequest& r, net::HttpServer::Responder respond) {
+void OperatorSettingsApi::Put(const net::HttpRequest& r, net::HttpServer::Responder respond) {
   uint64_t version = 0;
   Json changes;
   try {
@@ -45,22 +45,24 @@
     changes = body.value("settings", Json());
     config::Change({}, changes);
   } catch (const std::exception& e) {
-    return respond(Plain(400, e.what()));
+    return respond(ErrorResponse(400, e.what()));
   }
   mirror_.CatchUp([this, version, changes, respond = std::move(respond)](bool ok) {
-    if (!ok) return respond(Later("can't tell now"));
-    if (version != version_) return respond(Plain(409, "the settings have changed"));
+    if (!ok) return respond(RetryLaterResponse("can't tell now"));
+    if (version != version_) return respond(ErrorResponse(409, "the settings have changed"));
     const Json next = config::ToJson(config::Change(settings_, changes));
     kvstore::Transaction txn;
     txn.conditions.push_back({keys::kSettings, version});
     txn.changes.push_back({keys::kSettings, next});
-    state_.Commit(std::move(txn), derived_.user_deadline_s, [respond, next](kvstore::TxnResult t) {
-      if (t.outcome == kvstore::Outcome::kConflict) {
-        return respond(Plain(409, "the settings have changed"));
-      }
-      if (t.outcome != kvstore::Outcome::kDone) return respond(Later("can't change them now"));
-      respond({200, Json{{"version", t.revision}, {"settings", next}}.dump()});
-    });
+    state_.Commit(std::move(txn), derived_.user_deadline_s,
+                  [respond, next](kvstore::TransactionResult t) {
+                    if (t.outcome == kvstore::Outcome::kConflict) {
+                      return respond(ErrorResponse(409, "the settings have changed"));
+                    }
+                    if (t.outcome != kvstore::Outcome::kDone)
+                      return respond(RetryLaterResponse("can't change them now"));
+                    respond({200, Json{{"version", t.revision}, {"settings", next}}.dump()});
+                  });
   });
 }
 
--- /dev/null
+++ b/src/service/peer_service.cc
@@ -0,0 +1,226 @@
+#include "mosspath/service/peer_service.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "mosspath/wire/promise_frame.h"
+
+namespace mosspath::service {
+namespace {
+
+using net::HttpResponse;
+using Responder = net::HttpServer::Responder;
+
+HttpResponse Frame(std::string body) {
+  return {200, std::move(body), 0, "application/octet-stream"};
+}
+
+HttpResponse Malformed() { return {400, wire::ErrorAnswer("malformed frame").dump()}; }
+
+}  // namespace
+
+PeerService::PeerService(asio::io_context& io, const config::Settings& settings,
+                         const config::DerivedSettings& derived, election::Elector& elector,
+                         JobService& jobs, AdmissionService& admission, LocalState own,
+                         const std::shared_ptr<net::SocketBudget>& sockets,
+                         net::OnMalformed on_malformed)
+    : settings_(settings),
+      derived_(derived),
+      elector_(elector),
+      jobs_(jobs),
+      admission_(admission),
+      local_(std::move(own)),
+      sockets_(sockets),
+      on_malformed_(std::move(on_malformed)),
+      failure_detector_(settings),
+      heartbeat_timer_(io),
+      snapshot_timer_(io),
+      promise_timer_(io) {
+  const net::HttpClient::Options options{.max_connections = 1, .max_queue = 2, .sockets = sockets};
+  for (const auto& p : settings_.peers) {
+    links_.push_back(std::unique_ptr<PeerConnection>(
+        new PeerConnection{p.name, {io, p.address, options}, {io, p.address, options}}));
+  }
+}
+
+void PeerService::Start() {
+  SendHeartbeat();
+  SendSnapshot();
+  RequestPromises();
+}
+
+bool PeerService::Answer(const net::HttpRequest& r, const Responder& respond) {
+  if (r.method != "POST") return false;
+  if (r.path == "/peer/v1/presence") {
+    OnHeartbeat(r, respond);
+  } else if (r.path == "/peer/v1/digest") {
+    OnSnapshot(r, respond);
+  } else if (r.path == "/peer/v1/vouch") {
+    OnPromiseRequest(r, respond);
+  } else {
+    return false;
+  }
+  return true;
+}
+
+wire::PeerHeartbeat PeerService::OwnHeartbeat() const {
+  wire::PeerHeartbeat p = local_.heartbeat();
+  p.node = settings_.name;
+  p.peers = failure_detector_.PeerContacts(net::Now());
+  return p;
+}
+
+void PeerService::SendHeartbeat() {
+  heartbeat_timer_.After(failure_detector_.interval_s(), [this] { SendHeartbeat(); });
+  wire::PeerHeartbeat own = OwnHeartbeat();
+  const std::string frame = wire::Encode(own);
+  const double now = net::Now();
+  own.demand = admission_.Demand(now);
+  const std::string with_demand = wire::Encode(own);
+  // Who leads asks itself as others ask it, and only while it is entitled to plan: one that had
+  // lapsed went on planning for itself beside its successor.
+  if (local_.may_act()) {
+    admission_.OnPlan(admission_.PlanFor(settings_.name, *own.demand, now), now);
+  }
+  for (auto& l : links_) {
+    l->updates.Send("POST", "/peer/v1/presence", l->reads_demand ? with_demand : frame,
+                    2 * failure_detector_.interval_s(),
+                    [this, link = l.get(), asked = now](const net::HttpResult& r) {
+                      // An earlier version answers with nothing, and would not read a demand.
+                      link->reads_demand = link->reads_demand && r.status == 0;
+                      if (r.status != 200 || r.body.empty()) return;
+                      net::TryRead("peer", "plan", on_malformed_, [&] {
+                        const admission::AdmissionPlan plan = wire::DecodeAdmissionPlan(r.body);
+                        link->reads_demand = true;
+                        admission_.OnPlan(plan, asked);
+                      });
+                    });
+  }
+}
+
+void PeerService::OnHeartbeat(const net::HttpRequest& r, const Responder& respond) {
+  wire::PeerHeartbeat p;
+  const bool understood = net::TryRead("peer", "presence", on_malformed_,
+                                       [&] { p = wire::DecodePeerHeartbeat(r.body); });
+  if (!understood) return respond(Malformed());
+  const double now = net::Now();
+  failure_detector_.OnHeartbeat(p, now);
+  admission::AdmissionPlan plan;
+  if (local_.may_act() && p.demand) plan = admission_.PlanFor(p.node, *p.demand, now);
+  respond(Frame(wire::Encode(plan)));
+}
+
+void PeerService::SendSnapshot() {
+  snapshot_timer_.After(std::max(1.0, settings_.heartbeat_s / 2), [this] { SendSnapshot(); });
+  const auto digest = local_.snapshot();
+  if (!digest) return;
+  const std::string frame = wire::Encode(*digest);
+  for (auto& l : links_) {
+    l->updates.Send("POST", "/peer/v1/digest", frame, settings_.heartbeat_s,
+                    [](const net::HttpResult&) {});
+  }
+}
+
+void PeerService::OnSnapshot(const net::HttpRequest& r, const Responder& respond) {
+  wire::StatusSnapshot d;
+  const bool understood = net::TryRead("peer", "digest", on_malformed_,
+                                       [&] { d = wire::DecodeStatusSnapshot(r.body); });
+  if (!understood) return respond(Malformed());
+  if (d.token >= snapshot_.token) {
+    counts_.clear();
+    for (const auto& j : d.jobs) counts_[j.id] = {j.done, j.running};
+    snapshot_ = std::move(d);
+    snapshot_at_ = net::Now();
+  }
+  respond(Frame(""));
+}
+
+wire::Status PeerService::Status() const {
+  const double now = net::Now();
+  wire::Status s;
+  s.served_by = settings_.name;
+  s.controllers = failure_detector_.ControllerStates(OwnHeartbeat(), now);
+  for (size_t i = 0; i < net::kConnectionClasses; ++i) {
+    const auto p = static_cast<net::ConnectionClass>(i);
+    s.sockets.push_back({net::Name(p), sockets_->used(p), sockets_->limit(p), sockets_->refused(p),
+                         sockets_->closed_after_answer(p)});
+  }
+  s.admission = admission_.Usage(now);
+  if (auto own = local_.snapshot()) {
+    s.snapshot = std::move(*own);
+    return s;
+  }
+  s.snapshot = snapshot_;
+  s.snapshot_age_s = std::min(wire::kNeverS, now - snapshot_at_);
+  return s;
+}
+
+scheduler::JobCounts PeerService::CountsOf(const std::string& id) const {
+  const auto it = counts_.find(id);
+  return it == counts_.end() ? scheduler::JobCounts{} : it->second;
+}
+
+// While the state service is silent, a leader asks all peers to vouch that they won't lead.
+void PeerService::RequestPromises() {
+  promise_timer_.After(derived_.promise_s / 4, [this] { RequestPromises(); });
+  const auto round = elector_.BeginPromiseRound(net::Now());
+  if (!round) return;
+  const std::string frame = wire::Encode(elector_.MakePromiseRequest());
+  for (auto& l : links_) {
+    l->promises.Send("POST", "/peer/v1/vouch", frame, derived_.promise_s,
+                     [this, round = *round, link = l.get()](const net::HttpResult& r) {
+                       if (r.status == 200) OnPromiseResponse(round, *link, r.body);
+                     });
+  }
+}
+
+void PeerService::OnPromiseResponse(uint64_t round, PeerConnection& link, const std::string& body) {
+  // An answer that can't be understood is no promise, and is told once: the next question comes
+  // soon.
+  const auto malformed = [&](const char* why) {
+    if (!std::exchange(link.bad_promise_logged, true)) {
+      spdlog::error("peer: {} vouches in a way that can't be: {}", link.node, why);
+    }
+    on_malformed_("peer", "vouch");
+  };
+  wire::PromiseResponse answer;
+  try {
+    answer = wire::DecodePromiseResponse(body);
+  } catch (const std::exception& e) {
+    return malformed(e.what());
+  }
+  std::vector<wire::CancellationLogSlice::Entry> learned;
+  if (!elector_.OnPromiseResponse(round, link.node, answer, net::Now(), learned)) {
+    return malformed("a revision above any");
+  }
+  link.bad_promise_logged = false;
+  for (const auto& e : learned) {
+    if (jobs_.FindLive(e.id) != nullptr) {
+      spdlog::info("jobs: {} is cancelled, as {} says", e.id, link.node);
+    }
+    jobs_.OnCancellationLearned(e.id, e.revision);
+  }
+}
+
+void PeerService::OnPromiseRequest(const net::HttpRequest& r, const Responder& respond) {
+  election::Leadership::PromiseDecision promise;
+  wire::PromiseRequest question;
+  try {
+    question = wire::DecodePromiseRequest(r.body);
+    promise = elector_.OnPromiseRequest(question, net::Now());
+    if (!promise.well_formed) throw wire::BadMessage("a node, token or revision that can't be");
+  } catch (const std::exception& e) {
+    // A leader asks several times a second: told once, until one is understood again.
+    if (!std::exchange(bad_request_logged_, true))
+      spdlog::error("peer: malformed vouch: {}", e.what());
+    on_malformed_("peer", "vouch");
+    return respond(Malformed());
+  }
+  bad_request_logged_ = false;
+  respond(Frame(wire::Encode(wire::PromiseResponse{
+      promise.promised, jobs_.cancellations().Since(question.read_revision)})));
+}
+
+}  // namespace mosspath::service
