--- a/src/service/user_api.cc
+++ b/src/service/user_api.cc
@@ -8,7 +8,7 @@
 
 namespace mosspath::service {
 
-using net::HttpAnswer;
+using net::HttpResponse;
 using wire::Json;
 
 namespace {
@@ -17,43 +17,43 @@
 
 }  // namespace
 
-HttpAnswer Plain(int status, const std::string& error) {
+HttpResponse ErrorResponse(int status, const std::string& error) {
   return {status, wire::ErrorAnswer(error).dump()};
 }
 
-HttpAnswer Later(const std::string& why) {
-  HttpAnswer a = Plain(503, why);
+HttpResponse RetryLaterResponse(const std::string& why) {
+  HttpResponse a = ErrorResponse(503, why);
   a.retry_after_s = kRetryS;
   return a;
 }
 
 namespace {
 
-HttpAnswer Full(const std::string& why, double retry_after_s) {
-  HttpAnswer a = Plain(429, why);
+HttpResponse Full(const std::string& why, double retry_after_s) {
+  HttpResponse a = ErrorResponse(429, why);
   a.retry_after_s = retry_after_s;
   return a;
 }
 
 }  // namespace
 
-void UserApi::AnswerKnown(const std::string& id, JobTable::Known known, const Responder& respond,
-                          HttpAnswer missing) {
+void UserApi::AnswerKnown(const std::string& id, JobService::JobStatus known,
+                          const Responder& respond, HttpResponse missing) {
   switch (known) {
-    case JobTable::Known::kDone: {
-      return respond({200, wire::JobAnswer(id, wire::Stage::kDone).dump()});
+    case JobService::JobStatus::kDone: {
+      return respond({200, wire::JobAnswer(id, wire::JobState::kDone).dump()});
     }
-    case JobTable::Known::kCancelled:
-      return respond({200, wire::JobAnswer(id, wire::Stage::kCancelled).dump()});
-    case JobTable::Known::kLive: {
+    case JobService::JobStatus::kCancelled:
+      return respond({200, wire::JobAnswer(id, wire::JobState::kCancelled).dump()});
+    case JobService::JobStatus::kLive: {
       const auto counts = counts_(id);
-      const auto stage = counts.running > 0 ? wire::Stage::kRunning : wire::Stage::kQueued;
+      const auto stage = counts.running > 0 ? wire::JobState::kRunning : wire::JobState::kQueued;
       return respond({200, wire::JobAnswer(id, stage, counts.done, counts.running).dump()});
     }
-    case JobTable::Known::kMissing:
+    case JobService::JobStatus::kMissing:
       return respond(std::move(missing));
-    case JobTable::Known::kUnsure:
-      return respond(Later("can't tell now"));
+    case JobService::JobStatus::kUndetermined:
+      return respond(RetryLaterResponse("can't tell now"));
   }
 }
 
@@ -62,13 +62,13 @@
   try {
     body = wire::ParseObject(r.body);
   } catch (const std::exception& e) {
-    return respond(Plain(400, e.what()));
+    return respond(ErrorResponse(400, e.what()));
   }
-  const std::string id = wire::PeekId(body);
+  const std::string id = wire::PeekJobId(body);
   // A known job is answered before anything else is checked.
-  const auto refuse = [&](HttpAnswer answer) {
+  const auto refuse = [&](HttpResponse answer) {
     if (id.empty()) return respond(std::move(answer));
-    jobs_.Lookup(id, [this, id, respond, answer](JobTable::Known known) {
+    jobs_.Lookup(id, [this, id, respond, answer](JobService::JobStatus known) {
       AnswerKnown(id, known, respond, answer);
     });
   };
@@ -76,41 +76,41 @@
   try {
     spec = wire::ParseJob(body);
   } catch (const std::exception& e) {
-    return refuse(Plain(400, e.what()));
+    return refuse(ErrorResponse(400, e.what()));
   }
-  if (types_.empty() || !mirror_.loaded()) return refuse(Later("can't decide yet"));
-  const std::string why = admission::WhyNeverRuns(spec, settings_.teams, types_.types());
-  if (!why.empty()) return refuse(Plain(422, why));
-  if (const auto verdict = admission_.Ask(spec, net::Now()); !verdict.admit) {
+  if (types_.empty() || !mirror_.loaded()) return refuse(RetryLaterResponse("can't decide yet"));
+  const std::string why = admission::ReasonNeverRunnable(spec, settings_.teams, types_.types());
+  if (!why.empty()) return refuse(ErrorResponse(422, why));
+  if (const auto verdict = admission_.Request(spec, net::Now()); !verdict.admit) {
     spdlog::debug("admission: {} is refused, to come back in {:.1f} s: {}", id,
-                  verdict.retry_after_s, verdict.why);
-    return refuse(Full(verdict.why, verdict.retry_after_s));
+                  verdict.retry_after_s, verdict.reason);
+    return refuse(Full(verdict.reason, verdict.retry_after_s));
   }
-  jobs_.Accept(spec, [this, id, respond](JobTable::Accepted accepted) {
+  jobs_.Submit(spec, [this, id, respond](JobService::SubmitOutcome accepted) {
     switch (accepted) {
-      case JobTable::Accepted::kNew:
-        return respond({201, wire::JobAnswer(id, wire::Stage::kQueued).dump()});
-      case JobTable::Accepted::kKnown:
-        return jobs_.Lookup(id, [this, id, respond](JobTable::Known known) {
-          AnswerKnown(id, known, respond, Later("can't tell now"));
+      case JobService::SubmitOutcome::kNew:
+        return respond({201, wire::JobAnswer(id, wire::JobState::kQueued).dump()});
+      case JobService::SubmitOutcome::kAlreadyRecorded:
+        return jobs_.Lookup(id, [this, id, respond](JobService::JobStatus known) {
+          AnswerKnown(id, known, respond, RetryLaterResponse("can't tell now"));
         });
-      case JobTable::Accepted::kFull:
+      case JobService::SubmitOutcome::kQueueFull:
         return respond(Full("too many submissions of this team are waiting", kRetryS));
-      case JobTable::Accepted::kUnsure:
-        return respond(Later("can't take it now"));
+      case JobService::SubmitOutcome::kUndetermined:
+        return respond(RetryLaterResponse("can't take it now"));
     }
   });
 }
 
 void UserApi::Get(const std::string& id, Responder respond) {
-  jobs_.Lookup(id, [this, id, respond = std::move(respond)](JobTable::Known known) {
-    AnswerKnown(id, known, respond, Plain(404, "no such job"));
+  jobs_.Lookup(id, [this, id, respond = std::move(respond)](JobService::JobStatus known) {
+    AnswerKnown(id, known, respond, ErrorResponse(404, "no such job"));
   });
 }
 
 void UserApi::Cancel(const std::string& id, Responder respond) {
-  jobs_.Cancel(id, [this, id, respond = std::move(respond)](JobTable::Known known) {
-    AnswerKnown(id, known, respond, Plain(404, "no such job"));
+  jobs_.Cancel(id, [this, id, respond = std::move(respond)](JobService::JobStatus known) {
+    AnswerKnown(id, known, respond, ErrorResponse(404, "no such job"));
   });
 }
 
--- a/src/shard/routes.cc
+++ b/src/shard/routing_table.cc
@@ -1,32 +1,32 @@
-#include "mosspath/shard/routes.h"
+#include "mosspath/shard/routing_table.h"
 
-#include "mosspath/scheduler/records.h"
+#include "mosspath/scheduler/durable_state.h"
 
 namespace mosspath::shard {
 
-void Routes::LeaseTold(const std::string& node, uint64_t lease) {
+void RoutingTable::OnLease(const std::string& node, uint64_t lease) {
   std::erase_if(leases_, [&](const auto& l) { return l.second == node; });
   if (lease != 0) leases_[lease] = node;
 }
 
-void Routes::PackTold(int pack, const wire::Json* value, uint64_t version) {
+void RoutingTable::OnPack(int pack, const wire::Json* value, uint64_t version) {
   packs_.erase(pack);
   if (value == nullptr || !value->is_object()) return;
   auto& entries = packs_[pack];
   for (const auto& [id, text] : value->items()) {
-    auto [address, lease, handed] = scheduler::ReadMachineEntry(text);
+    auto [address, lease, handed] = scheduler::DecodeMachineRecord(text);
     if (lease != 0) entries[id] = {std::move(address), lease, version, handed};
   }
 }
 
-uint64_t Routes::LeaseOf(const std::string& node) const {
+uint64_t RoutingTable::LeaseOf(const std::string& node) const {
   for (const auto& [lease, holder] : leases_) {
     if (holder == node) return lease;
   }
   return 0;
 }
 
-std::string Routes::HolderOf(const std::string& machine) const {
+std::string RoutingTable::HolderOf(const std::string& machine) const {
   for (const auto& [pack, entries] : packs_) {
     const auto it = entries.find(machine);
     if (it == entries.end()) continue;
@@ -36,8 +36,9 @@
   return {};
 }
 
-std::map<std::string, Routes::Entry> Routes::Under(uint64_t lease) const {
-  std::map<std::string, Entry> out;
+std::map<std::string, RoutingTable::MachineRoute> RoutingTable::MachinesUnder(
+    uint64_t lease) const {
+  std::map<std::string, MachineRoute> out;
   for (const auto& [pack, entries] : packs_) {
     for (const auto& [id, e] : entries) {
       if (e.lease == lease) out.emplace(id, e);
@@ -46,8 +47,9 @@
   return out;
 }
 
-std::map<std::string, Routes::Entry> Routes::Under(uint64_t lease, int pack) const {
-  std::map<std::string, Entry> out;
+std::map<std::string, RoutingTable::MachineRoute> RoutingTable::MachinesUnder(uint64_t lease,
+                                                                              int pack) const {
+  std::map<std::string, MachineRoute> out;
   const auto entries = packs_.find(pack);
   if (entries == packs_.end()) return out;
   for (const auto& [id, e] : entries->second) {
@@ -56,7 +58,7 @@
   return out;
 }
 
-bool Routes::IsUnder(uint64_t lease, const std::string& machine) const {
+bool RoutingTable::IsUnder(uint64_t lease, const std::string& machine) const {
   for (const auto& [pack, entries] : packs_) {
     const auto it = entries.find(machine);
     if (it != entries.end() && it->second.lease == lease) return true;
--- a/src/wire/json.cc
+++ b/src/wire/json.cc
@@ -69,22 +69,23 @@
   return "";
 }
 
-constexpr std::array<std::pair<const char*, Kind>, 3> kKinds{
-    {{"array", Kind::kArray}, {"group", Kind::kGang}, {"daemon", Kind::kService}}};
-constexpr std::array<std::pair<const char*, Rank>, 4> kRanks{{{"critical", Rank::kCritical},
-                                                              {"high", Rank::kHigh},
-                                                              {"standard", Rank::kNormal},
-                                                              {"low", Rank::kLow}}};
-constexpr std::array<std::pair<const char*, Op>, 3> kOps{
-    {{"run", Op::kStart}, {"halt", Op::kStop}, {"reap", Op::kForget}}};
+constexpr std::array<std::pair<const char*, JobKind>, 3> kKinds{
+    {{"array", JobKind::kArray}, {"group", JobKind::kGang}, {"daemon", JobKind::kService}}};
+constexpr std::array<std::pair<const char*, Priority>, 4> kRanks{{{"critical", Priority::kCritical},
+                                                                  {"high", Priority::kHigh},
+                                                                  {"standard", Priority::kNormal},
+                                                                  {"low", Priority::kLow}}};
+constexpr std::array<std::pair<const char*, CommandType>, 3> kOps{
+    {{"run", CommandType::kStart}, {"halt", CommandType::kStop}, {"reap", CommandType::kForget}}};
 constexpr std::array<std::pair<const char*, MachineState>, 3> kMachineStates{
     {{"starting", MachineState::kBooting},
      {"running", MachineState::kRunning},
      {"failed", MachineState::kFailed}}};
-constexpr std::array<std::pair<const char*, Stage>, 4> kStages{{{"queued", Stage::kQueued},
-                                                                {"running", Stage::kRunning},
-                                                                {"done", Stage::kDone},
-                                                                {"aborted", Stage::kCancelled}}};
+constexpr std::array<std::pair<const char*, JobState>, 4> kStages{
+    {{"queued", JobState::kQueued},
+     {"running", JobState::kRunning},
+     {"done", JobState::kDone},
+     {"aborted", JobState::kCancelled}}};
 
 const Json& List(const Json& j, const char* key) {
   const Json& v = Need(j, key);
@@ -109,7 +110,7 @@
   return id.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-std::string PeekId(const Json& j) {
+std::string PeekJobId(const Json& j) {
   auto it = j.find("id");
   if (it == j.end() || !it->is_string()) return {};
   auto id = it->get<std::string>();
@@ -123,7 +124,7 @@
   s.job_class = Text(j, "lot");
   s.team = Text(j, "house");
   s.kind = Choice(j, "catch", kKinds);
-  s.rank = Choice(j, "rank", kRanks);
+  s.priority = Choice(j, "rank", kRanks);
   const uint64_t tasks = Count(j, "crates");
   if (tasks < 1 || tasks > kMaxTasks) Bad("crates is out of range");
   s.tasks = static_cast<uint32_t>(tasks);
@@ -146,12 +147,12 @@
     s.types = std::move(types);
   }
   if (auto it = j.find("shore"); it != j.end() && !it->is_null()) s.zone = Text(j, "shore");
-  s.one_zone = Flag(j, "together");
-  s.spread = Flag(j, "apart");
-  s.spot = Flag(j, "loaners");
-  s.estimate_s = Amount(j, "guess_s");
-  s.checkpoint_s = Amount(j, "tally_s");
-  s.save_s = Amount(j, "stow_s");
+  s.single_zone = Flag(j, "together");
+  s.spread_over_zones = Flag(j, "apart");
+  s.spot_allowed = Flag(j, "loaners");
+  s.estimated_run_s = Amount(j, "guess_s");
+  s.checkpoint_interval_s = Amount(j, "tally_s");
+  s.checkpoint_duration_s = Amount(j, "stow_s");
   if (auto it = j.find("dawn_s"); it != j.end() && !it->is_null()) {
     s.deadline_s = AmountOf(*it, "dawn_s");
   }
@@ -163,19 +164,19 @@
          {"lot", s.job_class},
          {"house", s.team},
          {"catch", NameOf(s.kind, kKinds)},
-         {"rank", NameOf(s.rank, kRanks)},
+         {"rank", NameOf(s.priority, kRanks)},
          {"crates", s.tasks},
          {"vcpus", s.cpus},
          {"cards", s.gpus},
          {"mem_gb", s.memory_gb},
          {"kit", s.image},
          {"size_gb", s.image_gb},
-         {"together", s.one_zone},
-         {"apart", s.spread},
-         {"loaners", s.spot},
-         {"guess_s", s.estimate_s},
-         {"tally_s", s.checkpoint_s},
-         {"stow_s", s.save_s}};
+         {"together", s.single_zone},
+         {"apart", s.spread_over_zones},
+         {"loaners", s.spot_allowed},
+         {"guess_s", s.estimated_run_s},
+         {"tally_s", s.checkpoint_interval_s},
+         {"stow_s", s.checkpoint_duration_s}};
   if (s.types) j["builds"] = *s.types;
   if (s.zone) j["shore"] = *s.zone;
   if (s.deadline_s) j["dawn_s"] = *s.deadline_s;
@@ -198,61 +199,63 @@
   return t;
 }
 
-Report ParseReport(const Json& j) {
-  Report r;
+Heartbeat ParseHeartbeat(const Json& j) {
+  Heartbeat r;
   r.machine = Text(j, "rig");
   r.address = Text(j, "endpoint");
   r.type = Text(j, "build");
   r.zone = Text(j, "shore");
   r.spot = Flag(j, "loaners");
-  r.session = Count(j, "shift");
-  r.seq = Count(j, "tick");
-  r.token = Count(j, "baton");
+  r.agent_epoch = Count(j, "shift");
+  r.sequence = Count(j, "tick");
+  r.fencing_token = Count(j, "baton");
   if (auto it = j.find("warning_s"); it != j.end() && !it->is_null()) {
     if (!it->is_number()) Bad("warning_s is not a number");
-    r.notice_s = it->get<double>();
+    r.reclaim_notice_s = it->get<double>();
   }
   for (const Json& t : List(j, "crates")) {
     if (!t.is_object()) Bad("a task is not an object");
-    TaskReport task;
+    TaskStatus task;
     task.task = ParseTaskName(Text(t, "crate"));
     task.attempt = Count(t, "try");
     task.state = Choice(t, "stage", kTaskStates);
-    if (task.state == TaskState::kExited) task.why = Choice(t, "cause", kWhys);
-    if (auto it = t.find("saved"); it != t.end() && it->is_boolean()) task.saved = it->get<bool>();
+    if (task.state == TaskState::kExited) task.exit_reason = Choice(t, "cause", kExitReasons);
+    if (auto it = t.find("saved"); it != t.end() && it->is_boolean())
+      task.checkpointed = it->get<bool>();
     r.tasks.push_back(std::move(task));
   }
   return r;
 }
 
-Json ToJson(const Report& r) {
+Json ToJson(const Heartbeat& r) {
   Json tasks = Json::array();
-  for (const TaskReport& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     Json task{
         {"crate", TaskName(t.task)}, {"try", t.attempt}, {"stage", NameOf(t.state, kTaskStates)}};
-    if (t.state == TaskState::kExited) task["cause"] = NameOf(t.why, kWhys);
-    if (t.saved) task["saved"] = true;
+    if (t.state == TaskState::kExited) task["cause"] = NameOf(t.exit_reason, kExitReasons);
+    if (t.checkpointed) task["saved"] = true;
     tasks.push_back(std::move(task));
   }
-  Json j{{"rig", r.machine},     {"endpoint", r.address},     {"build", r.type}, {"shore", r.zone},
-         {"loaners", r.spot},    {"shift", r.session},        {"tick", r.seq},   {"baton", r.token},
-         {"warning_s", nullptr}, {"crates", std::move(tasks)}};
-  if (r.notice_s) j["warning_s"] = *r.notice_s;
+  Json j{{"rig", r.machine},          {"endpoint", r.address},    {"build", r.type},
+         {"shore", r.zone},           {"loaners", r.spot},        {"shift", r.agent_epoch},
+         {"tick", r.sequence},        {"baton", r.fencing_token}, {"warning_s", nullptr},
+         {"crates", std::move(tasks)}};
+  if (r.reclaim_notice_s) j["warning_s"] = *r.reclaim_notice_s;
   return j;
 }
 
-Json ReportAnswer(uint64_t token, const std::vector<Command>& commands) {
+Json HeartbeatAnswer(uint64_t token, const std::vector<Command>& commands) {
   Json calls = Json::array();
   for (const Command& c : commands) {
-    Json call{{"call", NameOf(c.op, kOps)}, {"crate", TaskName(c.task)}, {"try", c.attempt}};
-    if (c.op == Op::kStop) call["leeway_s"] = c.grace_s;
+    Json call{{"call", NameOf(c.type, kOps)}, {"crate", TaskName(c.task)}, {"try", c.attempt}};
+    if (c.type == CommandType::kStop) call["leeway_s"] = c.grace_s;
     calls.push_back(std::move(call));
   }
   return Json{{"baton", token}, {"calls", std::move(calls)}};
 }
 
 Json DirectCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
-  Json j = ReportAnswer(token, commands);
+  Json j = HeartbeatAnswer(token, commands);
   j["shift"] = session;
   return j;
 }
@@ -261,10 +264,10 @@
   std::vector<Command> commands;
   for (const Json& c : List(answer, "calls")) {
     Command command;
-    command.op = Choice(c, "call", kOps);
+    command.type = Choice(c, "call", kOps);
     command.task = ParseTaskName(Text(c, "crate"));
     command.attempt = Count(c, "try");
-    if (command.op == Op::kStop) command.grace_s = Amount(c, "leeway_s");
+    if (command.type == CommandType::kStop) command.grace_s = Amount(c, "leeway_s");
     commands.push_back(std::move(command));
   }
   return commands;
@@ -359,14 +362,14 @@
   return "/hosts?since=" + after + "&most=" + std::to_string(limit);
 }
 
-const char* StageName(Stage s) { return NameOf(s, kStages); }
+const char* JobStateName(JobState s) { return NameOf(s, kStages); }
 
-Json JobAnswer(const std::string& id, Stage stage) {
-  return Json{{"id", id}, {"stage", StageName(stage)}};
+Json JobAnswer(const std::string& id, JobState stage) {
+  return Json{{"id", id}, {"stage", JobStateName(stage)}};
 }
 
-Json JobAnswer(const std::string& id, Stage stage, uint32_t done, uint32_t running) {
-  return Json{{"id", id}, {"stage", StageName(stage)}, {"done", done}, {"running", running}};
+Json JobAnswer(const std::string& id, JobState stage, uint32_t done, uint32_t running) {
+  return Json{{"id", id}, {"stage", JobStateName(stage)}, {"done", done}, {"running", running}};
 }
 
 Json ErrorAnswer(const std::string& what) { return Json{{"error", what}}; }
--- a/src/wire/names.h
+++ b/src/wire/names.h
@@ -12,17 +12,18 @@
 inline constexpr size_t kMaxName = 120;
 inline constexpr std::array<std::pair<const char*, TaskState>, 5> kTaskStates{
     {{"fetching", TaskState::kFetching},
-     {"gathering", TaskState::kWaiting},
+     {"gathering", TaskState::kWaitingForGang},
      {"running", TaskState::kRunning},
-     {"saving", TaskState::kSaving},
+     {"saving", TaskState::kCheckpointing},
      {"ended", TaskState::kExited}}};
-inline constexpr std::array<std::pair<const char*, Why>, 8> kWhys{{{"done", Why::kDone},
-                                                                   {"peers", Why::kPeers},
-                                                                   {"incomplete", Why::kAlone},
-                                                                   {"stopped", Why::kStopped},
-                                                                   {"error", Why::kError},
-                                                                   {"full", Why::kNoRoom},
-                                                                   {"in_use", Why::kBusy},
-                                                                   {"unknown", Why::kUnknown}}};
+inline constexpr std::array<std::pair<const char*, ExitReason>, 8> kExitReasons{
+    {{"done", ExitReason::kSucceeded},
+     {"peers", ExitReason::kGangMemberEnded},
+     {"incomplete", ExitReason::kGangIncomplete},
+     {"stopped", ExitReason::kStopped},
+     {"error", ExitReason::kFailed},
+     {"full", ExitReason::kInsufficientResources},
+     {"in_use", ExitReason::kOtherAttemptPresent},
+     {"unknown", ExitReason::kUnknownJob}}};
 
 }  // namespace mosspath::wire
--- a/src/wire/presence.cc
+++ b/src/wire/peer_heartbeat.cc
@@ -1,4 +1,4 @@
-#include "mosspath/wire/presence.h"
+#include "mosspath/wire/peer_heartbeat.h"
 
 #include <algorithm>
 
@@ -17,36 +17,36 @@
 
 }  // namespace
 
-std::string Encode(const Presence& p) {
+std::string Encode(const PeerHeartbeat& p) {
   VarintWriter w;
   w.Put(kFramePresence);
   w.Put(p.demand ? kWithDemand : kVersion);
   w.Put(std::string_view(p.node).substr(0, kMaxName));
-  w.Put(static_cast<uint64_t>(p.leads));
+  w.Put(static_cast<uint64_t>(p.is_leader));
   for (const double ago : {p.state_ago_s, p.cloud_ago_s, p.workers_ago_s}) {
-    w.PutAmount(std::min(ago, kNever));
+    w.PutAmount(std::min(ago, kNeverS));
   }
   const size_t n = std::min<size_t>(p.peers.size(), kMaxPeers);
   w.Put(static_cast<uint64_t>(n));
   for (size_t i = 0; i < n; ++i) {
     w.Put(std::string_view(p.peers[i].node).substr(0, kMaxName));
-    w.PutAmount(std::min(p.peers[i].ago_s, kNever));
+    w.PutAmount(std::min(p.peers[i].ago_s, kNeverS));
   }
-  if (p.demand) w.PutAmount(std::min(*p.demand, kNever));
+  if (p.demand) w.PutAmount(std::min(*p.demand, kNeverS));
   return w.Take();
 }
 
-Presence DecodePresence(std::string_view frame) {
-  if (frame.size() > kMaxPresence) throw BadMessage("frame: too large");
+PeerHeartbeat DecodePeerHeartbeat(std::string_view frame) {
+  if (frame.size() > kMaxPeerHeartbeatBytes) throw BadMessage("frame: too large");
   VarintReader r(frame);
   if (r.Get() != kFramePresence) throw BadMessage("frame: not a presence");
   const uint64_t version = r.Get();
   if (version != kVersion && version != kWithDemand) {
     throw BadMessage("frame: a version that is not spoken here");
   }
-  Presence p;
+  PeerHeartbeat p;
   p.node = r.GetString(kMaxName);
-  p.leads = r.Get() != 0;
+  p.is_leader = r.Get() != 0;
   p.state_ago_s = r.GetAmount();
   p.cloud_ago_s = r.GetAmount();
   p.workers_ago_s = r.GetAmount();
@@ -60,7 +60,7 @@
   return p;
 }
 
-std::string Encode(const admission::Plan& p) {
+std::string Encode(const admission::AdmissionPlan& p) {
   VarintWriter w;
   w.Put(kFramePlan);
   w.Put(kVersion);
@@ -68,20 +68,20 @@
   w.Put(p.version);
   w.PutAmount(p.life_s);
   // Rounded down: the parts of all must not exceed the whole.
-  w.Put(static_cast<uint64_t>(std::clamp(p.part, 0.0, 1.0) * kParts));
+  w.Put(static_cast<uint64_t>(std::clamp(p.share, 0.0, 1.0) * kParts));
   return w.Take();
 }
 
-admission::Plan DecodePlan(std::string_view frame) {
+admission::AdmissionPlan DecodeAdmissionPlan(std::string_view frame) {
   VarintReader r(frame);
   if (r.Get() != kFramePlan) throw BadMessage("frame: not a plan");
   if (r.Get() != kVersion) throw BadMessage("frame: a version that is not spoken here");
-  admission::Plan p;
+  admission::AdmissionPlan p;
   p.token = r.Get();
   p.version = r.Get();
   p.life_s = r.GetAmount();
-  p.part = static_cast<double>(r.Get()) / kParts;
-  if (p.part > 1) throw BadMessage("frame: a part of more than the whole");
+  p.share = static_cast<double>(r.Get()) / kParts;
+  if (p.share > 1) throw BadMessage("frame: a part of more than the whole");
   r.End();
   return p;
 }
--- a/src/wire/read_report.cc
+++ b/src/wire/read_heartbeat.cc
@@ -56,27 +56,27 @@
 
 }  // namespace
 
-Report ReadReport(std::string_view text) {
+Heartbeat ReadHeartbeat(std::string_view text) {
   static thread_local simdjson::dom::parser parser;
   element j;
   if (parser.parse(text.data(), text.size()).get(j) != simdjson::SUCCESS) {
     throw BadMessage("not JSON");
   }
   if (!j.is_object()) throw BadMessage("not an object");
-  Report r;
+  Heartbeat r;
   r.machine = Text(j, "rig");
   r.address = Text(j, "endpoint");
   r.type = Text(j, "build");
   r.zone = Text(j, "shore");
   r.spot = Flag(j, "loaners");
-  r.session = Count(j, "shift");
-  r.seq = Count(j, "tick");
-  r.token = Count(j, "baton");
+  r.agent_epoch = Count(j, "shift");
+  r.sequence = Count(j, "tick");
+  r.fencing_token = Count(j, "baton");
   element notice;
   if (j["warning_s"].get(notice) == simdjson::SUCCESS && !notice.is_null()) {
     double s = 0;
     if (notice.get(s) != simdjson::SUCCESS) throw BadMessage("warning_s is not a number");
-    r.notice_s = s;
+    r.reclaim_notice_s = s;
   }
   simdjson::dom::array tasks;
   if (Need(j, "crates").get(tasks) != simdjson::SUCCESS) {
@@ -85,13 +85,13 @@
   r.tasks.reserve(tasks.size());
   for (const element t : tasks) {
     if (!t.is_object()) throw BadMessage("a task is not an object");
-    TaskReport task;
+    TaskStatus task;
     task.task = ParseTaskName(std::string(Text(t, "crate")));
     task.attempt = Count(t, "try");
     task.state = Choice(t, "stage", kTaskStates);
-    if (task.state == TaskState::kExited) task.why = Choice(t, "cause", kWhys);
+    if (task.state == TaskState::kExited) task.exit_reason = Choice(t, "cause", kExitReasons);
     bool saved = false;
-    if (t["saved"].get(saved) == simdjson::SUCCESS) task.saved = saved;
+    if (t["saved"].get(saved) == simdjson::SUCCESS) task.checkpointed = saved;
     r.tasks.push_back(std::move(task));
   }
   return r;
--- a/src/wire/block_frame.cc
+++ b/src/wire/shard_frame.cc
@@ -1,9 +1,9 @@
-#include "mosspath/wire/block_frame.h"
+#include "mosspath/wire/shard_frame.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "mosspath/wire/presence.h"
+#include "mosspath/wire/peer_heartbeat.h"
 #include "mosspath/wire/varint.h"
 
 namespace mosspath::wire {
@@ -56,35 +56,36 @@
 
 }  // namespace
 
-std::string Encode(const BlockItem& item) {
+std::string Encode(const ShardMessage& item) {
   VarintWriter w;
   w.Put(static_cast<uint64_t>(item.kind));
   w.Put(std::string_view(item.name));
   w.Put(std::string_view(item.job));
   PutTasks(w, item.tasks);
-  w.PutAmount(std::min(item.seconds, kNever));
+  w.PutAmount(std::min(item.seconds, kNeverS));
   w.Put(item.count);
   w.Put(uint64_t{item.machine.has_value()});
   if (item.machine) {
-    const BlockItem::Machine& m = *item.machine;
+    const ShardMessage::MachineStatus& m = *item.machine;
     w.Put(std::string_view(m.address));
     w.Put(std::string_view(m.type));
     w.Put(std::string_view(m.zone));
-    w.Put((m.spot ? 1U : 0U) | (m.usable ? 2U : 0U) | (m.idle ? 4U : 0U) | (m.needed ? 8U : 0U) |
-          (m.silent ? uint64_t{16} : uint64_t{0}));
-    for (const double v : {m.idle_s, m.work_s, m.cpus, m.gpus, m.memory_gb}) {
-      w.PutAmount(std::min(v, kNever));
+    w.Put((m.spot ? 1U : 0U) | (m.schedulable ? 2U : 0U) | (m.idle ? 4U : 0U) |
+          (m.has_on_demand_work ? 8U : 0U) | (m.unresponsive ? uint64_t{16} : uint64_t{0}));
+    for (const double v :
+         {m.idle_s, m.remaining_cpu_s, m.used_cpus, m.used_gpus, m.used_memory_gb}) {
+      w.PutAmount(std::min(v, kNeverS));
     }
   }
   return w.Take();
 }
 
-BlockItem DecodeBlockItem(std::string_view text) {
+ShardMessage DecodeShardMessage(std::string_view text) {
   VarintReader r(text);
-  BlockItem item;
+  ShardMessage item;
   const uint64_t kind = r.Get();
   if (!IsKind(kind)) throw BadMessage("frame: an item of no known kind");
-  item.kind = static_cast<BlockItem::Kind>(kind);
+  item.kind = static_cast<ShardMessage::Kind>(kind);
   item.name = r.GetString(kMaxName);
   item.job = r.GetString(kMaxName);
   item.tasks = GetTasks(r);
@@ -93,63 +94,63 @@
   const uint64_t has_machine = r.Get();
   if (has_machine > 1) throw BadMessage("frame: not a machine");
   if (has_machine == 1) {
-    BlockItem::Machine m;
+    ShardMessage::MachineStatus m;
     m.address = r.GetString(kMaxName);
     m.type = r.GetString(kMaxName);
     m.zone = r.GetString(kMaxName);
     const uint64_t flags = r.Get();
     if (flags > 31) throw BadMessage("frame: not a machine");
     m.spot = (flags & 1) != 0;
-    m.usable = (flags & 2) != 0;
+    m.schedulable = (flags & 2) != 0;
     m.idle = (flags & 4) != 0;
-    m.needed = (flags & 8) != 0;
-    m.silent = (flags & 16) != 0;
+    m.has_on_demand_work = (flags & 8) != 0;
+    m.unresponsive = (flags & 16) != 0;
     m.idle_s = r.GetAmount();
-    m.work_s = r.GetAmount();
-    m.cpus = r.GetAmount();
-    m.gpus = r.GetAmount();
-    m.memory_gb = r.GetAmount();
+    m.remaining_cpu_s = r.GetAmount();
+    m.used_cpus = r.GetAmount();
+    m.used_gpus = r.GetAmount();
+    m.used_memory_gb = r.GetAmount();
     item.machine = std::move(m);
   }
   r.End();
   return item;
 }
 
-std::string Encode(const BlockFrame& f) {
+std::string Encode(const ShardFrame& f) {
   VarintWriter w;
   w.Put(kFrameBlock);
   w.Put(kVersion);
   w.Put(std::string_view(f.node));
-  w.Put(f.leader);
+  w.Put(f.leader_token);
   w.Put(f.lease);
   w.Put(uint64_t{f.from_leader});
-  w.Put(f.heard);
-  w.Put(f.room);
-  w.PutAmount(std::min(f.view_age_s, kNever));
-  w.Put(f.cancelled);
-  w.Put(f.first);
-  w.Put(static_cast<uint64_t>(f.items.size()));
-  for (const auto& item : f.items) w.Put(std::string_view(item));
+  w.Put(f.acknowledged);
+  w.Put(f.receive_window_bytes);
+  w.PutAmount(std::min(f.view_age_s, kNeverS));
+  w.Put(f.newest_cancellation);
+  w.Put(f.first_sequence);
+  w.Put(static_cast<uint64_t>(f.messages.size()));
+  for (const auto& item : f.messages) w.Put(std::string_view(item));
   return w.Take();
 }
 
-BlockFrame DecodeBlockFrame(std::string_view text) {
-  if (text.size() > kMaxBlockFrame) throw BadMessage("frame: too large");
+ShardFrame DecodeShardFrame(std::string_view text) {
+  if (text.size() > kMaxShardFrameBytes) throw BadMessage("frame: too large");
   VarintReader r(text);
   if (r.Get() != kFrameBlock) throw BadMessage("frame: not of a block");
   if (r.Get() != kVersion) throw BadMessage("frame: a version that is not spoken here");
-  BlockFrame f;
+  ShardFrame f;
   f.node = r.GetString(kMaxName);
-  f.leader = r.Get();
+  f.leader_token = r.Get();
   f.lease = r.Get();
   f.from_leader = r.Get() != 0;
-  f.heard = r.Get();
-  f.room = r.Get();
+  f.acknowledged = r.Get();
+  f.receive_window_bytes = r.Get();
   f.view_age_s = r.GetAmount();
-  f.cancelled = r.Get();
-  f.first = r.Get();
-  f.items.resize(r.GetCount(kMaxItems));
-  for (auto& item : f.items) item = r.GetString(kMaxBlockFrame);
+  f.newest_cancellation = r.Get();
+  f.first_sequence = r.Get();
+  f.messages.resize(r.GetCount(kMaxItems));
+  for (auto& item : f.messages) item = r.GetString(kMaxShardFrameBytes);
   r.End();
   return f;
 }
--- a/src/wire/digest.cc
+++ b/src/wire/status_snapshot.cc
@@ -1,4 +1,4 @@
-#include "mosspath/wire/digest.h"
+#include "mosspath/wire/status_snapshot.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -14,7 +14,7 @@
 constexpr uint64_t kVersion = 2;
 constexpr uint64_t kMaxItems = 4096;
 constexpr size_t kMaxText = 200;
-constexpr size_t kRoomForJobs = kMaxDigest - 64;
+constexpr size_t kRoomForJobs = kMaxStatusSnapshotBytes - 64;
 
 template <typename T, typename F>
 void PutList(VarintWriter& w, const std::vector<T>& items, F put) {
@@ -32,8 +32,8 @@
 
 std::string Clip(const std::string& s) { return s.substr(0, kMaxText); }
 
-void PutQueues(VarintWriter& w, const std::vector<Digest::Queue>& queues) {
-  PutList(w, queues, [&](const Digest::Queue& q) {
+void PutQueues(VarintWriter& w, const std::vector<StatusSnapshot::Queue>& queues) {
+  PutList(w, queues, [&](const StatusSnapshot::Queue& q) {
     w.Put(std::string_view(Clip(q.job_class)));
     w.Put(q.jobs);
     w.Put(q.waiting);
@@ -41,12 +41,12 @@
     w.PutAmount(q.started_ago_s);
     w.PutAmount(q.finished_ago_s);
     w.PutAmount(q.oldest_s);
-    w.Put(std::string_view(Clip(q.why)));
+    w.Put(std::string_view(Clip(q.waiting_reason)));
   });
 }
 
-std::vector<Digest::Queue> GetQueues(VarintReader& r) {
-  return GetList<Digest::Queue>(r, [&](Digest::Queue& q) {
+std::vector<StatusSnapshot::Queue> GetQueues(VarintReader& r) {
+  return GetList<StatusSnapshot::Queue>(r, [&](StatusSnapshot::Queue& q) {
     q.job_class = r.GetString(kMaxText);
     q.jobs = r.Get();
     q.waiting = r.Get();
@@ -54,17 +54,17 @@
     q.started_ago_s = r.GetAmount();
     q.finished_ago_s = r.GetAmount();
     q.oldest_s = r.GetAmount();
-    q.why = r.GetString(kMaxText);
+    q.waiting_reason = r.GetString(kMaxText);
   });
 }
 
-Json AgoJson(double ago_s) { return ago_s >= kNever ? Json() : Json(ago_s); }
+Json AgoJson(double ago_s) { return ago_s >= kNeverS ? Json() : Json(ago_s); }
 
 std::string AgoText(double ago_s) {
-  return ago_s >= kNever ? std::string("never") : fmt::format("{:.0f} s ago", ago_s);
+  return ago_s >= kNeverS ? std::string("never") : fmt::format("{:.0f} s ago", ago_s);
 }
 
-Json QueuesJson(const std::vector<Digest::Queue>& queues, const char* name) {
+Json QueuesJson(const std::vector<StatusSnapshot::Queue>& queues, const char* name) {
   Json out = Json::array();
   for (const auto& q : queues) {
     out.push_back({{name, q.job_class},
@@ -74,12 +74,12 @@
                    {"started_ago_s", AgoJson(q.started_ago_s)},
                    {"finished_ago_s", AgoJson(q.finished_ago_s)},
                    {"oldest_s", q.oldest_s},
-                   {"waits_for", q.why.empty() ? Json() : Json(q.why)}});
+                   {"waits_for", q.waiting_reason.empty() ? Json() : Json(q.waiting_reason)}});
   }
   return out;
 }
 
-std::string QueuesText(const std::vector<Digest::Queue>& queues) {
+std::string QueuesText(const std::vector<StatusSnapshot::Queue>& queues) {
   std::string out;
   for (const auto& q : queues) {
     out += fmt::format(
@@ -87,7 +87,7 @@
         q.job_class, q.jobs, q.waiting, q.running, AgoText(q.started_ago_s),
         AgoText(q.finished_ago_s));
     if (q.waiting > 0) {
-      out += fmt::format("{:<20} the oldest for {:.0f} s; {}\n", "", q.oldest_s, q.why);
+      out += fmt::format("{:<20} the oldest for {:.0f} s; {}\n", "", q.oldest_s, q.waiting_reason);
     }
   }
   return out;
@@ -95,17 +95,17 @@
 
 }  // namespace
 
-std::string Encode(const Digest& d) {
+std::string Encode(const StatusSnapshot& d) {
   VarintWriter w;
   w.Put(kFrameDigest);
   w.Put(kVersion);
   w.Put(std::string_view(Clip(d.leader)));
   w.Put(d.token);
-  w.Put(static_cast<uint64_t>(d.settled));
-  w.PutAmount(d.leading_s);
+  w.Put(static_cast<uint64_t>(d.recovery_complete));
+  w.PutAmount(d.leader_for_s);
   PutQueues(w, d.queues);
   PutQueues(w, d.teams);
-  PutList(w, d.machines, [&](const Digest::Machines& m) {
+  PutList(w, d.machines, [&](const StatusSnapshot::Machines& m) {
     w.Put(std::string_view(Clip(m.type)));
     w.Put(std::string_view(Clip(m.zone)));
     w.Put(static_cast<uint64_t>(m.spot));
@@ -115,7 +115,7 @@
     w.PutAmount(m.cpus);
     w.PutAmount(m.used_cpus);
   });
-  PutList(w, d.progress, [&](const Digest::Progress& p) {
+  PutList(w, d.progress, [&](const StatusSnapshot::Progress& p) {
     w.Put(std::string_view(Clip(p.kind)));
     w.Put(std::string_view(Clip(p.job_class)));
     w.PutAmount(p.within_s);
@@ -124,13 +124,13 @@
     w.Put(p.met);
     w.Put(p.of);
   });
-  PutList(w, d.troubles, [&](const Digest::Trouble& t) {
+  PutList(w, d.incidents, [&](const StatusSnapshot::Incident& t) {
     w.PutAmount(t.ago_s);
-    w.Put(std::string_view(Clip(t.what)));
+    w.Put(std::string_view(Clip(t.description)));
   });
   VarintWriter jobs;
   uint64_t n = 0;
-  for (const Digest::Job& j : d.jobs) {
+  for (const StatusSnapshot::Job& j : d.jobs) {
     if (n == kMaxItems || w.size() + jobs.size() + j.id.size() + 16 > kRoomForJobs) break;
     jobs.Put(std::string_view(Clip(j.id)));
     jobs.Put(uint64_t{j.done});
@@ -141,19 +141,19 @@
   return w.Take() + jobs.Take();
 }
 
-Digest DecodeDigest(std::string_view frame) {
-  if (frame.size() > kMaxDigest) throw BadMessage("frame: too large");
+StatusSnapshot DecodeStatusSnapshot(std::string_view frame) {
+  if (frame.size() > kMaxStatusSnapshotBytes) throw BadMessage("frame: too large");
   VarintReader r(frame);
   if (r.Get() != kFrameDigest) throw BadMessage("frame: not a digest");
   if (r.Get() != kVersion) throw BadMessage("frame: a version that is not spoken here");
-  Digest d;
+  StatusSnapshot d;
   d.leader = r.GetString(kMaxText);
   d.token = r.Get();
-  d.settled = r.Get() != 0;
-  d.leading_s = r.GetAmount();
+  d.recovery_complete = r.Get() != 0;
+  d.leader_for_s = r.GetAmount();
   d.queues = GetQueues(r);
   d.teams = GetQueues(r);
-  d.machines = GetList<Digest::Machines>(r, [&](Digest::Machines& m) {
+  d.machines = GetList<StatusSnapshot::Machines>(r, [&](StatusSnapshot::Machines& m) {
     m.type = r.GetString(kMaxText);
     m.zone = r.GetString(kMaxText);
     m.spot = r.Get() != 0;
@@ -163,7 +163,7 @@
     m.cpus = r.GetAmount();
     m.used_cpus = r.GetAmount();
   });
-  d.progress = GetList<Digest::Progress>(r, [&](Digest::Progress& p) {
+  d.progress = GetList<StatusSnapshot::Progress>(r, [&](StatusSnapshot::Progress& p) {
     p.kind = r.GetString(kMaxText);
     p.job_class = r.GetString(kMaxText);
     p.within_s = r.GetAmount();
@@ -172,11 +172,11 @@
     p.met = r.Get();
     p.of = r.Get();
   });
-  d.troubles = GetList<Digest::Trouble>(r, [&](Digest::Trouble& t) {
+  d.incidents = GetList<StatusSnapshot::Incident>(r, [&](StatusSnapshot::Incident& t) {
     t.ago_s = r.GetAmount();
-    t.what = r.GetString(kMaxText);
+    t.description = r.GetString(kMaxText);
   });
-  d.jobs = GetList<Digest::Job>(r, [&](Digest::Job& j) {
+  d.jobs = GetList<StatusSnapshot::Job>(r, [&](StatusSnapshot::Job& j) {
     j.id = r.GetString(kMaxText);
     j.done = static_cast<uint32_t>(r.Get());
     j.running = static_cast<uint32_t>(r.Get());
@@ -186,23 +186,23 @@
 }
 
 Json StatusJson(const Status& s) {
-  const Digest& d = s.digest;
+  const StatusSnapshot& d = s.snapshot;
   Json machines = Json::array(), progress = Json::array(), troubles = Json::array(),
        controllers = Json::array(), sockets = Json::array();
   for (const auto& u : s.sockets) {
-    sockets.push_back({{"party", u.party},
+    sockets.push_back({{"party", u.connection_class},
                        {"used", u.used},
                        {"limit", u.limit},
                        {"refused", u.refused},
-                       {"sent_off", u.sent_off}});
+                       {"sent_off", u.closed_after_answer}});
   }
   for (const auto& c : s.controllers) {
     controllers.push_back({{"controller", c.node},
                            {"zone", c.zone},
-                           {"leads", c.leads},
+                           {"leads", c.is_leader},
                            {"heard_ago_s", AgoJson(c.heard_ago_s)},
                            {"heard_by", c.heard_by.empty() ? Json() : Json(c.heard_by)},
-                           {"lacks", c.lacks}});
+                           {"lacks", c.unreachable}});
   }
   for (const auto& m : d.machines) {
     machines.push_back({{"type", m.type},
@@ -224,25 +224,26 @@
     }
     progress.push_back(std::move(j));
   }
-  for (const auto& t : d.troubles) troubles.push_back({{"ago_s", t.ago_s}, {"what", t.what}});
+  for (const auto& t : d.incidents)
+    troubles.push_back({{"ago_s", t.ago_s}, {"what", t.description}});
   Json groups = Json::array();
   for (const auto& g : s.admission.groups) {
     groups.push_back(
-        {{"team", g.team}, {"class", g.job_class}, {"asked", g.asked}, {"refused", g.refused}});
+        {{"team", g.team}, {"class", g.job_class}, {"asked", g.requested}, {"refused", g.refused}});
   }
   Json admission{{"budget_tasks", s.admission.budget},
                  {"live_tasks", s.admission.live},
-                 {"under_way_tasks", s.admission.under_way},
-                 {"part", s.admission.part},
+                 {"under_way_tasks", s.admission.in_flight},
+                 {"part", s.admission.share},
                  {"plan_token", s.admission.plan_token},
                  {"plan_version", s.admission.plan_version},
                  {"groups", std::move(groups)}};
   return Json{{"leader", d.leader},
               {"token", d.token},
-              {"settled", d.settled},
-              {"leading_s", d.leading_s},
+              {"settled", d.recovery_complete},
+              {"leading_s", d.leader_for_s},
               {"served_by", s.served_by},
-              {"age_s", AgoJson(s.age_s)},
+              {"age_s", AgoJson(s.snapshot_age_s)},
               {"controllers", std::move(controllers)},
               {"sockets", std::move(sockets)},
               {"admission", std::move(admission)},
@@ -254,36 +255,38 @@
 }
 
 std::string StatusPage(const Status& s) {
-  const Digest& d = s.digest;
+  const StatusSnapshot& d = s.snapshot;
   std::string out = "mosspath\n========\n\n";
-  out += fmt::format("Leader {}, for {:.0f} s{}.\n", d.leader.empty() ? "unknown" : d.leader,
-                     d.leading_s, d.settled ? "" : ", still finding out where tasks are");
-  out += s.age_s >= kNever
+  out +=
+      fmt::format("Leader {}, for {:.0f} s{}.\n", d.leader.empty() ? "unknown" : d.leader,
+                  d.leader_for_s, d.recovery_complete ? "" : ", still finding out where tasks are");
+  out += s.snapshot_age_s >= kNeverS
              ? fmt::format("{} has had no word from a leader yet.\n", s.served_by)
-             : fmt::format("Told by {}; its figures are {:.0f} s old.\n", s.served_by, s.age_s);
+             : fmt::format("Told by {}; its figures are {:.0f} s old.\n", s.served_by,
+                           s.snapshot_age_s);
   out += "\nControllers\n-----------\n";
   for (const auto& c : s.controllers) {
     std::string lacks;
-    for (const auto& l : c.lacks) lacks += (lacks.empty() ? "lacks " : ", ") + l;
-    out +=
-        fmt::format("{:<16} {:<16} {:<6} heard {}{}  {}\n", c.node, c.zone, c.leads ? "leads" : "",
-                    AgoText(c.heard_ago_s), c.heard_by.empty() ? "" : " by " + c.heard_by,
-                    lacks.empty() ? "lacks nothing" : lacks);
+    for (const auto& l : c.unreachable) lacks += (lacks.empty() ? "lacks " : ", ") + l;
+    out += fmt::format("{:<16} {:<16} {:<6} heard {}{}  {}\n", c.node, c.zone,
+                       c.is_leader ? "leads" : "", AgoText(c.heard_ago_s),
+                       c.heard_by.empty() ? "" : " by " + c.heard_by,
+                       lacks.empty() ? "lacks nothing" : lacks);
   }
   out += fmt::format("\nSockets of {}\n------------\n", s.served_by);
   for (const auto& u : s.sockets) {
-    out += fmt::format("{:<16} {:>6} of {:>6}  refused {}, sent off {}\n", u.party, u.used, u.limit,
-                       u.refused, u.sent_off);
+    out += fmt::format("{:<16} {:>6} of {:>6}  refused {}, sent off {}\n", u.connection_class,
+                       u.used, u.limit, u.refused, u.closed_after_answer);
   }
-  const AdmissionUse& a = s.admission;
+  const AdmissionUsage& a = s.admission;
   out += fmt::format(
       "\nAccepted, as {} sees it\n-----------------------\n"
       "{:.0f} of {:.0f} tasks, {:.0f} under way; it may fill {:.3f} of the room (plan {}.{})\n",
-      s.served_by, a.live, a.budget, a.under_way, a.part, a.plan_token, a.plan_version);
+      s.served_by, a.live, a.budget, a.in_flight, a.share, a.plan_token, a.plan_version);
   for (const auto& g : a.groups) {
     if (g.refused == 0) continue;
     out += fmt::format("{:<16} {:<16} {:>6} jobs asked for here, {} refused\n", g.team, g.job_class,
-                       g.asked, g.refused);
+                       g.requested, g.refused);
   }
   out += "\nWork\n----\n" + QueuesText(d.queues);
   out += "\nTeams\n-----\n" + QueuesText(d.teams);
@@ -303,8 +306,9 @@
                        limit, 100 * share, p.of, 100 * p.share);
   }
   out += "\nRecent troubles\n---------------\n";
-  for (const auto& t : d.troubles) out += fmt::format("{:>6.0f} s ago: {}\n", t.ago_s, t.what);
-  if (d.troubles.empty()) out += "none\n";
+  for (const auto& t : d.incidents)
+    out += fmt::format("{:>6.0f} s ago: {}\n", t.ago_s, t.description);
+  if (d.incidents.empty()) out += "none\n";
   return out;
 }
 
--- a/tests/acceptor_test.cc
+++ b/tests/acceptor_test.cc
@@ -1,13 +1,12 @@
 // What a burst of submissions costs the state service, counted.
-#include "mosspath/service/acceptor.h"
-
 #include <gtest/gtest.h>
 
 #include <optional>
 
-#include "mosspath/service/keys.h"
 #include "fakes/http_services.h"
 #include "fakes/one_controller.h"
+#include "mosspath/service/job_submitter.h"
+#include "mosspath/service/keys.h"
 
 namespace mosspath::service {
 namespace {
@@ -20,17 +19,17 @@
 
   AcceptorTest()
       : store_(io_),
-        settings_(fakes::OneController(store_.address())),
+        settings_(fakes::OneControllerSettings(store_.address())),
         derived_(settings_),
         client_(io_, settings_, derived_, nullptr),
         acceptor_(io_, client_, settings_, derived_) {}
 
   // How each of the jobs was answered.
-  std::map<Acceptor::Outcome, int> Submit(int first, int count) {
-    std::map<Acceptor::Outcome, int> told;
+  std::map<JobSubmitter::Outcome, int> Submit(int first, int count) {
+    std::map<JobSubmitter::Outcome, int> told;
     int answered = 0;
     for (int i = 0; i < count; ++i) {
-      acceptor_.Accept(Spec(first + i), 7, [&](Acceptor::Outcome o, uint64_t) {
+      acceptor_.Submit(Spec(first + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
         ++told[o];
         ++answered;
       });
@@ -45,64 +44,64 @@
   }
 
   asio::io_context io_;
-  fakes::HttpState store_;
+  fakes::FakeKeyValueStore store_;
   const config::Settings settings_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   kvstore::Client client_;
-  Acceptor acceptor_;
+  JobSubmitter acceptor_;
 };
 
 // A change each, 100 submissions took five seconds at this rate, and were answered 503 after two.
 TEST_F(AcceptorTest, AHundredSubmissionsAtOnceTakeAFewChanges) {
-  acceptor_.Share(true);
+  acceptor_.SetBatching(true);
   const auto told = Submit(0, 100);
-  EXPECT_EQ(told.at(Acceptor::Outcome::kNew), 100);
+  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 100);
   EXPECT_LE(Records(), 12u);
 }
 
 // While a controller may be of the version before, each has a record that it can read.
 TEST_F(AcceptorTest, WithoutSharingTheOlderFormIsWritten) {
   const auto told = Submit(0, 10);
-  EXPECT_EQ(told.at(Acceptor::Outcome::kNew), 10);
+  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 10);
   EXPECT_EQ(Records(), 0u);
   EXPECT_TRUE(store_.pairs().contains(keys::Job("req-100003")));
 }
 
 // One that is known must not keep those it shares a transaction with from being accepted.
 TEST_F(AcceptorTest, AKnownJobAmongOthers) {
-  EXPECT_EQ(Submit(3, 1).at(Acceptor::Outcome::kNew), 1);
-  acceptor_.Share(true);
+  EXPECT_EQ(Submit(3, 1).at(JobSubmitter::Outcome::kNew), 1);
+  acceptor_.SetBatching(true);
   const auto told = Submit(0, 10);
-  EXPECT_EQ(told.at(Acceptor::Outcome::kNew), 9);
-  EXPECT_EQ(told.at(Acceptor::Outcome::kKnown), 1);
+  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 9);
+  EXPECT_EQ(told.at(JobSubmitter::Outcome::kAlreadyRecorded), 1);
 }
 
 // What can't be taken is answered, not held back.
 TEST_F(AcceptorTest, AnOutageIsAnsweredAtOnce) {
-  acceptor_.Share(true);
+  acceptor_.SetBatching(true);
   store_.down = true;
-  EXPECT_EQ(Submit(0, 40).at(Acceptor::Outcome::kUnsure), 40);
+  EXPECT_EQ(Submit(0, 40).at(JobSubmitter::Outcome::kUndetermined), 40);
 }
 
 // One team's flood leaves places to others, and the next of another team goes before what waits of
 // it.
 TEST_F(AcceptorTest, ATeamsFloodLeavesPlacesAndTurns) {
-  acceptor_.Share(true);
+  acceptor_.SetBatching(true);
   int full = 0;
   int accepted = 0;
   for (int i = 0; i < 600; ++i) {
-    acceptor_.Accept(Spec(1000 + i), 7, [&](Acceptor::Outcome o, uint64_t) {
-      ++(o == Acceptor::Outcome::kFull ? full : accepted);
+    acceptor_.Submit(Spec(1000 + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
+      ++(o == JobSubmitter::Outcome::kQueueFull ? full : accepted);
     });
   }
   EXPECT_GT(full, 300);
   EXPECT_GT(600 - full, 200);
   wire::JobSpec other = Spec(5000);
   other.team = "u";
-  std::optional<Acceptor::Outcome> told;
-  acceptor_.Accept(other, 7, [&](Acceptor::Outcome o, uint64_t) { told = o; });
+  std::optional<JobSubmitter::Outcome> told;
+  acceptor_.Submit(other, 7, [&](JobSubmitter::Outcome o, uint64_t) { told = o; });
   while (!told) io_.run_one();
-  EXPECT_EQ(*told, Acceptor::Outcome::kNew);
+  EXPECT_EQ(*told, JobSubmitter::Outcome::kNew);
   EXPECT_LT(accepted, 120);
 }
 
--- a/tests/block_test.cc
+++ b/tests/block_test.cc
@@ -9,51 +9,52 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/shard/channel.h"
-#include "mosspath/shard/desk.h"
-#include "mosspath/shard/holder.h"
-#include "mosspath/shard/routes.h"
+#include "mosspath/shard/reliable_channel.h"
+#include "mosspath/shard/routing_table.h"
+#include "mosspath/shard/shard_holder.h"
+#include "mosspath/shard/shard_lease_manager.h"
 #include "mosspath/wire/json.h"
 
 namespace mosspath::shard {
 namespace {
 
-using Item = wire::BlockItem;
-using Kind = wire::BlockItem::Kind;
+using Item = wire::ShardMessage;
+using Kind = wire::ShardMessage::Kind;
 
 Item Numbered(uint64_t n) { return {.kind = Kind::kLoad, .seconds = 1.5, .count = n}; }
 
 TEST(BlockFrame, RoundTripsAndRefusesWhatNobodyWrote) {
-  Item item{.kind = Kind::kMachine, .name = "vm-1", .job = "req-1", .tasks = {0, 1, 2, 7, 99'999}};
+  Item item{
+      .kind = Kind::kMachineStatus, .name = "vm-1", .job = "req-1", .tasks = {0, 1, 2, 7, 99'999}};
   item.seconds = 12.25;
   item.count = 1ULL << 40;
-  item.machine = Item::Machine{"10.0.0.1:9", "box", "east", true, true, false, true,
-                               false,        3.5,   8.25,   2,    0,    6.5};
+  item.machine = Item::MachineStatus{"10.0.0.1:9", "box", "east", true, true, false, true,
+                                     false,        3.5,   8.25,   2,    0,    6.5};
   const std::string text = wire::Encode(item);
-  EXPECT_EQ(wire::DecodeBlockItem(text), item);
-  wire::BlockFrame frame;
+  EXPECT_EQ(wire::DecodeShardMessage(text), item);
+  wire::ShardFrame frame;
   frame.node = "hut-1";
-  frame.leader = 7;
+  frame.leader_token = 7;
   frame.lease = 12;
   frame.from_leader = true;
-  frame.first = 3;
-  frame.items = {text, text};
+  frame.first_sequence = 3;
+  frame.messages = {text, text};
   const std::string whole = wire::Encode(frame);
-  EXPECT_EQ(wire::DecodeBlockFrame(whole).items, frame.items);
+  EXPECT_EQ(wire::DecodeShardFrame(whole).messages, frame.messages);
   // Cut anywhere, or with any byte changed, it is refused or is another frame; it never crashes.
   for (size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_THROW(wire::DecodeBlockFrame(whole.substr(0, n)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodeShardFrame(whole.substr(0, n)), wire::BadMessage);
   }
   for (size_t n = 0; n < text.size(); ++n) {
-    EXPECT_THROW(wire::DecodeBlockItem(text.substr(0, n)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodeShardMessage(text.substr(0, n)), wire::BadMessage);
     std::string changed = text;
     changed[n] = static_cast<char>(changed[n] ^ 0x55);
     try {
-      wire::DecodeBlockItem(changed);
+      wire::DecodeShardMessage(changed);
     } catch (const wire::BadMessage&) {
     }
   }
-  EXPECT_THROW(wire::DecodeBlockFrame(std::string(wire::kMaxBlockFrame + 1, 'x')),
+  EXPECT_THROW(wire::DecodeShardFrame(std::string(wire::kMaxShardFrameBytes + 1, 'x')),
                wire::BadMessage);
 }
 
@@ -61,23 +62,23 @@
 TEST(BlockChannel, LosesAndRepeatsNothing) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 200; ++round) {
-    Channel a;
-    Channel b;
-    std::deque<wire::BlockFrame> to_b;
-    std::deque<wire::BlockFrame> to_a;
+    ReliableChannel a;
+    ReliableChannel b;
+    std::deque<wire::ShardFrame> to_b;
+    std::deque<wire::ShardFrame> to_a;
     uint64_t sent = 0;
     std::vector<uint64_t> got;
-    const auto frame_of = [&](Channel& c) {
-      wire::BlockFrame f;
-      f.room = 1 + random() % 200;  // sometimes hardly any
-      c.Fill(f);
-      c.Sent(f);
+    const auto frame_of = [&](ReliableChannel& c) {
+      wire::ShardFrame f;
+      f.receive_window_bytes = 1 + random() % 200;  // sometimes hardly any
+      c.FillFrame(f);
+      c.OnFrameSent(f);
       return f;
     };
     for (int step = 0; step < 300; ++step) {
       switch (random() % 6) {
         case 0:
-          if (sent < 60) a.Send(Numbered(++sent));
+          if (sent < 60) a.Enqueue(Numbered(++sent));
           break;
         case 1:
           to_b.push_back(frame_of(a));
@@ -89,54 +90,54 @@
           auto& queue = random() % 2 == 0 ? to_b : to_a;
           if (queue.empty()) break;
           const size_t which = random() % queue.size();
-          const wire::BlockFrame f = queue[which];
+          const wire::ShardFrame f = queue[which];
           if (random() % 3 != 0) queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(which));
           if (random() % 4 == 0) break;  // lost
-          for (const auto& item : (&queue == &to_b ? b : a).Take(f)) got.push_back(item.count);
+          for (const auto& item : (&queue == &to_b ? b : a).Receive(f)) got.push_back(item.count);
         }
       }
     }
     for (int i = 0; i < 200; ++i) {
-      for (const auto& item : b.Take(frame_of(a))) got.push_back(item.count);
-      a.Take(frame_of(b));
+      for (const auto& item : b.Receive(frame_of(a))) got.push_back(item.count);
+      a.Receive(frame_of(b));
     }
     ASSERT_EQ(got.size(), sent);
     for (uint64_t i = 0; i < sent; ++i) ASSERT_EQ(got[i], i + 1);
     EXPECT_TRUE(a.idle());
     EXPECT_EQ(a.bytes(), 0u);
   }
-  Channel c;
-  wire::BlockFrame bad;
-  bad.heard = 1;
-  EXPECT_THROW(c.Take(bad), wire::BadMessage);
+  ReliableChannel c;
+  wire::ShardFrame bad;
+  bad.acknowledged = 1;
+  EXPECT_THROW(c.Receive(bad), wire::BadMessage);
 }
 
 TEST(BlockRoutes, FollowTheRecords) {
-  Routes r;
+  RoutingTable r;
   const wire::Json pack{{"vm-1", "a:1"}, {"vm-2", "b:1/7"}, {"vm-3", "c:1/8"}, {"vm-4", 5}};
-  r.PackTold(0, &pack, 20);
+  r.OnPack(0, &pack, 20);
   EXPECT_EQ(r.HolderOf("vm-2"), "");
-  r.LeaseTold("hut-1", 7);
+  r.OnLease("hut-1", 7);
   EXPECT_EQ(r.HolderOf("vm-2"), "hut-1");
   EXPECT_EQ(r.HolderOf("vm-1"), "");
   EXPECT_EQ(r.HolderOf("vm-3"), "");  // of a lease that is over
-  EXPECT_EQ(r.Under(7).at("vm-2").address, "b:1");
-  EXPECT_EQ(r.Under(7).at("vm-2").version, 20u);
-  r.LeaseTold("hut-1", 8);
+  EXPECT_EQ(r.MachinesUnder(7).at("vm-2").address, "b:1");
+  EXPECT_EQ(r.MachinesUnder(7).at("vm-2").version, 20u);
+  r.OnLease("hut-1", 8);
   EXPECT_EQ(r.HolderOf("vm-2"), "");
   EXPECT_EQ(r.HolderOf("vm-3"), "hut-1");
-  r.PackTold(0, nullptr, 30);
+  r.OnPack(0, nullptr, 30);
   EXPECT_EQ(r.HolderOf("vm-3"), "");
 }
 
 TEST(BlockSearch, EndsWithTheLastMachine) {
-  scheduler::Search s;
+  scheduler::TaskReconciliation s;
   EXPECT_FALSE(s.Begin(1, {}));
   EXPECT_TRUE(s.Begin(2, {"a", "b"}));
   EXPECT_TRUE(s.Begin(3, {"b"}));
-  EXPECT_EQ(s.Known("x"), std::vector<uint64_t>{});
-  EXPECT_EQ(s.Known("a"), std::vector<uint64_t>{});
-  EXPECT_EQ(s.Known("b"), (std::vector<uint64_t>{2, 3}));
+  EXPECT_EQ(s.OnMachineKnown("x"), std::vector<uint64_t>{});
+  EXPECT_EQ(s.OnMachineKnown("a"), std::vector<uint64_t>{});
+  EXPECT_EQ(s.OnMachineKnown("b"), (std::vector<uint64_t>{2, 3}));
   EXPECT_TRUE(s.empty());
 }
 
@@ -160,14 +161,14 @@
     box.cache_gb = 10;
     box.fetch_gb_per_s = 1;
     types_ = {box};
-    leader_.SetTypes(types_);
+    leader_.SetMachineTypes(types_);
     leader_.Apply({});
     spec_.id = "req-1";
     spec_.team = "tight";
     spec_.tasks = 2;
     spec_.cpus = 1;
     spec_.image = "i";
-    spec_.estimate_s = 1000;
+    spec_.estimated_run_s = 1000;
     leader_.AddJob(spec_, kToken + 1, 0);
     for (const char* id : {"vm-1", "vm-2"}) workers_[id].id = id;
     for (int i = 0; i < 2; ++i) Report("vm-1", true), Report("vm-2", true);
@@ -185,7 +186,7 @@
     switch (choice) {
       case 0:  // the leader decides
         leader_.Tick(now_);
-        desk_.Changes(now_);
+        desk_.PendingChanges(now_);
         return true;
       case 1:  // its records are written, and it hears of it
         return Write(true);
@@ -205,14 +206,14 @@
       case 9:  // a holder's lease ends; it has not noticed
         if (leases_[1] == 0) return false;
         gone_.push_back(std::move(holders_[1]));
-        desk_.Leased("hut-1", leases_[1] = 0, now_);
+        desk_.OnLease("hut-1", leases_[1] = 0, now_);
         return true;
       case 10:  // and what it does yet
         if (gone_.empty()) return false;
         for (auto& h : gone_) {
           h->Tick(now_);
           Orders(h->dispatcher(),
-                 [&](auto& o, auto outcome, auto* r) { h->OnDirect(o, outcome, r, now_); });
+                 [&](auto& o, auto outcome, auto* r) { h->OnCommandOutcome(o, outcome, r, now_); });
         }
         return true;
     }
@@ -235,10 +236,10 @@
     // A machine has one commander at most whose orders it would take.
     for (const auto& [id, w] : workers_) {
       int valid = 0;
-      const auto count = [&](const scheduler::Dispatcher& d) {
+      const auto count = [&](const scheduler::Scheduler& d) {
         const auto m = d.machines().find(id);
-        if (m == d.machines().end() || m->second.retoken) return;
-        valid += m->second.confirmed && m->second.token == w.token ? 1 : 0;
+        if (m == d.machines().end() || m->second.needs_new_token) return;
+        valid += m->second.token_confirmed && m->second.fencing_token == w.token ? 1 : 0;
       };
       count(leader_);
       for (int i : {1, 2}) {
@@ -252,13 +253,14 @@
   std::string Print() {
     std::string out;
     const auto put = [&](uint64_t v) { out += std::to_string(v) + ","; };
-    const auto of = [&](const scheduler::Dispatcher& d) {
+    const auto of = [&](const scheduler::Scheduler& d) {
       for (const auto& [id, m] : d.machines()) {
         out += id + ":";
-        put(m.lease), put(m.leaving), put(m.confirmed), put(m.retoken), put(m.inherited);
-        put(m.silenced), put(m.recorded);
-        for (const auto& [key, slot] : m.slots) {
-          put(key.first.index), put(static_cast<uint64_t>(slot.state)), put(slot.stop);
+        put(m.shard_lease), put(m.handover_lease), put(m.token_confirmed), put(m.needs_new_token),
+            put(m.awaits_recovery);
+        put(m.answers_suspended), put(m.record_durable);
+        for (const auto& [key, slot] : m.allocations) {
+          put(key.first.index), put(static_cast<uint64_t>(slot.state)), put(slot.stop_requested);
         }
       }
       for (const auto& [id, j] : d.jobs()) {
@@ -293,49 +295,49 @@
 
   static config::Settings Settings(const std::string& node) {
     config::Settings s;
-    s.node = node;
+    s.name = node;
     s.zone = "z" + node.substr(4);
     for (const char* peer : {"hut-0", "hut-1", "hut-2"}) {
       if (node != peer) s.peers.push_back({peer, std::string("z") + (peer + 4), peer});
     }
-    s.nodes = 3;
+    s.controller_count = 3;
     s.zones = {"z0", "z1", "z2"};
     s.teams = {{"tight", 0, 2, 0, 0}};
-    s.report_s = 1;
-    s.lease_s = 100;  // nothing runs out during a walk
-    s.cancel_s = 250;
-    s.state_rps = 100;
-    s.state_write_rps = 25;
-    s.value_kb = 8;
-    s.txn_ops = 8;
-    s.cloud_rps = 5;
-    s.list_lag_s = 3;
+    s.heartbeat_s = 1;
+    s.agent_lease_s = 100;  // nothing runs out during a walk
+    s.cancel_within_s = 250;
+    s.store_requests_per_s = 100;
+    s.store_writes_per_s = 25;
+    s.store_value_kb = 8;
+    s.store_transaction_changes = 8;
+    s.cloud_requests_per_s = 5;
+    s.machine_list_lag_s = 3;
     return s;
   }
 
   void Lease(int i) {
     const std::string node = "hut-" + std::to_string(i);
     leases_[i] = ++revision_;
-    desk_.Leased(node, leases_[i], now_);
-    holders_[i] = std::make_unique<Holder>(Settings(node), derived_, static_cast<size_t>(i),
-                                           leases_[i], now_, [this](const std::string&) {
-                                             return Holder::Known{spec_, kToken + 1, 0};
-                                           });
-    holders_[i]->dispatcher().SetTypes(types_);
-    holders_[i]->LeaderIs(kToken);
+    desk_.OnLease(node, leases_[i], now_);
+    holders_[i] = std::make_unique<ShardHolder>(Settings(node), derived_, static_cast<size_t>(i),
+                                                leases_[i], now_, [this](const std::string&) {
+                                                  return ShardHolder::LiveJob{spec_, kToken + 1, 0};
+                                                });
+    holders_[i]->dispatcher().SetMachineTypes(types_);
+    holders_[i]->OnLeader(kToken);
   }
 
-  wire::Report ReportOf(Worker& w) {
-    wire::Report r;
+  wire::Heartbeat ReportOf(Worker& w) {
+    wire::Heartbeat r;
     r.machine = w.id;
     r.address = w.id + ":1";
     r.type = "box";
     r.zone = w.id == "vm-1" ? "z1" : "z2";
-    r.session = 1;
-    r.seq = ++w.seq;
-    r.token = w.token;
+    r.agent_epoch = 1;
+    r.sequence = ++w.seq;
+    r.fencing_token = w.token;
     for (const auto& [task, attempt] : w.tasks) {
-      r.tasks.push_back({task, attempt, wire::TaskState::kRunning, wire::Why::kNone, false});
+      r.tasks.push_back({task, attempt, wire::TaskState::kRunning, wire::ExitReason::kNone, false});
     }
     return r;
   }
@@ -343,38 +345,38 @@
   static void Execute(Worker& w, uint64_t token, const std::vector<wire::Command>& commands) {
     w.token = token;
     for (const auto& c : commands) {
-      if (c.op == wire::Op::kStart) w.tasks.emplace(c.task, c.attempt);
-      if (c.op == wire::Op::kStop) w.tasks.erase(c.task);
+      if (c.type == wire::CommandType::kStart) w.tasks.emplace(c.task, c.attempt);
+      if (c.type == wire::CommandType::kStop) w.tasks.erase(c.task);
     }
   }
 
   // The worker reports to whoever commands it, as the record says.
   bool Report(const std::string& id, bool quietly) {
     Worker& w = workers_[id];
-    scheduler::ReportAnswer a;
+    scheduler::HeartbeatAnswer a;
     bool held = false;
     for (int i : {1, 2}) {
-      if (!holders_[i] || !holders_[i]->dispatcher().Commands(id)) continue;
-      a = holders_[i]->OnReport(ReportOf(w), now_);
+      if (!holders_[i] || !holders_[i]->dispatcher().Owns(id)) continue;
+      a = holders_[i]->OnHeartbeat(ReportOf(w), now_);
       held = true;
     }
-    if (!held) a = leader_.OnReport(ReportOf(w), now_);
+    if (!held) a = leader_.OnHeartbeat(ReportOf(w), now_);
     if (a.accepted && a.token >= w.token) Execute(w, a.token, a.commands);
     return quietly || a.accepted;
   }
 
   template <typename F>
-  void Orders(scheduler::Dispatcher& d, F done) {
-    for (auto& o : d.TakeDirect(now_)) {
+  void Orders(scheduler::Scheduler& d, F done) {
+    for (auto& o : d.TakeCommands(now_)) {
       Worker& w = workers_[o.machine];
-      if (o.token < w.token || o.session != 1) {
-        const wire::Report r = ReportOf(w);
-        done(o, scheduler::DirectOutcome::kRefused, &r);
+      if (o.fencing_token < w.token || o.agent_epoch != 1) {
+        const wire::Heartbeat r = ReportOf(w);
+        done(o, scheduler::CommandOutcome::kRefused, &r);
         continue;
       }
-      Execute(w, o.token, o.commands);
-      const wire::Report r = ReportOf(w);
-      done(o, scheduler::DirectOutcome::kExecuted, &r);
+      Execute(w, o.fencing_token, o.commands);
+      const wire::Heartbeat r = ReportOf(w);
+      done(o, scheduler::CommandOutcome::kExecuted, &r);
     }
   }
 
@@ -382,12 +384,13 @@
     if (writing_) return false;
     const auto batch = leader_.TakeRecords(100, 48u << 10);
     if (batch.empty()) {
-      Orders(leader_,
-             [&](auto& o, auto outcome, auto* r) { leader_.OnDirect(o, outcome, r, now_); });
+      Orders(leader_, [&](auto& o, auto outcome, auto* r) {
+        leader_.OnCommandOutcome(o, outcome, r, now_);
+      });
       return false;
     }
     ++revision_;
-    for (const auto& p : batch.machines) routes_.PackTold(p.pack, &p.value, revision_);
+    for (const auto& p : batch.machines) routes_.OnPack(p.pack, &p.value, revision_);
     writing_ = true;
     unheard_ = revision_;
     return heard ? HearOfWrite() : true;
@@ -396,28 +399,29 @@
   bool HearOfWrite() {
     if (!writing_) return false;
     writing_ = false;
-    leader_.RecordsWritten(std::exchange(unheard_, 0), now_);
-    Orders(leader_, [&](auto& o, auto outcome, auto* r) { leader_.OnDirect(o, outcome, r, now_); });
+    leader_.OnRecordsWritten(std::exchange(unheard_, 0), now_);
+    Orders(leader_,
+           [&](auto& o, auto outcome, auto* r) { leader_.OnCommandOutcome(o, outcome, r, now_); });
     return true;
   }
 
   bool Exchange(int i, bool lose_answer) {
     if (!holders_[i]) return false;
-    Holder& h = *holders_[i];
-    for (const auto& [id, e] : routes_.Under(leases_[i])) {
-      h.Assigned(id, e.address, e.version, e.handed, now_);
+    ShardHolder& h = *holders_[i];
+    for (const auto& [id, e] : routes_.MachinesUnder(leases_[i])) {
+      h.OnMachineAssigned(id, e.address, e.version, e.handover_revision, now_);
     }
     h.Tick(now_);
     const auto orders = [&] {
       Orders(h.dispatcher(),
-             [&](auto& o, auto outcome, auto* r) { h.OnDirect(o, outcome, r, now_); });
+             [&](auto& o, auto outcome, auto* r) { h.OnCommandOutcome(o, outcome, r, now_); });
     };
     orders();
-    h.FrameLost();
+    h.OnFrameLost();
     if (auto frame = h.NextFrame(revision_, now_)) {
       frame->node = "hut-" + std::to_string(i);
       if (desk_.OnFrame(*frame, now_) && !lose_answer) {
-        if (auto answer = desk_.Answer(frame->node)) h.OnFrame(*answer, now_);
+        if (auto answer = desk_.MakeAnswer(frame->node)) h.OnFrame(*answer, now_);
       }
     }
     h.dispatcher().Place(now_);
@@ -425,17 +429,17 @@
     return true;
   }
 
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   double now_ = 1;
   uint64_t revision_ = kToken + 1;
-  scheduler::Dispatcher leader_;
-  Desk desk_;
-  Routes routes_;
+  scheduler::Scheduler leader_;
+  ShardLeaseManager desk_;
+  RoutingTable routes_;
   std::vector<wire::MachineType> types_;
   wire::JobSpec spec_;
   std::map<std::string, Worker> workers_;
-  std::unique_ptr<Holder> holders_[3];
-  std::vector<std::unique_ptr<Holder>> gone_;
+  std::unique_ptr<ShardHolder> holders_[3];
+  std::vector<std::unique_ptr<ShardHolder>> gone_;
   uint64_t leases_[3] = {0, 0, 0};
   bool writing_ = false;
   uint64_t unheard_ = 0;
@@ -446,13 +450,13 @@
 // tasks that it is handed with. Taken for nowhere, as after the first time, they ran twice.
 TEST(BlockHolder, AMachineHandedOverAgainIsNotTheOneGivenBack) {
   config::Settings s;
-  s.node = "hut-1";
+  s.name = "hut-1";
   s.peers = {{"hut-0", "", ""}};
   s.teams = {{"t", 0, 0, 0, 0}};
-  s.report_s = 1.5;
-  s.lease_s = 10;
-  s.cancel_s = 20;
-  s.value_kb = 8;
+  s.heartbeat_s = 1.5;
+  s.agent_lease_s = 10;
+  s.cancel_within_s = 20;
+  s.store_value_kb = 8;
   constexpr uint64_t kLeader = 5;
   constexpr uint64_t kLease = 9;
   wire::JobSpec spec;
@@ -461,37 +465,39 @@
   spec.tasks = 2;
   spec.cpus = 1;
   for (const uint64_t told : {uint64_t{20}, uint64_t{40}}) {
-    Holder h(s, config::Derived(s), 1, kLease, 0, [&](const std::string&) {
-      return Holder::Known{spec, 3, 0};
+    ShardHolder h(s, config::DerivedSettings(s), 1, kLease, 0, [&](const std::string&) {
+      return ShardHolder::LiveJob{spec, 3, 0};
     });
-    h.LeaderIs(kLeader);
+    h.OnLeader(kLeader);
     uint64_t sent = 0;
     const auto tell = [&](const Item& item, double now) {
-      wire::BlockFrame f;
-      f.leader = kLeader;
+      wire::ShardFrame f;
+      f.leader_token = kLeader;
       f.lease = kLease;
       f.from_leader = true;
-      f.first = ++sent;
-      f.items = {wire::Encode(item)};
+      f.first_sequence = ++sent;
+      f.messages = {wire::Encode(item)};
       ASSERT_TRUE(h.OnFrame(f, now));
     };
-    wire::Report r;
+    wire::Heartbeat r;
     r.machine = "vm-1";
     r.address = "a:1";
     r.type = "box";
-    r.session = 1;
-    h.Assigned("vm-1", "a:1", /*version=*/21, /*handed=*/20, 1);
-    r.token = 21;
-    r.seq = 1;
-    h.OnReport(r, 1);
-    tell({.kind = Kind::kAskBack, .name = "vm-1"}, 1.1);
+    r.agent_epoch = 1;
+    h.OnMachineAssigned("vm-1", "a:1", /*version=*/21, /*handed=*/20, 1);
+    r.fencing_token = 21;
+    r.sequence = 1;
+    h.OnHeartbeat(r, 1);
+    tell({.kind = Kind::kRecallMachine, .name = "vm-1"}, 1.1);
     h.Tick(1.2);
-    ASSERT_TRUE(h.given_back().contains("vm-1"));
+    ASSERT_TRUE(h.returned().contains("vm-1"));
     // 20: as of the first time, late; 40: the second.
-    tell({.kind = Kind::kHanded, .name = "vm-1", .job = "req-1", .tasks = {0}, .count = told}, 1.3);
+    tell(
+        {.kind = Kind::kHandOverTasks, .name = "vm-1", .job = "req-1", .tasks = {0}, .count = told},
+        1.3);
     EXPECT_EQ(h.dispatcher().FindJob("req-1")->pending.size(), told == 20 ? 1u : 0u);
-    h.Assigned("vm-1", "a:1", 45, told, 1.4);
-    EXPECT_EQ(h.dispatcher().Commands("vm-1"), told == 40);
+    h.OnMachineAssigned("vm-1", "a:1", 45, told, 1.4);
+    EXPECT_EQ(h.dispatcher().Owns("vm-1"), told == 40);
   }
 }
 
--- a/tests/decisions_test.cc
+++ b/tests/decisions_test.cc
@@ -9,9 +9,9 @@
 namespace {
 
 using wire::Command;
-using wire::Op;
+using wire::CommandType;
 
-const std::vector<Command> kOrder = {{Op::kStart, {"req-1", 0}, 1, 0}};
+const std::vector<Command> kOrder = {{CommandType::kStart, {"req-1", 0}, 1, 0}};
 
 size_t NumberOf(const std::function<void(Decisions&)>& decide) {
   Decisions decisions;
@@ -25,16 +25,17 @@
                            const Command& command) {
     return NumberOf([&](Decisions& d) { d.Answered(now, machine, status, token, {command}, ""); });
   };
-  const std::set<size_t> numbers = {answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
-                                    answered(2, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
-                                    answered(1, "vm-2", 200, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
-                                    answered(1, "vm-1", 503, 7, {Op::kStart, {"req-1", 0}, 1, 0}),
-                                    answered(1, "vm-1", 200, 8, {Op::kStart, {"req-1", 0}, 1, 0}),
-                                    answered(1, "vm-1", 200, 7, {Op::kStop, {"req-1", 0}, 1, 0}),
-                                    answered(1, "vm-1", 200, 7, {Op::kStop, {"req-1", 0}, 1, 5}),
-                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-2", 0}, 1, 0}),
-                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 1}, 1, 0}),
-                                    answered(1, "vm-1", 200, 7, {Op::kStart, {"req-1", 0}, 2, 0})};
+  const std::set<size_t> numbers = {
+      answered(1, "vm-1", 200, 7, {CommandType::kStart, {"req-1", 0}, 1, 0}),
+      answered(2, "vm-1", 200, 7, {CommandType::kStart, {"req-1", 0}, 1, 0}),
+      answered(1, "vm-2", 200, 7, {CommandType::kStart, {"req-1", 0}, 1, 0}),
+      answered(1, "vm-1", 503, 7, {CommandType::kStart, {"req-1", 0}, 1, 0}),
+      answered(1, "vm-1", 200, 8, {CommandType::kStart, {"req-1", 0}, 1, 0}),
+      answered(1, "vm-1", 200, 7, {CommandType::kStop, {"req-1", 0}, 1, 0}),
+      answered(1, "vm-1", 200, 7, {CommandType::kStop, {"req-1", 0}, 1, 5}),
+      answered(1, "vm-1", 200, 7, {CommandType::kStart, {"req-2", 0}, 1, 0}),
+      answered(1, "vm-1", 200, 7, {CommandType::kStart, {"req-1", 1}, 1, 0}),
+      answered(1, "vm-1", 200, 7, {CommandType::kStart, {"req-1", 0}, 2, 0})};
   EXPECT_EQ(numbers.size(), 10U);
   EXPECT_EQ(answered(1, "vm-1", 200, 7, kOrder[0]), answered(1, "vm-1", 200, 7, kOrder[0]));
 }
--- a/tests/digest_test.cc
+++ b/tests/digest_test.cc
@@ -1,26 +1,25 @@
-#include "mosspath/wire/digest.h"
-
 #include <gtest/gtest.h>
 
 #include <random>
 
 #include "mosspath/config/operator_settings.h"
+#include "mosspath/wire/status_snapshot.h"
 #include "mosspath/wire/varint.h"
 
 namespace mosspath::wire {
 namespace {
 
-Digest Sample() {
-  Digest d;
+StatusSnapshot Sample() {
+  StatusSnapshot d;
   d.leader = "hut-1";
   d.token = 1234567890123;
-  d.settled = true;
-  d.leading_s = 12.5;
-  d.queues = {{"tally", 3, 40, 12, 1.5, kNever, 60.25, "all machines are in use"}};
+  d.recovery_complete = true;
+  d.leader_for_s = 12.5;
+  d.queues = {{"tally", 3, 40, 12, 1.5, kNeverS, 60.25, "all machines are in use"}};
   d.teams = {{"desk", 3, 40, 12, 1.5, 2, 60.25, "the team's limit"}};
   d.machines = {{"box", "a", true, 5, 1, 2, 160, 120.5}};
   d.progress = {{"finished", "tally", 200, 1, 0.92, 11, 12}, {"deadline", "x", 0, 1.5, 0.9, 0, 0}};
-  d.troubles = {{3.25, "machine vm-1 was lost"}};
+  d.incidents = {{3.25, "machine vm-1 was lost"}};
   d.jobs = {{"req-000001", 3, 4}, {"req-000002", 0, 1}};
   return d;
 }
@@ -38,55 +37,55 @@
   EXPECT_THROW(VarintReader(std::string(9, '\xff') + '\x02').Get(), BadMessage);
 }
 
-TEST(Digest, RoundTrip) { EXPECT_EQ(DecodeDigest(Encode(Sample())), Sample()); }
+TEST(Digest, RoundTrip) { EXPECT_EQ(DecodeStatusSnapshot(Encode(Sample())), Sample()); }
 
 TEST(Digest, HostileFramesAreRefused) {
   const std::string good = Encode(Sample());
   for (size_t n = 0; n < good.size(); ++n) {
-    EXPECT_THROW(DecodeDigest(good.substr(0, n)), BadMessage) << n;
+    EXPECT_THROW(DecodeStatusSnapshot(good.substr(0, n)), BadMessage) << n;
   }
-  EXPECT_THROW(DecodeDigest(good + "x"), BadMessage);
-  EXPECT_THROW(DecodeDigest(std::string(kMaxDigest + 1, 'x')), BadMessage);
+  EXPECT_THROW(DecodeStatusSnapshot(good + "x"), BadMessage);
+  EXPECT_THROW(DecodeStatusSnapshot(std::string(kMaxStatusSnapshotBytes + 1, 'x')), BadMessage);
   std::string other_version = good;
   other_version[4] = 3;  // after the four bytes of the kind
-  EXPECT_THROW(DecodeDigest(other_version), BadMessage);
+  EXPECT_THROW(DecodeStatusSnapshot(other_version), BadMessage);
   // Random damage may go unnoticed but never does harm.
   std::mt19937_64 random(3);
   for (int i = 0; i < 20000; ++i) {
     std::string bad = good;
     for (int k = 0; k < 3; ++k) bad[random() % bad.size()] = static_cast<char>(random());
     try {
-      DecodeDigest(bad);
+      DecodeStatusSnapshot(bad);
     } catch (const BadMessage&) {
     }
   }
 }
 
 TEST(Digest, IsBoundedHoweverManyJobs) {
-  Digest d = Sample();
+  StatusSnapshot d = Sample();
   for (uint32_t i = 0; i < 20000; ++i) d.jobs.push_back({"req-" + std::to_string(i), i, i});
   const std::string frame = Encode(d);
-  EXPECT_LE(frame.size(), kMaxDigest);
-  EXPECT_GT(DecodeDigest(frame).jobs.size(), 1000u);
+  EXPECT_LE(frame.size(), kMaxStatusSnapshotBytes);
+  EXPECT_GT(DecodeStatusSnapshot(frame).jobs.size(), 1000u);
 }
 
 TEST(Presence, RoundTripsAndRefusesWhatIsNone) {
-  const Presence p{"hut-1", true, 0.25, kNever, 1.5, {{"hut-0", 0.5}, {"hut-2", kNever}}};
+  const PeerHeartbeat p{"hut-1", true, 0.25, kNeverS, 1.5, {{"hut-0", 0.5}, {"hut-2", kNeverS}}};
   const std::string good = Encode(p);
-  EXPECT_EQ(DecodePresence(good), p);
+  EXPECT_EQ(DecodePeerHeartbeat(good), p);
   for (size_t n = 0; n < good.size(); ++n) {
-    EXPECT_THROW(DecodePresence(good.substr(0, n)), BadMessage) << n;
+    EXPECT_THROW(DecodePeerHeartbeat(good.substr(0, n)), BadMessage) << n;
   }
-  EXPECT_THROW(DecodePresence(good + "x"), BadMessage);
-  EXPECT_THROW(DecodePresence(Encode(Sample())), BadMessage);
+  EXPECT_THROW(DecodePeerHeartbeat(good + "x"), BadMessage);
+  EXPECT_THROW(DecodePeerHeartbeat(Encode(Sample())), BadMessage);
 }
 
 // The page says of each controller when it was heard, by whom, and what it lacks.
 TEST(Status, TellsWhoIsThereAndHowOldItIs) {
   Status s;
-  s.digest = Sample();
+  s.snapshot = Sample();
   s.served_by = "hut-0";
-  s.age_s = 7;
+  s.snapshot_age_s = 7;
   s.controllers = {{"hut-0", "a", false, 0, "hut-0", {}},
                    {"hut-1", "b", true, 65, "hut-2", {"word from it here"}}};
   const std::string page = StatusPage(s);
--- a/tests/fakes/http_services.cc
+++ b/tests/fakes/http_services.cc
@@ -21,7 +21,7 @@
 
 // ---------------------------------------------------------------------------- state service
 
-HttpState::HttpState(asio::io_context& io, size_t addresses) : io_(io) {
+FakeKeyValueStore::FakeKeyValueStore(asio::io_context& io, size_t addresses) : io_(io) {
   for (size_t i = 0; i < addresses; ++i) {
     servers_.push_back(std::make_unique<net::HttpServer>(
         io, "127.0.0.1:0", net::HttpServer::Options{},
@@ -31,10 +31,10 @@
   }
 }
 
-std::string HttpState::address(size_t i) const { return Loopback(*servers_.at(i)); }
+std::string FakeKeyValueStore::address(size_t i) const { return Loopback(*servers_.at(i)); }
 
-void HttpState::Handle(size_t by, const net::HttpRequest& r,
-                       const net::HttpServer::Responder& respond) {
+void FakeKeyValueStore::Handle(size_t by, const net::HttpRequest& r,
+                               const net::HttpServer::Responder& respond) {
   const auto reply = [&](int status, const json& body) { respond({status, body.dump()}); };
   if (Refuses(by)) return reply(503, {{"error", "trouble"}});
   if (r.path == "/multi") return Multi(json::parse(r.body), respond);
@@ -74,7 +74,7 @@
   reply(404, json::object());
 }
 
-void HttpState::Arm(uint64_t grant) {
+void FakeKeyValueStore::Arm(uint64_t grant) {
   GrantState& g = grants_[grant];
   g.timer->After(g.life, [this, grant] {
     if (down) return Arm(grant);
@@ -89,7 +89,7 @@
   });
 }
 
-void HttpState::Change(const std::string& key, const json* value, uint64_t grant) {
+void FakeKeyValueStore::Change(const std::string& key, const json* value, uint64_t grant) {
   if (value == nullptr) {
     pairs_.erase(key);
     log_.push_back({{"delete", key}, {"mark", revision_}});
@@ -100,7 +100,7 @@
   log_.push_back({{"put", key}, {"v", *value}, {"mark", revision_}});
 }
 
-void HttpState::Multi(const json& body, const net::HttpServer::Responder& respond) {
+void FakeKeyValueStore::Multi(const json& body, const net::HttpServer::Responder& respond) {
   const json changes = body.value("apply", json::array());
   for (const json& c : body.at("if")) {
     auto it = pairs_.find(c.at("k").get<std::string>());
@@ -126,14 +126,14 @@
   Wake();
 }
 
-uint64_t HttpState::Put(const std::string& key, const json& value) {
+uint64_t FakeKeyValueStore::Put(const std::string& key, const json& value) {
   ++revision_;
   Change(key, &value, 0);
   Wake();
   return revision_;
 }
 
-json HttpState::LogOf(const std::string& prefix, uint64_t since) {
+json FakeKeyValueStore::LogOf(const std::string& prefix, uint64_t since) {
   json log = json::array();
   for (const json& e : log_) {
     const std::string key = e.contains("put") ? e["put"] : e["delete"];
@@ -142,8 +142,8 @@
   return log;
 }
 
-void HttpState::Follow(size_t by, const std::string& prefix, uint64_t since, int wait_ms,
-                       const net::HttpServer::Responder& respond) {
+void FakeKeyValueStore::Follow(size_t by, const std::string& prefix, uint64_t since, int wait_ms,
+                               const net::HttpServer::Responder& respond) {
   json log = LogOf(prefix, since);
   if (!log.empty() || wait_ms == 0) {
     return respond({200, json{{"epoch", revision_}, {"log", log}}.dump()});
@@ -158,7 +158,7 @@
   waiting_.push_back(std::move(w));
 }
 
-void HttpState::Wake() {
+void FakeKeyValueStore::Wake() {
   for (auto& w : waiting_) {
     json log = LogOf(w->prefix, w->since);
     if (w->done || log.empty() || Refuses(w->by)) continue;
@@ -171,8 +171,8 @@
 
 // ---------------------------------------------------------------------------- worker
 
-HttpWorker::HttpWorker(asio::io_context& io, std::string id, std::vector<std::string> nodes,
-                       double report_s, double run_s, const std::set<std::string>& long_jobs)
+FakeAgent::FakeAgent(asio::io_context& io, std::string id, std::vector<std::string> nodes,
+                     double report_s, double run_s, const std::set<std::string>& long_jobs)
     : io_(io),
       id_(std::move(id)),
       nodes_(std::move(nodes)),
@@ -199,7 +199,7 @@
   Report();
 }
 
-json HttpWorker::Message() {
+json FakeAgent::Message() {
   json tasks = json::array();
   for (const auto& [key, t] : tasks_) tasks.push_back(t);
   return {{"rig", id_},           {"endpoint", Loopback(*server_)},
@@ -209,11 +209,11 @@
           {"warning_s", nullptr}, {"crates", tasks}};
 }
 
-void HttpWorker::Soon() {
+void FakeAgent::Soon() {
   report_timer_.After(0.05, [this] { Report(); });
 }
 
-void HttpWorker::Report() {
+void FakeAgent::Report() {
   if (waiting_) return;
   waiting_ = true;
   clients_[node_]->Send("POST", "/v1/report", Message().dump(), 4.0, [this](net::HttpResult r) {
@@ -234,7 +234,7 @@
   });
 }
 
-void HttpWorker::Execute(const json& calls) {
+void FakeAgent::Execute(const json& calls) {
   for (const json& c : calls) {
     const std::string key =
         c.at("crate").get<std::string>() + " " + std::to_string(c.at("try").get<uint64_t>());
@@ -261,13 +261,13 @@
   if (!calls.empty()) Soon();
 }
 
-size_t HttpWorker::running(const std::string& job) const {
+size_t FakeAgent::running(const std::string& job) const {
   return static_cast<size_t>(std::count_if(tasks_.begin(), tasks_.end(), [&](const auto& t) {
     return t.first.starts_with(job + "/") && t.second.at("stage") == "running";
   }));
 }
 
-size_t HttpCloud::running(const std::string& job) const {
+size_t FakeCloud::running(const std::string& job) const {
   size_t n = 0;
   for (const auto& [id, w] : workers_) n += w->running(job);
   return n;
@@ -275,7 +275,7 @@
 
 // ---------------------------------------------------------------------------- cloud
 
-HttpCloud::HttpCloud(asio::io_context& io, std::vector<std::string> nodes, double report_s,
+FakeCloud::FakeCloud(asio::io_context& io, std::vector<std::string> nodes, double report_s,
                      double run_s)
     : io_(io), nodes_(std::move(nodes)), report_s_(report_s), run_s_(run_s) {
   server_ = std::make_unique<net::HttpServer>(
@@ -285,9 +285,9 @@
       });
 }
 
-std::string HttpCloud::address() const { return Loopback(*server_); }
+std::string FakeCloud::address() const { return Loopback(*server_); }
 
-void HttpCloud::Handle(const net::HttpRequest& r, const net::HttpServer::Responder& respond) {
+void FakeCloud::Handle(const net::HttpRequest& r, const net::HttpServer::Responder& respond) {
   const auto reply = [&](int status, const json& body) { respond({status, body.dump()}); };
   if (r.path == "/flavors") {
     return reply(200, {{"builds",
@@ -323,7 +323,7 @@
       for (int i = 0; i < body.at("count").get<int>() && workers_.size() < 3; ++i) {
         const std::string id = "vm-" + std::to_string(100000 + hires_.size() * 50 + i);
         rigs.push_back(id);
-        workers_[id] = std::make_unique<HttpWorker>(io_, id, nodes_, report_s_, run_s_, long_jobs);
+        workers_[id] = std::make_unique<FakeAgent>(io_, id, nodes_, report_s_, run_s_, long_jobs);
       }
       if (rigs.empty()) return reply(503, {{"error", "no capacity"}});
       hires_[hire] = {{"rigs", rigs}};
--- a/tests/fakes/http_services.h
+++ b/tests/fakes/http_services.h
@@ -16,10 +16,10 @@
 
 namespace mosspath::fakes {
 
-class HttpState {
+class FakeKeyValueStore {
  public:
   // With so many addresses, so that each client can be refused alone.
-  explicit HttpState(asio::io_context& io, size_t addresses = 1);
+  explicit FakeKeyValueStore(asio::io_context& io, size_t addresses = 1);
   std::string address(size_t i = 0) const;
   bool down = false;                         // answers 503, and no grant runs out
   std::set<size_t> refused;                  // who comes by these addresses gets 503
@@ -64,11 +64,11 @@
 };
 
 // A worker that runs every task for a moment and reports on any change.
-class HttpWorker {
+class FakeAgent {
  public:
   // `long_jobs`: tasks of these run until they are stopped.
-  HttpWorker(asio::io_context& io, std::string id, std::vector<std::string> nodes, double report_s,
-             double run_s, const std::set<std::string>& long_jobs);
+  FakeAgent(asio::io_context& io, std::string id, std::vector<std::string> nodes, double report_s,
+            double run_s, const std::set<std::string>& long_jobs);
   size_t running(const std::string& job) const;
 
  private:
@@ -94,9 +94,9 @@
   std::unique_ptr<net::HttpServer> server_;
 };
 
-class HttpCloud {
+class FakeCloud {
  public:
-  HttpCloud(asio::io_context& io, std::vector<std::string> nodes, double report_s, double run_s);
+  FakeCloud(asio::io_context& io, std::vector<std::string> nodes, double report_s, double run_s);
   std::string address() const;
   size_t rented() const { return workers_.size(); }
   std::set<std::string> long_jobs;
@@ -111,7 +111,7 @@
   const double report_s_;
   const double run_s_;
   std::map<std::string, nlohmann::json> hires_;
-  std::map<std::string, std::unique_ptr<HttpWorker>> workers_;
+  std::map<std::string, std::unique_ptr<FakeAgent>> workers_;
   std::unique_ptr<net::HttpServer> server_;
 };
 
--- a/tests/fakes/one_controller.h
+++ b/tests/fakes/one_controller.h
@@ -8,19 +8,19 @@
 
 namespace mosspath::fakes {
 
-inline config::Settings OneController(const std::string& state_address) {
+inline config::Settings OneControllerSettings(const std::string& state_address) {
   config::Settings s;
-  s.node = "hut-0";
-  s.nodes = 1;
-  s.state_address = state_address;
-  s.report_s = 1;
-  s.lease_s = 24;
-  s.cancel_s = 50;
-  s.state_rps = 400;
-  s.state_write_rps = 30;
-  s.value_kb = 8;
-  s.txn_ops = 8;
-  s.cloud_rps = 5;
+  s.name = "hut-0";
+  s.controller_count = 1;
+  s.store_address = state_address;
+  s.heartbeat_s = 1;
+  s.agent_lease_s = 24;
+  s.cancel_within_s = 50;
+  s.store_requests_per_s = 400;
+  s.store_writes_per_s = 30;
+  s.store_value_kb = 8;
+  s.store_transaction_changes = 8;
+  s.cloud_requests_per_s = 5;
   return s;
 }
 
--- a/tests/fakes/plain_worker.h
+++ b/tests/fakes/plain_worker.h
@@ -12,7 +12,7 @@
 
 namespace mosspath::fakes {
 
-struct PlainWorker {
+struct PlainAgent {
   std::string id;
   uint64_t session = 1;
   uint64_t seq = 0;
@@ -20,7 +20,7 @@
   double lease_from = 0;
   struct Attempt {
     wire::TaskState state = wire::TaskState::kRunning;
-    wire::Why why = wire::Why::kNone;
+    wire::ExitReason why = wire::ExitReason::kNone;
   };
   std::map<std::pair<wire::TaskId, uint64_t>, Attempt> attempts;
 
@@ -29,15 +29,15 @@
       return a.first.first == task && a.second.state != wire::TaskState::kExited;
     });
   }
-  wire::Report Report() {
-    wire::Report r;
+  wire::Heartbeat Report() {
+    wire::Heartbeat r;
     r.machine = id;
     r.address = id + ":1";
     r.type = "box";
     r.zone = "east";
-    r.session = session;
-    r.seq = ++seq;
-    r.token = token;
+    r.agent_epoch = session;
+    r.sequence = ++seq;
+    r.fencing_token = token;
     for (const auto& [key, a] : attempts) {
       r.tasks.push_back({key.first, key.second, a.state, a.why, false});
     }
@@ -47,17 +47,17 @@
     for (const auto& c : commands) {
       const auto key = std::pair(c.task, c.attempt);
       const auto it = attempts.find(key);
-      if (c.op == wire::Op::kStart && it == attempts.end()) {
+      if (c.type == wire::CommandType::kStart && it == attempts.end()) {
         if (Has(c.task)) {
-          attempts[key] = {wire::TaskState::kExited, wire::Why::kBusy};
+          attempts[key] = {wire::TaskState::kExited, wire::ExitReason::kOtherAttemptPresent};
         } else {
           attempts[key] = {};
         }
-      } else if (c.op == wire::Op::kStop && it != attempts.end()) {
+      } else if (c.type == wire::CommandType::kStop && it != attempts.end()) {
         if (it->second.state != wire::TaskState::kExited) {
-          it->second = {wire::TaskState::kExited, wire::Why::kStopped};
+          it->second = {wire::TaskState::kExited, wire::ExitReason::kStopped};
         }
-      } else if (c.op == wire::Op::kForget && it != attempts.end()) {
+      } else if (c.type == wire::CommandType::kForget && it != attempts.end()) {
         attempts.erase(it);
       }
     }
@@ -67,7 +67,7 @@
     bool any = false;
     for (auto& [key, a] : attempts) {
       if (key.first != task || a.state == wire::TaskState::kExited) continue;
-      a = {wire::TaskState::kExited, wire::Why::kDone};
+      a = {wire::TaskState::kExited, wire::ExitReason::kSucceeded};
       any = true;
     }
     return any;
--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/http_services.h"
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
-#include "mosspath/service/node.h"
-#include "fakes/http_services.h"
+#include "mosspath/service/controller.h"
 
 namespace mosspath {
 namespace {
@@ -39,7 +39,7 @@
         cloud_(io_, {public_[0], public_[1]}, kReportS, kTaskRunS) {
     for (int i = 0; i < kControllers; ++i) {
       settings_.push_back(SettingsOf(i));
-      nodes_.push_back(std::make_unique<service::Node>(io_, settings_.back()));
+      nodes_.push_back(std::make_unique<service::Controller>(io_, settings_.back()));
       nodes_.back()->Start();
       public_clients_.push_back(Client(public_[i]));
       peer_clients_.push_back(Client(peer_[i]));
@@ -60,30 +60,30 @@
 
   config::Settings SettingsOf(int i) const {
     config::Settings s;
-    s.node = Name(i);
+    s.name = Name(i);
     s.zone = "a";
     s.public_address = public_[i];
     s.peer_address = peer_[i];
     s.peers = {{Name(1 - i), "a", peer_[1 - i]}};
     s.cloud_address = cloud_.address();
-    s.state_address = state_.address();
-    s.nodes = kControllers;
+    s.store_address = state_.address();
+    s.controller_count = kControllers;
     s.zones = {"a"};
     s.clock_error_ms = 5;
     s.teams = {{"t", 0, 20, 0, 0}};
-    s.report_s = kReportS;
-    s.lease_s = 6;
-    s.cancel_s = 10;
-    s.state_rps = 400;
-    s.state_write_rps = 100;
-    s.value_kb = 8;
-    s.txn_ops = 8;
-    s.cloud_rps = 20;
-    s.list_lag_s = 0.5;
+    s.heartbeat_s = kReportS;
+    s.agent_lease_s = 6;
+    s.cancel_within_s = 10;
+    s.store_requests_per_s = 400;
+    s.store_writes_per_s = 100;
+    s.store_value_kb = 8;
+    s.store_transaction_changes = 8;
+    s.cloud_requests_per_s = 20;
+    s.machine_list_lag_s = 0.5;
     s.cpu_share = 1;
     s.memory_mb = 200;
     s.max_connections = 500;
-    s.lease_blocks = true;
+    s.lease_shards = true;
     return s;
   }
 
@@ -160,12 +160,12 @@
   asio::io_context io_;
   const std::string public_[kControllers];
   const std::string peer_[kControllers];
-  fakes::HttpState state_;
-  fakes::HttpCloud cloud_;
+  fakes::FakeKeyValueStore state_;
+  fakes::FakeCloud cloud_;
   std::vector<config::Settings> settings_;
   std::vector<std::unique_ptr<net::HttpClient>> public_clients_;
   std::vector<std::unique_ptr<net::HttpClient>> peer_clients_;
-  std::vector<std::unique_ptr<service::Node>> nodes_;
+  std::vector<std::unique_ptr<service::Controller>> nodes_;
   int jobs_ = 0;
   std::string last_id_;
 };
--- a/tests/golden_frames_test.cc
+++ b/tests/golden_frames_test.cc
@@ -13,11 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "mosspath/service/frame_links.h"
-#include "mosspath/wire/block_frame.h"
-#include "mosspath/wire/digest.h"
-#include "mosspath/wire/presence.h"
-#include "mosspath/wire/vouch_frame.h"
+#include "mosspath/service/peer_frame_sender.h"
+#include "mosspath/wire/peer_heartbeat.h"
+#include "mosspath/wire/promise_frame.h"
+#include "mosspath/wire/shard_frame.h"
+#include "mosspath/wire/status_snapshot.h"
 
 namespace mosspath::wire {
 namespace {
@@ -220,28 +220,28 @@
   return bytes;
 }
 
-Digest FullDigest() {
-  Digest d;
+StatusSnapshot FullDigest() {
+  StatusSnapshot d;
   d.leader = "hut-1";
   d.token = 1234567890123;
-  d.settled = true;
-  d.leading_s = 12.5;
+  d.recovery_complete = true;
+  d.leader_for_s = 12.5;
   d.queues = {{"train", 300, 301, 302, 303.5, 304.5, 305.5, "no room"}};
   d.teams = {{"vision", 400, 401, 402, 403.5, 404.5, 405.5, "its limit"}};
   d.machines = {{"g8", "zone-a", true, 11, 12, 13, 160.5, 120.25}};
   d.progress = {{"finished", "serve", 200.5, 1.5, 0.925, 14, 15}};
-  d.troubles = {{3.25, "vm-1 was lost"}};
+  d.incidents = {{3.25, "vm-1 was lost"}};
   d.jobs = {{"req-000412", 16, 17}, {"req-7", 18, 19}};
   return d;
 }
 
 TEST(GoldenFrames, Digest) {
   EXPECT_EQ(ToHex(Encode(FullDigest())), kDigest);
-  const wire::Digest d = DecodeDigest(FromHex(kDigest));
+  const wire::StatusSnapshot d = DecodeStatusSnapshot(FromHex(kDigest));
   EXPECT_EQ(d.leader, "hut-1");
   EXPECT_EQ(d.token, 1234567890123u);
-  EXPECT_TRUE(d.settled);
-  EXPECT_EQ(d.leading_s, 12.5);
+  EXPECT_TRUE(d.recovery_complete);
+  EXPECT_EQ(d.leader_for_s, 12.5);
   ASSERT_EQ(d.queues.size(), 1u);
   EXPECT_EQ(d.queues[0].job_class, "train");
   EXPECT_EQ(d.queues[0].jobs, 300u);
@@ -250,7 +250,7 @@
   EXPECT_EQ(d.queues[0].started_ago_s, 303.5);
   EXPECT_EQ(d.queues[0].finished_ago_s, 304.5);
   EXPECT_EQ(d.queues[0].oldest_s, 305.5);
-  EXPECT_EQ(d.queues[0].why, "no room");
+  EXPECT_EQ(d.queues[0].waiting_reason, "no room");
   ASSERT_EQ(d.teams.size(), 1u);
   EXPECT_EQ(d.teams[0].job_class, "vision");
   EXPECT_EQ(d.teams[0].jobs, 400u);
@@ -259,7 +259,7 @@
   EXPECT_EQ(d.teams[0].started_ago_s, 403.5);
   EXPECT_EQ(d.teams[0].finished_ago_s, 404.5);
   EXPECT_EQ(d.teams[0].oldest_s, 405.5);
-  EXPECT_EQ(d.teams[0].why, "its limit");
+  EXPECT_EQ(d.teams[0].waiting_reason, "its limit");
   ASSERT_EQ(d.machines.size(), 1u);
   EXPECT_EQ(d.machines[0].type, "g8");
   EXPECT_EQ(d.machines[0].zone, "zone-a");
@@ -277,9 +277,9 @@
   EXPECT_EQ(d.progress[0].share, 0.925);
   EXPECT_EQ(d.progress[0].met, 14u);
   EXPECT_EQ(d.progress[0].of, 15u);
-  ASSERT_EQ(d.troubles.size(), 1u);
-  EXPECT_EQ(d.troubles[0].ago_s, 3.25);
-  EXPECT_EQ(d.troubles[0].what, "vm-1 was lost");
+  ASSERT_EQ(d.incidents.size(), 1u);
+  EXPECT_EQ(d.incidents[0].ago_s, 3.25);
+  EXPECT_EQ(d.incidents[0].description, "vm-1 was lost");
   ASSERT_EQ(d.jobs.size(), 2u);
   EXPECT_EQ(d.jobs[0].id, "req-000412");
   EXPECT_EQ(d.jobs[0].done, 16u);
@@ -290,129 +290,129 @@
 }
 
 TEST(GoldenFrames, EmptyDigest) {
-  EXPECT_EQ(ToHex(Encode(wire::Digest())), kEmptyDigest);
-  EXPECT_EQ(DecodeDigest(FromHex(kEmptyDigest)), wire::Digest());
+  EXPECT_EQ(ToHex(Encode(wire::StatusSnapshot())), kEmptyDigest);
+  EXPECT_EQ(DecodeStatusSnapshot(FromHex(kEmptyDigest)), wire::StatusSnapshot());
 }
 
-Presence FullPresence() {
-  Presence p;
+PeerHeartbeat FullPresence() {
+  PeerHeartbeat p;
   p.node = "hut-1";
-  p.leads = true;
+  p.is_leader = true;
   p.state_ago_s = 0.25;
-  p.cloud_ago_s = kNever;
+  p.cloud_ago_s = kNeverS;
   p.workers_ago_s = 1.5;
-  p.peers = {{"hut-0", 0.5}, {"hut-2", kNever}};
+  p.peers = {{"hut-0", 0.5}, {"hut-2", kNeverS}};
   return p;
 }
 
-void ExpectFullPresence(const Presence& p) {
+void ExpectFullPresence(const PeerHeartbeat& p) {
   EXPECT_EQ(p.node, "hut-1");
-  EXPECT_TRUE(p.leads);
+  EXPECT_TRUE(p.is_leader);
   EXPECT_EQ(p.state_ago_s, 0.25);
-  EXPECT_EQ(p.cloud_ago_s, kNever);
+  EXPECT_EQ(p.cloud_ago_s, kNeverS);
   EXPECT_EQ(p.workers_ago_s, 1.5);
   ASSERT_EQ(p.peers.size(), 2u);
   EXPECT_EQ(p.peers[0].node, "hut-0");
   EXPECT_EQ(p.peers[0].ago_s, 0.5);
   EXPECT_EQ(p.peers[1].node, "hut-2");
-  EXPECT_EQ(p.peers[1].ago_s, kNever);
+  EXPECT_EQ(p.peers[1].ago_s, kNeverS);
 }
 
 TEST(GoldenFrames, Presence) {
   EXPECT_EQ(ToHex(Encode(FullPresence())), kPresence);
-  const wire::Presence p = DecodePresence(FromHex(kPresence));
+  const wire::PeerHeartbeat p = DecodePeerHeartbeat(FromHex(kPresence));
   ExpectFullPresence(p);
   EXPECT_FALSE(p.demand);
 }
 
 TEST(GoldenFrames, PresenceWithDemand) {
-  wire::Presence full = FullPresence();
+  wire::PeerHeartbeat full = FullPresence();
   full.demand = 321.5;
   EXPECT_EQ(ToHex(Encode(full)), kPresenceWithDemand);
-  const wire::Presence p = DecodePresence(FromHex(kPresenceWithDemand));
+  const wire::PeerHeartbeat p = DecodePeerHeartbeat(FromHex(kPresenceWithDemand));
   ExpectFullPresence(p);
   EXPECT_EQ(p.demand, 321.5);
 }
 
 TEST(GoldenFrames, EmptyPresence) {
-  EXPECT_EQ(ToHex(Encode(wire::Presence())), kEmptyPresence);
-  EXPECT_EQ(DecodePresence(FromHex(kEmptyPresence)), wire::Presence());
+  EXPECT_EQ(ToHex(Encode(wire::PeerHeartbeat())), kEmptyPresence);
+  EXPECT_EQ(DecodePeerHeartbeat(FromHex(kEmptyPresence)), wire::PeerHeartbeat());
 }
 
 TEST(GoldenFrames, Plan) {
-  EXPECT_EQ(ToHex(Encode(admission::Plan{41, 42, 2.5, 0.375})), kPlan);
-  const admission::Plan p = DecodePlan(FromHex(kPlan));
+  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan{41, 42, 2.5, 0.375})), kPlan);
+  const admission::AdmissionPlan p = DecodeAdmissionPlan(FromHex(kPlan));
   EXPECT_EQ(p.token, 41u);
   EXPECT_EQ(p.version, 42u);
   EXPECT_EQ(p.life_s, 2.5);
-  EXPECT_EQ(p.part, 0.375);
+  EXPECT_EQ(p.share, 0.375);
 }
 
 // What a controller that does not lead answers.
 TEST(GoldenFrames, NoPlan) {
-  EXPECT_EQ(ToHex(Encode(admission::Plan())), kNoPlan);
-  EXPECT_EQ(DecodePlan(FromHex(kNoPlan)), admission::Plan());
+  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan())), kNoPlan);
+  EXPECT_EQ(DecodeAdmissionPlan(FromHex(kNoPlan)), admission::AdmissionPlan());
 }
 
 TEST(GoldenFrames, VouchQuestion) {
-  EXPECT_EQ(ToHex(Encode(wire::VouchQuestion{"hut-1", 41, 300})), kVouchQuestion);
-  const wire::VouchQuestion q = DecodeVouchQuestion(FromHex(kVouchQuestion));
+  EXPECT_EQ(ToHex(Encode(wire::PromiseRequest{"hut-1", 41, 300})), kVouchQuestion);
+  const wire::PromiseRequest q = DecodePromiseRequest(FromHex(kVouchQuestion));
   EXPECT_EQ(q.node, "hut-1");
   EXPECT_EQ(q.token, 41u);
-  EXPECT_EQ(q.seen, 300u);
+  EXPECT_EQ(q.read_revision, 300u);
 }
 
 TEST(GoldenFrames, VouchAnswer) {
-  wire::VouchAnswer answer;
+  wire::PromiseResponse answer;
   answer.promised = true;
-  answer.cancelled = {305, 300, 304, {{"req-000412", 302}, {"req-7", 303}}};
+  answer.cancellations = {305, 300, 304, {{"req-000412", 302}, {"req-7", 303}}};
   EXPECT_EQ(ToHex(Encode(answer)), kVouchAnswer);
-  const wire::VouchAnswer a = DecodeVouchAnswer(FromHex(kVouchAnswer));
+  const wire::PromiseResponse a = DecodePromiseResponse(FromHex(kVouchAnswer));
   EXPECT_TRUE(a.promised);
-  EXPECT_EQ(a.cancelled.newest, 305u);
-  EXPECT_EQ(a.cancelled.from, 300u);
-  EXPECT_EQ(a.cancelled.upto, 304u);
-  ASSERT_EQ(a.cancelled.ids.size(), 2u);
-  EXPECT_EQ(a.cancelled.ids[0].id, "req-000412");
-  EXPECT_EQ(a.cancelled.ids[0].revision, 302u);
-  EXPECT_EQ(a.cancelled.ids[1].id, "req-7");
-  EXPECT_EQ(a.cancelled.ids[1].revision, 303u);
+  EXPECT_EQ(a.cancellations.newest, 305u);
+  EXPECT_EQ(a.cancellations.from_revision, 300u);
+  EXPECT_EQ(a.cancellations.to_revision, 304u);
+  ASSERT_EQ(a.cancellations.entries.size(), 2u);
+  EXPECT_EQ(a.cancellations.entries[0].id, "req-000412");
+  EXPECT_EQ(a.cancellations.entries[0].revision, 302u);
+  EXPECT_EQ(a.cancellations.entries[1].id, "req-7");
+  EXPECT_EQ(a.cancellations.entries[1].revision, 303u);
 }
 
 TEST(GoldenFrames, VouchRefusal) {
-  EXPECT_EQ(ToHex(Encode(wire::VouchAnswer())), kVouchRefusal);
-  const wire::VouchAnswer a = DecodeVouchAnswer(FromHex(kVouchRefusal));
+  EXPECT_EQ(ToHex(Encode(wire::PromiseResponse())), kVouchRefusal);
+  const wire::PromiseResponse a = DecodePromiseResponse(FromHex(kVouchRefusal));
   EXPECT_FALSE(a.promised);
-  EXPECT_EQ(a.cancelled.newest, 0u);
-  EXPECT_EQ(a.cancelled.from, 0u);
-  EXPECT_EQ(a.cancelled.upto, 0u);
-  EXPECT_TRUE(a.cancelled.ids.empty());
+  EXPECT_EQ(a.cancellations.newest, 0u);
+  EXPECT_EQ(a.cancellations.from_revision, 0u);
+  EXPECT_EQ(a.cancellations.to_revision, 0u);
+  EXPECT_TRUE(a.cancellations.entries.empty());
 }
 
 TEST(GoldenFrames, BlockItemWithAllFields) {
-  BlockItem item;
-  item.kind = BlockItem::Kind::kMachine;
+  ShardMessage item;
+  item.kind = ShardMessage::Kind::kMachineStatus;
   item.name = "vm-1";
   item.job = "req-000412";
   item.tasks = {3, 4, 5, 10};
   item.seconds = 6.5;
   item.count = 777;
-  item.machine = BlockItem::Machine{.address = "10.0.0.1:9001",
-                                    .type = "g8",
-                                    .zone = "zone-a",
-                                    .spot = true,
-                                    .usable = true,
-                                    .idle = true,
-                                    .needed = true,
-                                    .silent = true,
-                                    .idle_s = 1.5,
-                                    .work_s = 2.5,
-                                    .cpus = 3.5,
-                                    .gpus = 4.5,
-                                    .memory_gb = 5.5};
+  item.machine = ShardMessage::MachineStatus{.address = "10.0.0.1:9001",
+                                             .type = "g8",
+                                             .zone = "zone-a",
+                                             .spot = true,
+                                             .schedulable = true,
+                                             .idle = true,
+                                             .has_on_demand_work = true,
+                                             .unresponsive = true,
+                                             .idle_s = 1.5,
+                                             .remaining_cpu_s = 2.5,
+                                             .used_cpus = 3.5,
+                                             .used_gpus = 4.5,
+                                             .used_memory_gb = 5.5};
   EXPECT_EQ(ToHex(Encode(item)), kFullItem);
-  const BlockItem read = DecodeBlockItem(FromHex(kFullItem));
-  EXPECT_EQ(read.kind, BlockItem::Kind::kMachine);
+  const ShardMessage read = DecodeShardMessage(FromHex(kFullItem));
+  EXPECT_EQ(read.kind, ShardMessage::Kind::kMachineStatus);
   EXPECT_EQ(read.name, "vm-1");
   EXPECT_EQ(read.job, "req-000412");
   EXPECT_EQ(read.tasks, (std::vector<uint32_t>{3, 4, 5, 10}));
@@ -423,107 +423,111 @@
   EXPECT_EQ(read.machine->type, "g8");
   EXPECT_EQ(read.machine->zone, "zone-a");
   EXPECT_TRUE(read.machine->spot);
-  EXPECT_TRUE(read.machine->usable);
+  EXPECT_TRUE(read.machine->schedulable);
   EXPECT_TRUE(read.machine->idle);
-  EXPECT_TRUE(read.machine->needed);
-  EXPECT_TRUE(read.machine->silent);
+  EXPECT_TRUE(read.machine->has_on_demand_work);
+  EXPECT_TRUE(read.machine->unresponsive);
   EXPECT_EQ(read.machine->idle_s, 1.5);
-  EXPECT_EQ(read.machine->work_s, 2.5);
-  EXPECT_EQ(read.machine->cpus, 3.5);
-  EXPECT_EQ(read.machine->gpus, 4.5);
-  EXPECT_EQ(read.machine->memory_gb, 5.5);
+  EXPECT_EQ(read.machine->remaining_cpu_s, 2.5);
+  EXPECT_EQ(read.machine->used_cpus, 3.5);
+  EXPECT_EQ(read.machine->used_gpus, 4.5);
+  EXPECT_EQ(read.machine->used_memory_gb, 5.5);
 }
 
 // Each kind's number, in an item that has nothing else.
 TEST(GoldenFrames, KindsOfBlockItems) {
-  using Kind = BlockItem::Kind;
+  using Kind = ShardMessage::Kind;
   const std::vector<std::pair<Kind, const char*>> kinds{
-      {Kind::kGive, "01"},      {Kind::kHanded, "02"},  {Kind::kKept, "03"},
-      {Kind::kDrop, "04"},      {Kind::kAskBack, "05"}, {Kind::kDraining, "06"},
-      {Kind::kDeleted, "07"},   {Kind::kClaim, "14"},   {Kind::kSynced, "15"},
-      {Kind::kDone, "16"},      {Kind::kBack, "17"},    {Kind::kMachine, "18"},
-      {Kind::kGivenBack, "19"}, {Kind::kLoad, "1a"},    {Kind::kDoubt, "1b"}};
+      {Kind::kDelegateTasks, "01"},      {Kind::kHandOverTasks, "02"},
+      {Kind::kCompletionsDurable, "03"}, {Kind::kStopTasks, "04"},
+      {Kind::kRecallMachine, "05"},      {Kind::kSetDraining, "06"},
+      {Kind::kMachineDeleted, "07"},     {Kind::kClaimTasks, "14"},
+      {Kind::kSyncComplete, "15"},       {Kind::kTasksDone, "16"},
+      {Kind::kReturnTasks, "17"},        {Kind::kMachineStatus, "18"},
+      {Kind::kMachineReturned, "19"},    {Kind::kLoad, "1a"},
+      {Kind::kCrashLoop, "1b"}};
   // No name, job, tasks, seconds, count or machine.
   constexpr const char* kNothingElse = "000000000000";
   for (const auto& [kind, number] : kinds) {
-    BlockItem item;
+    ShardMessage item;
     item.kind = kind;
     const std::string hex = std::string(number) + kNothingElse;
     EXPECT_EQ(ToHex(Encode(item)), hex);
-    EXPECT_EQ(DecodeBlockItem(FromHex(hex)), item) << hex;
+    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), item) << hex;
   }
 }
 
 // Each flag of a machine has a bit of its own.
 TEST(GoldenFrames, FlagsOfBlockMachines) {
-  using Machine = BlockItem::Machine;
-  const std::vector<std::pair<bool Machine::*, const char*>> flags{{&Machine::spot, "01"},
-                                                                   {&Machine::usable, "02"},
-                                                                   {&Machine::idle, "04"},
-                                                                   {&Machine::needed, "08"},
-                                                                   {&Machine::silent, "10"}};
+  using Machine = ShardMessage::MachineStatus;
+  const std::vector<std::pair<bool Machine::*, const char*>> flags{
+      {&Machine::spot, "01"},
+      {&Machine::schedulable, "02"},
+      {&Machine::idle, "04"},
+      {&Machine::has_on_demand_work, "08"},
+      {&Machine::unresponsive, "10"}};
   // kMachine; no name, job, tasks, seconds or count; a machine without address, type and zone.
   const std::string before = "18000000000001000000";
   const std::string after = "0000000000";  // no amounts
   for (const auto& [flag, bits] : flags) {
-    BlockItem item;
-    item.kind = BlockItem::Kind::kMachine;
+    ShardMessage item;
+    item.kind = ShardMessage::Kind::kMachineStatus;
     item.machine = Machine();
     (*item.machine).*flag = true;
     const std::string hex = before + bits + after;
     EXPECT_EQ(ToHex(Encode(item)), hex);
-    EXPECT_EQ(DecodeBlockItem(FromHex(hex)), item) << hex;
+    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), item) << hex;
   }
 }
 
 TEST(GoldenFrames, BlockFrame) {
-  EXPECT_STREQ(service::kFramePath, "/peer/v1/block");
-  BlockItem give;
-  give.kind = BlockItem::Kind::kGive;
+  EXPECT_STREQ(service::kShardFramePath, "/peer/v1/block");
+  ShardMessage give;
+  give.kind = ShardMessage::Kind::kDelegateTasks;
   give.name = "req-7";
   give.tasks = {0};
-  BlockItem synced;
-  synced.kind = BlockItem::Kind::kSynced;
-  wire::BlockFrame frame;
+  ShardMessage synced;
+  synced.kind = ShardMessage::Kind::kSyncComplete;
+  wire::ShardFrame frame;
   frame.node = "hut-1";
-  frame.leader = 41;
+  frame.leader_token = 41;
   frame.lease = 77;
   frame.from_leader = true;
-  frame.heard = 301;
-  frame.room = kMaxBlockFrame;
+  frame.acknowledged = 301;
+  frame.receive_window_bytes = kMaxShardFrameBytes;
   frame.view_age_s = 1.25;
-  frame.cancelled = 302;
-  frame.first = 303;
-  frame.items = {Encode(give), Encode(synced)};
+  frame.newest_cancellation = 302;
+  frame.first_sequence = 303;
+  frame.messages = {Encode(give), Encode(synced)};
   EXPECT_EQ(ToHex(Encode(frame)), kFrame);
-  const wire::BlockFrame read = DecodeBlockFrame(FromHex(kFrame));
+  const wire::ShardFrame read = DecodeShardFrame(FromHex(kFrame));
   EXPECT_EQ(read.node, "hut-1");
-  EXPECT_EQ(read.leader, 41u);
+  EXPECT_EQ(read.leader_token, 41u);
   EXPECT_EQ(read.lease, 77u);
   EXPECT_TRUE(read.from_leader);
-  EXPECT_EQ(read.heard, 301u);
-  EXPECT_EQ(read.room, 57344u);
+  EXPECT_EQ(read.acknowledged, 301u);
+  EXPECT_EQ(read.receive_window_bytes, 57344u);
   EXPECT_EQ(read.view_age_s, 1.25);
-  EXPECT_EQ(read.cancelled, 302u);
-  EXPECT_EQ(read.first, 303u);
-  ASSERT_EQ(read.items.size(), 2u);
-  EXPECT_EQ(DecodeBlockItem(read.items[0]), give);
-  EXPECT_EQ(DecodeBlockItem(read.items[1]), synced);
+  EXPECT_EQ(read.newest_cancellation, 302u);
+  EXPECT_EQ(read.first_sequence, 303u);
+  ASSERT_EQ(read.messages.size(), 2u);
+  EXPECT_EQ(DecodeShardMessage(read.messages[0]), give);
+  EXPECT_EQ(DecodeShardMessage(read.messages[1]), synced);
 }
 
 TEST(GoldenFrames, EmptyBlockFrame) {
-  EXPECT_EQ(ToHex(Encode(wire::BlockFrame())), kEmptyFrame);
-  const wire::BlockFrame read = DecodeBlockFrame(FromHex(kEmptyFrame));
+  EXPECT_EQ(ToHex(Encode(wire::ShardFrame())), kEmptyFrame);
+  const wire::ShardFrame read = DecodeShardFrame(FromHex(kEmptyFrame));
   EXPECT_EQ(read.node, "");
-  EXPECT_EQ(read.leader, 0u);
+  EXPECT_EQ(read.leader_token, 0u);
   EXPECT_EQ(read.lease, 0u);
   EXPECT_FALSE(read.from_leader);
-  EXPECT_EQ(read.heard, 0u);
-  EXPECT_EQ(read.room, 0u);
-  EXPECT_EQ(read.view_age_s, kNever);
-  EXPECT_EQ(read.cancelled, 0u);
-  EXPECT_EQ(read.first, 0u);
-  EXPECT_TRUE(read.items.empty());
+  EXPECT_EQ(read.acknowledged, 0u);
+  EXPECT_EQ(read.receive_window_bytes, 0u);
+  EXPECT_EQ(read.view_age_s, kNeverS);
+  EXPECT_EQ(read.newest_cancellation, 0u);
+  EXPECT_EQ(read.first_sequence, 0u);
+  EXPECT_TRUE(read.messages.empty());
 }
 
 }  // namespace
--- a/tests/golden_json_test.cc
+++ b/tests/golden_json_test.cc
@@ -9,30 +9,30 @@
 #include <vector>
 
 #include "mosspath/service/user_api.h"
-#include "mosspath/wire/digest.h"
 #include "mosspath/wire/json.h"
+#include "mosspath/wire/status_snapshot.h"
 
 namespace mosspath::wire {
 namespace {
 
 TEST(GoldenJson, JobAnswers) {
-  EXPECT_EQ(JobAnswer("req-1", Stage::kQueued).dump(), R"({"id":"req-1","stage":"queued"})");
-  EXPECT_EQ(JobAnswer("req-2", Stage::kRunning).dump(), R"({"id":"req-2","stage":"running"})");
-  EXPECT_EQ(JobAnswer("req-3", Stage::kDone).dump(), R"({"id":"req-3","stage":"done"})");
-  EXPECT_EQ(JobAnswer("req-4", Stage::kCancelled).dump(), R"({"id":"req-4","stage":"aborted"})");
-  EXPECT_EQ(JobAnswer("req-5", Stage::kRunning, 11, 12).dump(),
+  EXPECT_EQ(JobAnswer("req-1", JobState::kQueued).dump(), R"({"id":"req-1","stage":"queued"})");
+  EXPECT_EQ(JobAnswer("req-2", JobState::kRunning).dump(), R"({"id":"req-2","stage":"running"})");
+  EXPECT_EQ(JobAnswer("req-3", JobState::kDone).dump(), R"({"id":"req-3","stage":"done"})");
+  EXPECT_EQ(JobAnswer("req-4", JobState::kCancelled).dump(), R"({"id":"req-4","stage":"aborted"})");
+  EXPECT_EQ(JobAnswer("req-5", JobState::kRunning, 11, 12).dump(),
             R"({"done":11,"id":"req-5","running":12,"stage":"running"})");
-  EXPECT_EQ(JobAnswer("req-6", Stage::kQueued, 13, 0).dump(),
+  EXPECT_EQ(JobAnswer("req-6", JobState::kQueued, 13, 0).dump(),
             R"({"done":13,"id":"req-6","running":0,"stage":"queued"})");
 }
 
 TEST(GoldenJson, ErrorAnswers) {
   EXPECT_EQ(ErrorAnswer("no such job").dump(), R"({"error":"no such job"})");
-  const net::HttpAnswer plain = service::Plain(404, "no such job");
+  const net::HttpResponse plain = service::ErrorResponse(404, "no such job");
   EXPECT_EQ(plain.status, 404);
   EXPECT_EQ(plain.body, R"({"error":"no such job"})");
   EXPECT_EQ(plain.retry_after_s, 0);
-  const net::HttpAnswer later = service::Later("can't tell now");
+  const net::HttpResponse later = service::RetryLaterResponse("can't tell now");
   EXPECT_EQ(later.status, 503);
   EXPECT_EQ(later.body, R"({"error":"can't tell now"})");
   EXPECT_EQ(later.retry_after_s, 1.0);
@@ -48,42 +48,42 @@
       R"({"cause":"done","crate":"req-000412/4","stage":"ended","try":105}],)"
       R"("endpoint":"10.0.0.1:9001","loaners":true,"rig":"vm-1","shift":21,"shore":"zone-a",)"
       R"("tick":88,"warning_s":30.5})";
-  wire::Report report;
+  wire::Heartbeat report;
   report.machine = "vm-1";
   report.address = "10.0.0.1:9001";
   report.type = "g8";
   report.zone = "zone-a";
   report.spot = true;
-  report.session = 21;
-  report.seq = 88;
-  report.token = 41;
-  report.notice_s = 30.5;
-  report.tasks = {{{"req-000412", 0}, 101, TaskState::kFetching, Why::kNone, false},
-                  {{"req-000412", 1}, 102, TaskState::kWaiting, Why::kNone, false},
-                  {{"req-000412", 2}, 103, TaskState::kRunning, Why::kNone, false},
-                  {{"req-000412", 3}, 104, TaskState::kSaving, Why::kNone, true},
-                  {{"req-000412", 4}, 105, TaskState::kExited, Why::kDone, false}};
+  report.agent_epoch = 21;
+  report.sequence = 88;
+  report.fencing_token = 41;
+  report.reclaim_notice_s = 30.5;
+  report.tasks = {{{"req-000412", 0}, 101, TaskState::kFetching, ExitReason::kNone, false},
+                  {{"req-000412", 1}, 102, TaskState::kWaitingForGang, ExitReason::kNone, false},
+                  {{"req-000412", 2}, 103, TaskState::kRunning, ExitReason::kNone, false},
+                  {{"req-000412", 3}, 104, TaskState::kCheckpointing, ExitReason::kNone, true},
+                  {{"req-000412", 4}, 105, TaskState::kExited, ExitReason::kSucceeded, false}};
   EXPECT_EQ(ToJson(report).dump(), kText);
-  for (const wire::Report& read : {ParseReport(ParseObject(kText)), ReadReport(kText)}) {
+  for (const wire::Heartbeat& read : {ParseHeartbeat(ParseObject(kText)), ReadHeartbeat(kText)}) {
     EXPECT_EQ(read.machine, "vm-1");
     EXPECT_EQ(read.address, "10.0.0.1:9001");
     EXPECT_EQ(read.type, "g8");
     EXPECT_EQ(read.zone, "zone-a");
     EXPECT_TRUE(read.spot);
-    EXPECT_EQ(read.session, 21u);
-    EXPECT_EQ(read.seq, 88u);
-    EXPECT_EQ(read.token, 41u);
-    EXPECT_EQ(read.notice_s, 30.5);
+    EXPECT_EQ(read.agent_epoch, 21u);
+    EXPECT_EQ(read.sequence, 88u);
+    EXPECT_EQ(read.fencing_token, 41u);
+    EXPECT_EQ(read.reclaim_notice_s, 30.5);
     ASSERT_EQ(read.tasks.size(), report.tasks.size());
     for (size_t i = 0; i < read.tasks.size(); ++i) {
       EXPECT_EQ(read.tasks[i].task, report.tasks[i].task) << i;
       EXPECT_EQ(read.tasks[i].attempt, report.tasks[i].attempt) << i;
       EXPECT_EQ(read.tasks[i].state, report.tasks[i].state) << i;
-      EXPECT_EQ(read.tasks[i].why, report.tasks[i].why) << i;
-      EXPECT_EQ(read.tasks[i].saved, report.tasks[i].saved) << i;
+      EXPECT_EQ(read.tasks[i].exit_reason, report.tasks[i].exit_reason) << i;
+      EXPECT_EQ(read.tasks[i].checkpointed, report.tasks[i].checkpointed) << i;
     }
   }
-  report.notice_s.reset();
+  report.reclaim_notice_s.reset();
   report.tasks.clear();
   EXPECT_EQ(ToJson(report).dump(),
             R"({"baton":41,"build":"g8","crates":[],"endpoint":"10.0.0.1:9001","loaners":true,)"
@@ -91,20 +91,25 @@
 }
 
 TEST(GoldenJson, WhyATaskEnded) {
-  const std::vector<std::pair<Why, const char*>> names{
-      {Why::kDone, "done"},   {Why::kStopped, "stopped"}, {Why::kError, "error"},
-      {Why::kNoRoom, "full"}, {Why::kBusy, "in_use"},     {Why::kUnknown, "unknown"},
-      {Why::kPeers, "peers"}, {Why::kAlone, "incomplete"}};
+  const std::vector<std::pair<ExitReason, const char*>> names{
+      {ExitReason::kSucceeded, "done"},
+      {ExitReason::kStopped, "stopped"},
+      {ExitReason::kFailed, "error"},
+      {ExitReason::kInsufficientResources, "full"},
+      {ExitReason::kOtherAttemptPresent, "in_use"},
+      {ExitReason::kUnknownJob, "unknown"},
+      {ExitReason::kGangMemberEnded, "peers"},
+      {ExitReason::kGangIncomplete, "incomplete"}};
   for (const auto& [why, name] : names) {
-    wire::Report report;
+    wire::Heartbeat report;
     report.machine = report.address = report.type = report.zone = "x";
     report.tasks = {{{"req-1", 2}, 3, TaskState::kExited, why, false}};
     const Json json = ToJson(report);
     EXPECT_EQ(
         json.at("crates").at(0).dump(),
         R"({"cause":")" + std::string(name) + R"(","crate":"req-1/2","stage":"ended","try":3})");
-    EXPECT_EQ(ParseReport(json).tasks.at(0).why, why);
-    EXPECT_EQ(ReadReport(json.dump()).tasks.at(0).why, why);
+    EXPECT_EQ(ParseHeartbeat(json).tasks.at(0).exit_reason, why);
+    EXPECT_EQ(ReadHeartbeat(json.dump()).tasks.at(0).exit_reason, why);
   }
 }
 
@@ -112,18 +117,18 @@
   constexpr const char* kCalls = R"([{"call":"run","crate":"req-1/11","try":101},)"
                                  R"({"call":"halt","crate":"req-2/12","leeway_s":4.5,"try":102},)"
                                  R"({"call":"reap","crate":"req-3/13","try":103}])";
-  const std::vector<Command> commands{{Op::kStart, {"req-1", 11}, 101, 0},
-                                      {Op::kStop, {"req-2", 12}, 102, 4.5},
-                                      {Op::kForget, {"req-3", 13}, 103, 0}};
+  const std::vector<Command> commands{{CommandType::kStart, {"req-1", 11}, 101, 0},
+                                      {CommandType::kStop, {"req-2", 12}, 102, 4.5},
+                                      {CommandType::kForget, {"req-3", 13}, 103, 0}};
   const std::string answer = R"({"baton":41,"calls":)" + std::string(kCalls) + "}";
-  EXPECT_EQ(ReportAnswer(41, commands).dump(), answer);
-  EXPECT_EQ(ReportAnswer(41, {}).dump(), R"({"baton":41,"calls":[]})");
+  EXPECT_EQ(HeartbeatAnswer(41, commands).dump(), answer);
+  EXPECT_EQ(HeartbeatAnswer(41, {}).dump(), R"({"baton":41,"calls":[]})");
   EXPECT_EQ(DirectCommands(41, 21, commands).dump(),
             R"({"baton":41,"calls":)" + std::string(kCalls) + R"(,"shift":21})");
   const auto read = ParseCommands(Json::parse(answer));
   ASSERT_EQ(read.size(), commands.size());
   for (size_t i = 0; i < read.size(); ++i) {
-    EXPECT_EQ(read[i].op, commands[i].op) << i;
+    EXPECT_EQ(read[i].type, commands[i].type) << i;
     EXPECT_EQ(read[i].task, commands[i].task) << i;
     EXPECT_EQ(read[i].attempt, commands[i].attempt) << i;
     EXPECT_EQ(read[i].grace_s, commands[i].grace_s) << i;
@@ -165,27 +170,27 @@
 
 wire::Status FullStatus() {
   wire::Status s;
-  Digest& d = s.digest;
+  StatusSnapshot& d = s.snapshot;
   d.leader = "hut-1";
   d.token = 41;
-  d.settled = true;
-  d.leading_s = 12.5;
+  d.recovery_complete = true;
+  d.leader_for_s = 12.5;
   d.jobs = {{"req-1", 3, 4}};  // not shown
   d.queues = {{"train", 1, 2, 3, 4.5, 5.5, 6.5, "no room"}};
-  d.teams = {{"vision", 7, 8, 9, kNever, kNever, 10.5, ""}};
+  d.teams = {{"vision", 7, 8, 9, kNeverS, kNeverS, 10.5, ""}};
   d.machines = {{"g8", "zone-a", true, 11, 12, 13, 14.5, 15.5}};
   d.progress = {{"finished", "train", 200.5, 1.5, 0.25, 16, 17},
                 {"deadline", "serve", 300.5, 2.5, 0.75, 18, 19}};
-  d.troubles = {{20.5, "machine vm-1 was lost"}};
-  s.age_s = 21.5;
+  d.incidents = {{20.5, "machine vm-1 was lost"}};
+  s.snapshot_age_s = 21.5;
   s.served_by = "hut-0";
   s.controllers = {{"hut-0", "zone-a", true, 22.5, "hut-2", {"the cloud"}},
-                   {"hut-3", "zone-b", false, kNever, "", {}}};
+                   {"hut-3", "zone-b", false, kNeverS, "", {}}};
   s.sockets = {{"users", 23, 24, 25, 26}};
   s.admission.budget = 27.5;
   s.admission.live = 28.5;
-  s.admission.under_way = 29.5;
-  s.admission.part = 0.5;
+  s.admission.in_flight = 29.5;
+  s.admission.share = 0.5;
   s.admission.plan_token = 30;
   s.admission.plan_version = 31;
   s.admission.groups = {{"vision", "train", 32, 33}};
@@ -215,7 +220,7 @@
 
 TEST(GoldenJson, StatusDocumentOfOneThatKnowsNothing) {
   wire::Status s;
-  s.age_s = kNever;
+  s.snapshot_age_s = kNeverS;
   EXPECT_EQ(StatusJson(s).dump(),
             R"({"admission":{"budget_tasks":0.0,"groups":[],"live_tasks":0.0,"part":0.0,)"
             R"("plan_token":0,"plan_version":0,"under_way_tasks":0.0},"age_s":null,)"
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
+#include "mosspath/cluster/cluster_state.h"
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/config/settings.h"
-#include "mosspath/jobs/directory.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/jobs/ledger.h"
-#include "mosspath/cluster/picture.h"
-#include "mosspath/scheduler/records.h"
+#include "mosspath/jobs/job_index.h"
+#include "mosspath/jobs/job_records.h"
+#include "mosspath/scheduler/durable_state.h"
 #include "mosspath/service/keys.h"
 #include "mosspath/wire/json.h"
 
@@ -43,8 +43,8 @@
   spec.id = "req-000412";
   spec.job_class = "train";
   spec.team = "vision";
-  spec.kind = wire::Kind::kGang;
-  spec.rank = wire::Rank::kCritical;
+  spec.kind = wire::JobKind::kGang;
+  spec.priority = wire::Priority::kCritical;
   spec.tasks = 600;
   spec.cpus = 8.5;
   spec.gpus = 1.25;
@@ -53,12 +53,12 @@
   spec.image_gb = 6.25;
   spec.types = {"g8", "c4"};
   spec.zone = "zone-a";
-  spec.one_zone = true;
-  spec.spread = true;
-  spec.spot = true;
-  spec.estimate_s = 240.5;
-  spec.checkpoint_s = 30.5;
-  spec.save_s = 4.5;
+  spec.single_zone = true;
+  spec.spread_over_zones = true;
+  spec.spot_allowed = true;
+  spec.estimated_run_s = 240.5;
+  spec.checkpoint_interval_s = 30.5;
+  spec.checkpoint_duration_s = 4.5;
   spec.deadline_s = 900.5;
   return spec;
 }
@@ -68,8 +68,8 @@
   spec.id = "req-7";
   spec.job_class = "serve";
   spec.team = "desk";
-  spec.kind = wire::Kind::kService;
-  spec.rank = wire::Rank::kLow;
+  spec.kind = wire::JobKind::kService;
+  spec.priority = wire::Priority::kLow;
   spec.tasks = 3;
   spec.cpus = 1;
   spec.memory_gb = 2;
@@ -82,8 +82,8 @@
   EXPECT_EQ(spec.id, "req-000412");
   EXPECT_EQ(spec.job_class, "train");
   EXPECT_EQ(spec.team, "vision");
-  EXPECT_EQ(spec.kind, wire::Kind::kGang);
-  EXPECT_EQ(spec.rank, wire::Rank::kCritical);
+  EXPECT_EQ(spec.kind, wire::JobKind::kGang);
+  EXPECT_EQ(spec.priority, wire::Priority::kCritical);
   EXPECT_EQ(spec.tasks, 600u);
   EXPECT_EQ(spec.cpus, 8.5);
   EXPECT_EQ(spec.gpus, 1.25);
@@ -92,12 +92,12 @@
   EXPECT_EQ(spec.image_gb, 6.25);
   EXPECT_EQ(spec.types, (std::vector<std::string>{"g8", "c4"}));
   EXPECT_EQ(spec.zone, "zone-a");
-  EXPECT_TRUE(spec.one_zone);
-  EXPECT_TRUE(spec.spread);
-  EXPECT_TRUE(spec.spot);
-  EXPECT_EQ(spec.estimate_s, 240.5);
-  EXPECT_EQ(spec.checkpoint_s, 30.5);
-  EXPECT_EQ(spec.save_s, 4.5);
+  EXPECT_TRUE(spec.single_zone);
+  EXPECT_TRUE(spec.spread_over_zones);
+  EXPECT_TRUE(spec.spot_allowed);
+  EXPECT_EQ(spec.estimated_run_s, 240.5);
+  EXPECT_EQ(spec.checkpoint_interval_s, 30.5);
+  EXPECT_EQ(spec.checkpoint_duration_s, 4.5);
   EXPECT_EQ(spec.deadline_s, 900.5);
 }
 
@@ -105,8 +105,8 @@
   EXPECT_EQ(spec.id, "req-7");
   EXPECT_EQ(spec.job_class, "serve");
   EXPECT_EQ(spec.team, "desk");
-  EXPECT_EQ(spec.kind, wire::Kind::kService);
-  EXPECT_EQ(spec.rank, wire::Rank::kLow);
+  EXPECT_EQ(spec.kind, wire::JobKind::kService);
+  EXPECT_EQ(spec.priority, wire::Priority::kLow);
   EXPECT_EQ(spec.tasks, 3u);
   EXPECT_EQ(spec.cpus, 1);
   EXPECT_EQ(spec.gpus, 0);
@@ -115,12 +115,12 @@
   EXPECT_EQ(spec.image_gb, 0.5);
   EXPECT_FALSE(spec.types);
   EXPECT_FALSE(spec.zone);
-  EXPECT_FALSE(spec.one_zone);
-  EXPECT_FALSE(spec.spread);
-  EXPECT_FALSE(spec.spot);
-  EXPECT_EQ(spec.estimate_s, 0);
-  EXPECT_EQ(spec.checkpoint_s, 0);
-  EXPECT_EQ(spec.save_s, 0);
+  EXPECT_FALSE(spec.single_zone);
+  EXPECT_FALSE(spec.spread_over_zones);
+  EXPECT_FALSE(spec.spot_allowed);
+  EXPECT_EQ(spec.estimated_run_s, 0);
+  EXPECT_EQ(spec.checkpoint_interval_s, 0);
+  EXPECT_EQ(spec.checkpoint_duration_s, 0);
   EXPECT_FALSE(spec.deadline_s);
 }
 
@@ -136,11 +136,11 @@
   EXPECT_EQ(service::keys::kSettings, "mosspath/live/settings");
   EXPECT_EQ(service::keys::kJobs, "mosspath/live/job/");
   EXPECT_EQ(service::keys::kBatches, "mosspath/live/batch/");
-  EXPECT_EQ(service::keys::kSpeaks, "mosspath/live/speaks/");
+  EXPECT_EQ(service::keys::kRecordFormats, "mosspath/live/speaks/");
   EXPECT_EQ(service::keys::kProgress, "mosspath/live/progress/");
   EXPECT_EQ(service::keys::kMachines, "mosspath/live/machines/");
-  EXPECT_EQ(service::keys::kHolders, "mosspath/live/holders/");
-  EXPECT_EQ(service::keys::kBlocks, "mosspath/live/blocks/");
+  EXPECT_EQ(service::keys::kShardOffers, "mosspath/live/holders/");
+  EXPECT_EQ(service::keys::kShardLeases, "mosspath/live/blocks/");
   EXPECT_EQ(service::keys::kFinal, "mosspath/final/");
   EXPECT_EQ(service::keys::Job("req-1"), "mosspath/live/job/req-1");
   EXPECT_EQ(service::keys::Final("req-1"), "mosspath/final/req-1");
@@ -156,9 +156,10 @@
 }
 
 TEST(GoldenRecords, NamesOfKindsAndRanks) {
-  const std::vector<std::pair<wire::Kind, const char*>> kinds{{wire::Kind::kArray, "array"},
-                                                              {wire::Kind::kGang, "group"},
-                                                              {wire::Kind::kService, "daemon"}};
+  const std::vector<std::pair<wire::JobKind, const char*>> kinds{
+      {wire::JobKind::kArray, "array"},
+      {wire::JobKind::kGang, "group"},
+      {wire::JobKind::kService, "daemon"}};
   for (const auto& [kind, name] : kinds) {
     wire::JobSpec spec = SmallSpec();
     spec.kind = kind;
@@ -166,28 +167,29 @@
     EXPECT_EQ(json.at("catch"), name);
     EXPECT_EQ(wire::ParseJob(json).kind, kind);
   }
-  const std::vector<std::pair<wire::Rank, const char*>> ranks{{wire::Rank::kLow, "low"},
-                                                              {wire::Rank::kNormal, "standard"},
-                                                              {wire::Rank::kHigh, "high"},
-                                                              {wire::Rank::kCritical, "critical"}};
+  const std::vector<std::pair<wire::Priority, const char*>> ranks{
+      {wire::Priority::kLow, "low"},
+      {wire::Priority::kNormal, "standard"},
+      {wire::Priority::kHigh, "high"},
+      {wire::Priority::kCritical, "critical"}};
   for (const auto& [rank, name] : ranks) {
     wire::JobSpec spec = SmallSpec();
-    spec.rank = rank;
+    spec.priority = rank;
     const Json json = wire::ToJson(spec);
     EXPECT_EQ(json.at("rank"), name);
-    EXPECT_EQ(wire::ParseJob(json).rank, rank);
+    EXPECT_EQ(wire::ParseJob(json).priority, rank);
   }
 }
 
 // The older form: one job in a record, under job/.
 TEST(GoldenRecords, Job) {
   constexpr uint64_t kVersion = 17;
-  EXPECT_EQ(jobs::Ledger::Entry(FullSpec(), kFullSubmitted).dump(), FullEntry());
-  jobs::Ledger ledger(service::keys::kJobs, service::keys::kBatches);
+  EXPECT_EQ(jobs::JobRecords::EncodeEntry(FullSpec(), kFullSubmitted).dump(), FullEntry());
+  jobs::JobRecords ledger(service::keys::kJobs, service::keys::kBatches);
   const Json value = Json::parse(FullEntry());
-  const auto change = ledger.Seen("mosspath/live/job/req-000412", &value, kVersion);
-  EXPECT_EQ(change.came, std::vector<std::string>{"req-000412"});
-  const jobs::Accepted* accepted = ledger.Find("req-000412");
+  const auto change = ledger.OnRecord("mosspath/live/job/req-000412", &value, kVersion);
+  EXPECT_EQ(change.accepted, std::vector<std::string>{"req-000412"});
+  const jobs::AcceptedJob* accepted = ledger.Find("req-000412");
   ASSERT_NE(accepted, nullptr);
   ExpectFullSpec(accepted->spec);
   EXPECT_EQ(accepted->version, kVersion);
@@ -200,14 +202,15 @@
   constexpr uint64_t kEndedVersion = 23;
   const std::string key = "mosspath/live/batch/hut-0.16.1";
   const std::string as_accepted = R"({"jobs":[)" + FullEntry() + "," + SmallEntry() + "]}";
-  EXPECT_EQ(jobs::Ledger::Shared({jobs::Ledger::Entry(FullSpec(), kFullSubmitted),
-                                  jobs::Ledger::Entry(SmallSpec(), kSmallSubmitted)})
-                .dump(),
-            as_accepted);
-  jobs::Ledger ledger(service::keys::kJobs, service::keys::kBatches);
+  EXPECT_EQ(
+      jobs::JobRecords::EncodeBatch({jobs::JobRecords::EncodeEntry(FullSpec(), kFullSubmitted),
+                                     jobs::JobRecords::EncodeEntry(SmallSpec(), kSmallSubmitted)})
+          .dump(),
+      as_accepted);
+  jobs::JobRecords ledger(service::keys::kJobs, service::keys::kBatches);
   Json value = Json::parse(as_accepted);
-  ledger.Seen(key, &value, kAcceptedVersion);
-  const jobs::Accepted* full = ledger.Find("req-000412");
+  ledger.OnRecord(key, &value, kAcceptedVersion);
+  const jobs::AcceptedJob* full = ledger.Find("req-000412");
   ASSERT_NE(full, nullptr);
   ExpectFullSpec(full->spec);
   EXPECT_EQ(full->version, kAcceptedVersion);
@@ -215,18 +218,18 @@
 
   const std::string one_over =
       R"({"born":17,"jobs":[)" + SmallEntry() + R"(],"over":["req-000412"]})";
-  const auto changes = ledger.End({"req-000412"}, kAcceptedVersion);
+  const auto changes = ledger.PlanEnd({"req-000412"}, kAcceptedVersion);
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].key, key);
   EXPECT_EQ(changes[0].version, kAcceptedVersion);
   ASSERT_TRUE(changes[0].value);
   EXPECT_EQ(changes[0].value->dump(), one_over);
 
-  jobs::Ledger reader(service::keys::kJobs, service::keys::kBatches);
+  jobs::JobRecords reader(service::keys::kJobs, service::keys::kBatches);
   value = Json::parse(one_over);
-  reader.Seen(key, &value, kEndedVersion);
+  reader.OnRecord(key, &value, kEndedVersion);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
-  const jobs::Accepted* small = reader.Find("req-7");
+  const jobs::AcceptedJob* small = reader.Find("req-7");
   ASSERT_NE(small, nullptr);
   ExpectSmallSpec(small->spec);
   EXPECT_EQ(small->version, kAcceptedVersion);  // `born`, not the version that the record has now
@@ -234,22 +237,22 @@
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
   // `over` was read: another home of that job brings it up no more.
   value = Json::parse(FullEntry());
-  reader.Seen("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
+  reader.OnRecord("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
 }
 
 TEST(GoldenRecords, Final) {
   constexpr const char* kDone = R"({"stage":"done"})";
   constexpr const char* kCancelled = R"({"stage":"aborted"})";
-  EXPECT_EQ(jobs::FinalRecord(jobs::Known::kDone).dump(), kDone);
-  EXPECT_EQ(jobs::FinalRecord(jobs::Known::kCancelled).dump(), kCancelled);
-  jobs::Directory directory(service::keys::kJobs, service::keys::kBatches,
-                            {.finals = 8, .cancellations = 8});
-  directory.FinalSeen("req-1", Json::parse(kDone), 31);
-  directory.FinalSeen("req-2", Json::parse(kCancelled), 32);
-  EXPECT_EQ(directory.Remembered("req-1"), jobs::Known::kDone);
-  EXPECT_EQ(directory.Remembered("req-2"), jobs::Known::kCancelled);
-  EXPECT_EQ(directory.cancelled().newest(), 32u);
+  EXPECT_EQ(jobs::EncodeFinalRecord(jobs::JobStatus::kDone).dump(), kDone);
+  EXPECT_EQ(jobs::EncodeFinalRecord(jobs::JobStatus::kCancelled).dump(), kCancelled);
+  jobs::JobIndex directory(service::keys::kJobs, service::keys::kBatches,
+                           {.finals = 8, .cancellations = 8});
+  directory.OnFinalRecord("req-1", Json::parse(kDone), 31);
+  directory.OnFinalRecord("req-2", Json::parse(kCancelled), 32);
+  EXPECT_EQ(directory.FindEnded("req-1"), jobs::JobStatus::kDone);
+  EXPECT_EQ(directory.FindEnded("req-2"), jobs::JobStatus::kCancelled);
+  EXPECT_EQ(directory.cancellations().newest(), 32u);
 }
 
 // Progress and machines packs, as the leader writes them and as its successor takes them over.
@@ -272,11 +275,11 @@
 
   static config::Settings Settings() {
     config::Settings settings;
-    settings.node = "hut-0";
-    settings.report_s = 1;
-    settings.lease_s = 24;
-    settings.cancel_s = 50;
-    settings.value_kb = 8;
+    settings.name = "hut-0";
+    settings.heartbeat_s = 1;
+    settings.agent_lease_s = 24;
+    settings.cancel_within_s = 50;
+    settings.store_value_kb = 8;
     return settings;
   }
   static std::unique_ptr<jobs::Job> NewJob() {
@@ -284,25 +287,25 @@
   }
 
   const config::Settings settings_ = Settings();
-  const config::Derived derived_{settings_};
+  const config::DerivedSettings derived_{settings_};
 };
 
 TEST_F(GoldenPacks, Written) {
-  cluster::Picture picture(settings_, derived_);
-  scheduler::Records records(settings_, kToken);
+  cluster::ClusterState picture(settings_, derived_);
+  scheduler::DurableState records(settings_, kToken);
   jobs::Job& job = *(picture.jobs["req-000412"] = NewJob());
   for (const uint32_t index : kDoneTasks) {
     job.MarkDone(index);
-    records.TaskDone(job, index);
+    records.OnTaskDone(job, index);
   }
-  records.Doubt("req-000412", kTries);
-  records.Mark(job);
+  records.RecordCrashLoop("req-000412", kTries);
+  records.RequestStartMarker(job);
   records.AddMachine("vm-1", "10.0.0.1:9001");
   cluster::Machine lent;
   lent.id = "vm-2";
   records.AssignMachine(lent, "10.0.0.2:9002", kLease);
 
-  const auto batch = records.Take(kMostPacks, kMostBytes, picture);
+  const auto batch = records.TakeBatch(kMostPacks, kMostBytes, picture);
   ASSERT_EQ(batch.machines.size(), 1u);
   EXPECT_EQ(batch.machines[0].pack, 0);
   EXPECT_EQ(batch.machines[0].value.dump(), kMachines);
@@ -314,37 +317,37 @@
 }
 
 TEST_F(GoldenPacks, ProgressTakenOver) {
-  scheduler::Records records(settings_, kToken);
-  records.LoadProgress(0, Json::parse(kProgress), 51);
-  records.LoadProgress(kMarksPack, Json::parse(kMarks), 52);
+  scheduler::DurableState records(settings_, kToken);
+  records.LoadProgressPack(0, Json::parse(kProgress), 51);
+  records.LoadProgressPack(kMarksPack, Json::parse(kMarks), 52);
   const auto job = NewJob();
-  EXPECT_EQ(records.Recall(*job), kTries);
-  EXPECT_EQ(job->mark, jobs::Job::Mark::kDurable);
-  EXPECT_TRUE(job->old_mark);
+  EXPECT_EQ(records.RestoreJob(*job), kTries);
+  EXPECT_EQ(job->start_marker, jobs::Job::StartMarker::kDurable);
+  EXPECT_TRUE(job->inherited_start_marker);
   EXPECT_EQ(job->done, std::size(kDoneTasks));
   for (const uint32_t index : kDoneTasks) {
-    EXPECT_EQ(job->tasks[index].phase, jobs::Phase::kDone) << index;
+    EXPECT_EQ(job->tasks[index].phase, jobs::TaskPhase::kDone) << index;
     EXPECT_TRUE(job->tasks[index].durable) << index;
   }
 }
 
 TEST_F(GoldenPacks, MachineEntries) {
   const Json machines = Json::parse(kMachines);
-  const scheduler::MachineEntry own = scheduler::ReadMachineEntry(machines.at("vm-1"));
+  const scheduler::MachineRecord own = scheduler::DecodeMachineRecord(machines.at("vm-1"));
   EXPECT_EQ(own.address, "10.0.0.1:9001");
   EXPECT_EQ(own.lease, 0u);
-  EXPECT_EQ(own.handed, 0u);
-  EXPECT_EQ(scheduler::ToText(own), "10.0.0.1:9001");
-  const scheduler::MachineEntry lent = scheduler::ReadMachineEntry(machines.at("vm-2"));
+  EXPECT_EQ(own.handover_revision, 0u);
+  EXPECT_EQ(scheduler::EncodeMachineRecord(own), "10.0.0.1:9001");
+  const scheduler::MachineRecord lent = scheduler::DecodeMachineRecord(machines.at("vm-2"));
   EXPECT_EQ(lent.address, "10.0.0.2:9002");
   EXPECT_EQ(lent.lease, kLease);
-  EXPECT_EQ(lent.handed, kToken);
-  EXPECT_EQ(scheduler::ToText(lent), "10.0.0.2:9002/77/41");
+  EXPECT_EQ(lent.handover_revision, kToken);
+  EXPECT_EQ(scheduler::EncodeMachineRecord(lent), "10.0.0.2:9002/77/41");
   // Of a version that did not say which time the machine was handed over.
-  const scheduler::MachineEntry older = scheduler::ReadMachineEntry("10.0.0.3:9003/78");
+  const scheduler::MachineRecord older = scheduler::DecodeMachineRecord("10.0.0.3:9003/78");
   EXPECT_EQ(older.address, "10.0.0.3:9003");
   EXPECT_EQ(older.lease, 78u);
-  EXPECT_EQ(older.handed, 0u);
+  EXPECT_EQ(older.handover_revision, 0u);
 }
 
 TEST(GoldenRecords, OperatorSettings) {
--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -1,6 +1,6 @@
 // A model walked in every order: the last task of a job has ended, and the leader's completion
 // meets a cancellation at another controller, questions and a repeated submission at a third, with
-// no other trouble. The controllers' decisions are the real ones (jobs/directory).
+// no other trouble. The controllers' decisions are the real ones (jobs/job_index).
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "mosspath/jobs/directory.h"
+#include "mosspath/jobs/job_index.h"
 
 namespace mosspath::jobs {
 namespace {
@@ -47,7 +47,7 @@
     spec.id = kId;
     spec.team = spec.job_class = spec.image = "x";
     spec.tasks = 1;
-    Change(kKey, Ledger::Entry(spec, 0));
+    Change(kKey, JobRecords::EncodeEntry(spec, 0));
     for (auto& c : controllers_) Read(c);
   }
 
@@ -58,33 +58,33 @@
     switch (e) {
       case Event::kComplete:
         if (complete_ || leader.directory.FindLive(kId) == nullptr) return false;
-        complete_ = leader.directory.ledger().End({kId}, leader.read);
+        complete_ = leader.directory.records().PlanEnd({kId}, leader.read);
         complete_stage_ = 1;
         return true;
       case Event::kCompleted:
         if (complete_stage_ != 1) return false;
-        complete_stage_ = Commit(Known::kDone, *complete_) ? 2 : 3;
+        complete_stage_ = Commit(JobStatus::kDone, *complete_) ? 2 : 3;
         return true;
       case Event::kCompleteHeard:
         if (complete_stage_ < 2) return false;
-        if (complete_stage_ == 2) leader.directory.Over(kId, Known::kDone);
-        if (complete_stage_ == 2) Tell(Known::kDone, {});
+        if (complete_stage_ == 2) leader.directory.OnEnded(kId, JobStatus::kDone);
+        if (complete_stage_ == 2) Tell(JobStatus::kDone, {});
         complete_stage_ = 0;
         return true;
       case Event::kCancelLooks: {
         if (cancel_stage_ != 0) return false;
         if (cancel_asked_ == std::nullopt) cancel_asked_ = told_;
-        auto known = canceller.directory.Remembered(kId);
+        auto known = canceller.directory.FindEnded(kId);
         if (!known) {
           Catch(canceller);
-          known = canceller.directory.AfterLook(kId);
+          known = canceller.directory.StatusAfterRead(kId);
         }
         if (!known) known = FinalNow(canceller);
-        const auto step = canceller.directory.Cancel(kId, *known, canceller.read);
-        using Kind = Directory::CancelStep::Kind;
-        if (step.kind == Kind::kLook) return false;
-        if (step.kind == Kind::kTell) {
-          Tell(step.known, *cancel_asked_);
+        const auto step = canceller.directory.PlanCancellation(kId, *known, canceller.read);
+        using Kind = JobIndex::CancelStep::Kind;
+        if (step.kind == Kind::kReadAgain) return false;
+        if (step.kind == Kind::kAnswer) {
+          Tell(step.status, *cancel_asked_);
           cancel_stage_ = 4;
         } else {
           cancel_ = step.records;
@@ -94,7 +94,7 @@
       }
       case Event::kCancelled:
         if (cancel_stage_ != 1) return false;
-        cancel_stage_ = Commit(Known::kCancelled, cancel_) ? 2 : 3;
+        cancel_stage_ = Commit(JobStatus::kCancelled, cancel_) ? 2 : 3;
         return true;
       case Event::kCancelHeard:
         if (cancel_stage_ == 3) {
@@ -103,9 +103,9 @@
         }
         if (cancel_stage_ != 2) return false;
         if (guard_ != Guard::kForgetsItsOwn) {
-          canceller.directory.LearnCancelled(kId, final_->second, canceller.read);
+          canceller.directory.OnCancellationLearned(kId, final_->second, canceller.read);
         }
-        Tell(Known::kCancelled, *cancel_asked_);
+        Tell(JobStatus::kCancelled, *cancel_asked_);
         if (canceller.directory.FindLive(kId) != nullptr) breach_ = "told, and live here";
         cancel_stage_ = 4;
         return true;
@@ -113,20 +113,21 @@
         if (ask_stage_ != 0 || asks_ >= 2) return false;
         ++asks_;
         asked_ = told_;
-        known_ = third.directory.Remembered(kId);
+        known_ = third.directory.FindEnded(kId);
         ask_stage_ = known_ ? 3 : 1;
         return true;
       case Event::kLooked:
         if (ask_stage_ != 1) return false;
         if (guard_ != Guard::kLiveWithoutLook) Catch(third);
-        known_ = third.directory.AfterLook(kId);
+        known_ = third.directory.StatusAfterRead(kId);
         looked_ = third.read;
         ask_stage_ = known_ ? 3 : 2;
         return true;
       case Event::kFinalRead:
         if (ask_stage_ != 2) return false;
-        known_ = third.directory.FinalRead(kId, final_ ? &final_->first : nullptr,
-                                           final_ ? final_->second : 0, looked_, third.read);
+        known_ =
+            third.directory.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
+                                                  final_ ? final_->second : 0, looked_, third.read);
         ask_stage_ = 3;
         return true;
       case Event::kTold:
@@ -136,7 +137,7 @@
         return true;
       case Event::kSubmit:
         if (submit_stage_ != 0) return false;
-        submit_stage_ = third.directory.Holds(kId) ? 2 : 1;  // then it is told as a question is
+        submit_stage_ = third.directory.Contains(kId) ? 2 : 1;  // then it is told as a question is
         return true;
       case Event::kSubmitted:
         if (submit_stage_ != 1) return false;
@@ -161,12 +162,13 @@
         fmt::format("{} {} {} {} {} {} {} {}|", complete_stage_, complete_.has_value(),
                     cancel_stage_, ask_stage_, asks_, submit_stage_, Text(known_), looked_);
     for (const auto& c : controllers_) {
-      out += fmt::format(" {}{}{}{}", c.read, Text(c.directory.Remembered(kId)),
-                         c.directory.FindLive(kId) != nullptr, Text(c.directory.AfterLook(kId)));
+      out +=
+          fmt::format(" {}{}{}{}", c.read, Text(c.directory.FindEnded(kId)),
+                      c.directory.FindLive(kId) != nullptr, Text(c.directory.StatusAfterRead(kId)));
     }
     for (const auto* told : {&told_, &asked_}) {
       out += "|";
-      for (const Known k : *told) out += std::to_string(static_cast<int>(k));
+      for (const JobStatus k : *told) out += std::to_string(static_cast<int>(k));
     }
     if (cancel_asked_) out += fmt::format("|{}", cancel_asked_->size());
     out += fmt::format("|{} {}", live_.has_value(), final_ ? final_->first.dump() : "");
@@ -174,9 +176,9 @@
   }
 
  private:
-  using Told = std::set<Known>;
+  using Told = std::set<JobStatus>;
   struct Controller {
-    Directory directory{"job/", "batch/", {.finals = 10, .cancellations = 10}};
+    JobIndex directory{"job/", "batch/", {.finals = 10, .cancellations = 10}};
     uint64_t read = 0;
   };
   struct Written {
@@ -185,7 +187,7 @@
     uint64_t version = 0;
   };
 
-  static std::string Text(std::optional<Known> k) {
+  static std::string Text(std::optional<JobStatus> k) {
     return k ? std::to_string(static_cast<int>(*k)) : "-";
   }
   void Change(const std::string& key, std::optional<wire::Json> value) {
@@ -193,7 +195,7 @@
     (key == kKey ? live_ : final_) =
         value ? std::optional(std::pair(*value, log_.back().version)) : std::nullopt;
   }
-  bool Commit(Known end, const std::vector<RecordChange>& records) {
+  bool Commit(JobStatus end, const std::vector<RecordChange>& records) {
     bool met = guard_ == Guard::kNoFinalCondition || !final_;
     for (const auto& r : records) {
       met = met && (guard_ == Guard::kNoFinalCondition || (live_ ? live_->second : 0) == r.version);
@@ -201,17 +203,17 @@
     if (!met) return false;
     // One change: both or neither is read.
     Change(kKey, std::nullopt);
-    Change("final/" + kId, FinalRecord(end));
+    Change("final/" + kId, EncodeFinalRecord(end));
     return true;
   }
   void Read(Controller& c) {
     const Written& w = log_[c.read++];
     if (w.key == kKey) {
-      c.directory.Seen(w.key, w.value ? &*w.value : nullptr, w.version);
+      c.directory.OnRecord(w.key, w.value ? &*w.value : nullptr, w.version);
     } else {
-      c.directory.FinalSeen(kId, *w.value, w.version);
+      c.directory.OnFinalRecord(kId, *w.value, w.version);
     }
-    c.directory.Loaded(c.read);
+    c.directory.OnLoaded(c.read);
   }
   bool ReadOne(Controller& c) {
     if (c.read >= log_.size()) return false;
@@ -221,16 +223,16 @@
   void Catch(Controller& c) {
     while (c.read < log_.size()) Read(c);
   }
-  Known FinalNow(Controller& c) {
-    return c.directory.FinalRead(kId, final_ ? &final_->first : nullptr,
-                                 final_ ? final_->second : 0, c.read, c.read);
+  JobStatus FinalNow(Controller& c) {
+    return c.directory.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
+                                             final_ ? final_->second : 0, c.read, c.read);
   }
   // `before`: what users had been told when this was asked.
-  void Tell(Known known, const Told& before) {
-    if (known == Known::kMissing) breach_ = "an accepted job is not known";
-    if (known == Known::kLive && !before.empty())
+  void Tell(JobStatus known, const Told& before) {
+    if (known == JobStatus::kMissing) breach_ = "an accepted job is not known";
+    if (known == JobStatus::kLive && !before.empty())
       breach_ = "told of its end, and then that it lives";
-    if (known == Known::kDone || known == Known::kCancelled) told_.insert(known);
+    if (known == JobStatus::kDone || known == JobStatus::kCancelled) told_.insert(known);
     if (told_.size() > 1) breach_ = "two ends are told";
   }
 
@@ -246,7 +248,7 @@
   int ask_stage_ = 0;
   int asks_ = 0;
   int submit_stage_ = 0;
-  std::optional<Known> known_;
+  std::optional<JobStatus> known_;
   uint64_t looked_ = 0;
   Told told_;
   Told asked_;
--- a/tests/job_table_test.cc
+++ b/tests/job_table_test.cc
@@ -1,23 +1,22 @@
 // What a controller counts as told and as over, whatever way it came to know of it.
-#include "mosspath/service/job_table.h"
-
 #include <gtest/gtest.h>
 
 #include <chrono>
 
 #include "fakes/http_services.h"
 #include "fakes/one_controller.h"
+#include "mosspath/service/job_service.h"
 
 namespace mosspath::service {
 namespace {
 
-using Known = JobTable::Known;
+using Known = JobService::JobStatus;
 
 class JobTableTest : public ::testing::Test {
  protected:
   static config::Settings Settings(const std::string& state) {
-    config::Settings s = fakes::OneController(state);
-    s.lease_s = 6;  // calls time out soon
+    config::Settings s = fakes::OneControllerSettings(state);
+    s.agent_lease_s = 6;  // calls time out soon
     s.memory_mb = 64;
     return s;
   }
@@ -29,24 +28,24 @@
         derived_(settings_),
         client_(io_, settings_, derived_, nullptr),
         mirror_(io_, client_, derived_, keys::kLive, keys::kAll,
-                {.reset = [this] { jobs_.Reset(); },
+                {.reset = [this] { jobs_.OnReset(); },
                  .changed =
                      [this](const kvstore::Event& e) {
-                       if (e.key.starts_with(keys::kFinal)) return jobs_.FinalChanged(e);
-                       if (!jobs_.ledger().Holds(e.key)) return;
-                       for (const auto& id : jobs_.Changed(e).came) came_.push_back(id);
+                       if (e.key.starts_with(keys::kFinal)) return jobs_.OnFinalRecord(e);
+                       if (!jobs_.records().OwnsKey(e.key)) return;
+                       for (const auto& id : jobs_.OnRecord(e).accepted) came_.push_back(id);
                      },
                  .loaded =
                      [this] {
-                       jobs_.MayHaveTold(mirror_.revision());
-                       jobs_.Loaded(mirror_.revision());
+                       jobs_.AssumeReportedUpTo(mirror_.revision());
+                       jobs_.OnLoaded(mirror_.revision());
                      },
                  .advanced = [] {},
                  .current = [](double) {}}),
         admission_(settings_),
         jobs_(io_, client_, mirror_, admission_, settings_, derived_) {
-    jobs_.on_ahead = [this](const std::string& id) { ended_.push_back(id); };
-    store_.Put(keys::Job("req-1"), jobs::Ledger::Entry(Spec("req-1"), 0));
+    jobs_.on_cancelled_ahead = [this](const std::string& id) { ended_.push_back(id); };
+    store_.Put(keys::Job("req-1"), jobs::JobRecords::EncodeEntry(Spec("req-1"), 0));
     mirror_.Start();
     Until([&] { return mirror_.loaded(); });
   }
@@ -59,7 +58,7 @@
     std::optional<Known> told;
     what([&](Known k) { told = k; });
     Until([&] { return told.has_value(); });
-    return told.value_or(Known::kUnsure);
+    return told.value_or(Known::kUndetermined);
   }
   Known Lookup(const std::string& id) {
     return Ask([&](auto done) { jobs_.Lookup(id, done); });
@@ -69,13 +68,13 @@
   }
 
   asio::io_context io_;
-  fakes::HttpState store_;
+  fakes::FakeKeyValueStore store_;
   const config::Settings settings_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   kvstore::Client client_;
-  kvstore::Mirror mirror_;
-  Admission admission_;
-  JobTable jobs_;
+  kvstore::WatchCache mirror_;
+  AdmissionService admission_;
+  JobService jobs_;
   std::vector<std::string> ended_;
   std::vector<std::string> came_;
 };
@@ -87,14 +86,14 @@
   bool told = false;
   store_.before_single_read = [&] {
     store_.down = true;  // nothing else is read any more
-    cancelled =
-        store_.Put(keys::Final("req-2"), {{"stage", wire::StageName(wire::Stage::kCancelled)}});
+    cancelled = store_.Put(keys::Final("req-2"),
+                           {{"stage", wire::JobStateName(wire::JobState::kCancelled)}});
   };
-  const uint64_t before = jobs_.cancelled().newest();
+  const uint64_t before = jobs_.cancellations().newest();
   jobs_.Lookup("req-2", [&](Known k) {
     told = true;
     EXPECT_EQ(k, Known::kCancelled);
-    EXPECT_GE(jobs_.cancelled().newest(), cancelled);
+    EXPECT_GE(jobs_.cancellations().newest(), cancelled);
   });
   Until([&] { return told; });
   EXPECT_GT(cancelled, before);
@@ -106,7 +105,7 @@
   jobs_.Cancel("req-1", [&](Known k) {
     told = true;
     EXPECT_EQ(k, Known::kCancelled);
-    EXPECT_GT(jobs_.cancelled().newest(), jobs_.cancelled().listed_from());
+    EXPECT_GT(jobs_.cancellations().newest(), jobs_.cancellations().listed_from());
     EXPECT_EQ(ended_, std::vector<std::string>{"req-1"});
   });
   Until([&] { return told; });
@@ -115,10 +114,10 @@
 // The cancellation is carried out, its answer is lost, and a retry finds it done.
 TEST_F(JobTableTest, ACancellationWithoutAnAnswerIsToldByTheRetry) {
   store_.lose_changes = true;
-  EXPECT_EQ(Cancel("req-1"), Known::kUnsure);
+  EXPECT_EQ(Cancel("req-1"), Known::kUndetermined);
   store_.lose_changes = false;
   EXPECT_EQ(Cancel("req-1"), Known::kCancelled);
-  EXPECT_EQ(jobs_.cancelled().Since(jobs_.cancelled().listed_from()).ids.size(), 1u);
+  EXPECT_EQ(jobs_.cancellations().Since(jobs_.cancellations().listed_from()).entries.size(), 1u);
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
 }
 
@@ -127,24 +126,24 @@
   ASSERT_NE(jobs_.FindLive("req-1"), nullptr);
   store_.down = true;
   const uint64_t revision = mirror_.revision() + 1;
-  jobs_.LearnCancelled("req-1", revision);
+  jobs_.OnCancellationLearned("req-1", revision);
   EXPECT_EQ(ended_, std::vector<std::string>{"req-1"});
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
-  EXPECT_NE(jobs_.ledger().Find("req-1"), nullptr);
+  EXPECT_NE(jobs_.records().Find("req-1"), nullptr);
   EXPECT_EQ(Lookup("req-1"), Known::kCancelled);
-  EXPECT_EQ(jobs_.cancelled().newest(), revision);
+  EXPECT_EQ(jobs_.cancellations().newest(), revision);
 }
 
 // The mirror shows that it was accepted, and then nothing more for as long as an outage lasts: a
 // leader that took it for live went on with it, although its user had been told.
 TEST_F(JobTableTest, WhatIsCancelledBeforeItIsSeenToComeDoesNotCome) {
-  jobs_.LearnCancelled("req-3", mirror_.revision() + 2);
-  store_.Put(keys::Job("req-3"), jobs::Ledger::Entry(Spec("req-3"), 0));
-  Until([&] { return jobs_.ledger().Find("req-3") != nullptr; });
+  jobs_.OnCancellationLearned("req-3", mirror_.revision() + 2);
+  store_.Put(keys::Job("req-3"), jobs::JobRecords::EncodeEntry(Spec("req-3"), 0));
+  Until([&] { return jobs_.records().Find("req-3") != nullptr; });
   EXPECT_EQ(came_, std::vector<std::string>{"req-1"});
   EXPECT_EQ(jobs_.FindLive("req-3"), nullptr);
   std::vector<std::string> live;
-  jobs_.EachLive([&](const std::string& id, const jobs::Accepted&) { live.push_back(id); });
+  jobs_.ForEachLive([&](const std::string& id, const jobs::AcceptedJob&) { live.push_back(id); });
   EXPECT_EQ(live, std::vector<std::string>{"req-1"});
 }
 
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -12,15 +12,15 @@
 #include <string>
 #include <vector>
 
+#include "fakes/plain_worker.h"
 #include "mosspath/jobs/job.h"
-#include "mosspath/scheduler/dispatcher.h"
+#include "mosspath/scheduler/scheduler.h"
 #include "simulation/cluster.h"
-#include "fakes/plain_worker.h"
 
 namespace mosspath::scheduler {
 namespace {
 
-using fakes::PlainWorker;
+using fakes::PlainAgent;
 
 enum class Event {
   kWrite,      // the leader sends what it has to write
@@ -49,8 +49,8 @@
     job_.tasks = 2;
     job_.cpus = 5;  // one on each machine
     job_.image = "img";
-    job_.rank = wire::Rank::kHigh;
-    job_.estimate_s = 100;
+    job_.priority = wire::Priority::kHigh;
+    job_.estimated_run_s = 100;
     live_ = ++revision_;
     Lead();
     // A list of one machine is under way, unanswered, when the other comes.
@@ -63,7 +63,7 @@
 
   bool Step(Event e) {
     now_ += 0.6;
-    for (PlainWorker* w : {&a_, &b_}) w->LeaseAt(now_, settings_.lease_s);
+    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
     const bool happens = Happens(e);
     leader_->Tick(now_);
     return happens;
@@ -90,7 +90,7 @@
                            pairs_.contains(key) && t.versions.at(key) == pairs_.at(key).second);
       }
     }
-    for (const PlainWorker* w : {&a_, &b_}) {
+    for (const PlainAgent* w : {&a_, &b_}) {
       out += fmt::format("|{} {:.0f}", w->session, now_ - w->lease_from);
       for (const auto& [key, a] : w->attempts) {
         out += fmt::format(" {}:{}{}", key.first.index, static_cast<int>(a.state),
@@ -98,9 +98,10 @@
       }
     }
     for (const auto& [id, m] : leader_->machines()) {
-      out += fmt::format("|{} {}{}{}", id, m.confirmed, m.recorded, m.inherited);
-      for (const auto& [key, slot] : m.slots) {
-        out += fmt::format(" {}{}{}", key.first.index, static_cast<int>(slot.state), slot.stop);
+      out += fmt::format("|{} {}{}{}", id, m.token_confirmed, m.record_durable, m.awaits_recovery);
+      for (const auto& [key, slot] : m.allocations) {
+        out += fmt::format(" {}{}{}", key.first.index, static_cast<int>(slot.state),
+                           slot.stop_requested);
       }
     }
     if (const auto* job = leader_->FindJob("req-1")) {
@@ -120,14 +121,14 @@
   void Lead() {
     token_ = ++revision_;
     waiting_ = false;
-    leader_ = std::make_unique<Dispatcher>(settings_, derived_, token_, now_);
-    leader_->SetTypes({simulation::SmallType()});
+    leader_ = std::make_unique<Scheduler>(settings_, derived_, token_, now_);
+    leader_->SetMachineTypes({simulation::SmallType()});
     for (const auto& [key, pair] : pairs_) {
       const int pack = std::stoi(key.substr(1));
       if (key[0] == 'm') {
-        leader_->LoadMachines(pack, pair.first, pair.second);
+        leader_->LoadMachinesPack(pack, pair.first, pair.second);
       } else {
-        leader_->LoadProgress(pack, pair.first, pair.second);
+        leader_->LoadProgressPack(pack, pair.first, pair.second);
       }
     }
     if (live_ != 0) leader_->AddJob(job_, live_, now_);
@@ -150,40 +151,42 @@
     for (const auto& [key, pair] : pairs_) {
       if (key[0] != 'p') continue;
       for (const auto& [name, bits] : pair.first.items()) {
-        if (name == jobs::SegmentName("req-1", 0)) jobs::ApplyBits(bits, 0, &job);
+        if (name == jobs::SegmentRecordName("req-1", 0)) jobs::ApplyDoneBitmap(bits, 0, &job);
       }
     }
-    return job.tasks[index].phase == jobs::Phase::kDone;
+    return job.tasks[index].phase == jobs::TaskPhase::kDone;
   }
-  void Answer(PlainWorker& w) {
-    const ReportAnswer answer = leader_->OnReport(w.Report(), now_);
+  void Answer(PlainAgent& w) {
+    const HeartbeatAnswer answer = leader_->OnHeartbeat(w.Report(), now_);
     if (!answer.accepted || answer.token < w.token) return;
     w.lease_from = now_;
     w.token = answer.token;
     w.Execute(answer.commands);
     for (const auto& c : answer.commands) {
       // Forgotten only where it is durable, or its job is over.
-      const bool done = c.op == wire::Op::kForget && ended_.contains({c.task.index, c.attempt});
+      const bool done =
+          c.type == wire::CommandType::kForget && ended_.contains({c.task.index, c.attempt});
       if (done && live_ != 0 && !Durable(c.task.index)) lost_ = "a result is forgotten too early";
     }
-    for (DirectOrder& o : leader_->TakeDirect(now_)) {
-      PlainWorker& at = o.machine == a_.id ? a_ : b_;
+    for (CommandBatch& o : leader_->TakeCommands(now_)) {
+      PlainAgent& at = o.machine == a_.id ? a_ : b_;
       if (!alive_ && &at == &a_) {
-        leader_->OnDirect(o, DirectOutcome::kRefused, nullptr, now_);
+        leader_->OnCommandOutcome(o, CommandOutcome::kRefused, nullptr, now_);
         continue;
       }
-      const bool taken = o.token >= at.token && o.session == at.session;
+      const bool taken = o.fencing_token >= at.token && o.agent_epoch == at.session;
       if (taken) {
-        at.token = o.token;
+        at.token = o.fencing_token;
         at.Execute(o.commands);
       }
-      const wire::Report r = at.Report();
-      leader_->OnDirect(o, taken ? DirectOutcome::kExecuted : DirectOutcome::kRefused, &r, now_);
+      const wire::Heartbeat r = at.Report();
+      leader_->OnCommandOutcome(o, taken ? CommandOutcome::kExecuted : CommandOutcome::kRefused, &r,
+                                now_);
     }
   }
   bool Ends(uint32_t index) {
     bool any = false;
-    for (PlainWorker* w : {&a_, &b_}) {
+    for (PlainAgent* w : {&a_, &b_}) {
       if (w == &a_ && !alive_) continue;
       for (const auto& [key, a] : w->attempts) {
         if (key.first.index == index && a.state != wire::TaskState::kExited) {
@@ -221,16 +224,16 @@
         const Change c = under_way_.back();
         under_way_.pop_back();
         if (CarryOut(c)) {
-          leader_->RecordsWritten(revision_, now_);
+          leader_->OnRecordsWritten(revision_, now_);
         } else {
-          leader_->RecordsFailed();
+          leader_->OnRecordsFailed();
         }
         return true;
       }
       case Event::kGiveUp:
         if (!waiting_) return false;
         waiting_ = false;
-        leader_->RecordsFailed();
+        leader_->OnRecordsFailed();
         return true;
       case Event::kOldest:
       case Event::kNewest: {
@@ -248,9 +251,9 @@
         for (const auto& [key, pair] : pairs_) {
           const int pack = std::stoi(key.substr(1));
           if (key[0] == 'm') {
-            leader_->SeenMachines(pack, pair.second);
+            leader_->OnMachinesVersion(pack, pair.second);
           } else {
-            leader_->SeenProgress(pack, pair.second);
+            leader_->OnProgressVersion(pack, pair.second);
           }
         }
         return true;
@@ -266,10 +269,10 @@
       case Event::kOtherEnds:
         return Ends(1);
       case Event::kOver: {
-        const auto ids = leader_->TakeCompleted();
+        const auto ids = leader_->TakeCompletedJobs();
         if (ids.empty()) return false;
         if (live_ == 0) {
-          leader_->CompletionFailed(ids[0]);
+          leader_->OnCompletionFailed(ids[0]);
           return true;
         }
         over_ = true;
@@ -293,7 +296,7 @@
         if (!alive_) return false;
         alive_ = false;
         a_.attempts.clear();
-        leader_->MachineDeleted(a_.id, now_);
+        leader_->OnMachineDeleted(a_.id, now_);
         return true;
       case Event::kEvents:
         return false;
@@ -303,7 +306,7 @@
 
   const bool conditions_;
   const config::Settings settings_ = simulation::SmallSettings();
-  const config::Derived derived_{settings_};
+  const config::DerivedSettings derived_{settings_};
   double now_ = 1;
   wire::JobSpec job_;
   // The state service.
@@ -315,13 +318,13 @@
   std::map<std::string, std::pair<wire::Json, uint64_t>> pairs_;  // packs and their versions
   std::vector<Change> under_way_;
   // The leader.
-  std::unique_ptr<Dispatcher> leader_;
+  std::unique_ptr<Scheduler> leader_;
   bool waiting_ = false;  // for the answer to the last change
   int elections_ = 0;
   // The machines.
   bool alive_ = true;  // the first
-  PlainWorker a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainWorker b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  PlainAgent a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
+  PlainAgent b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
   std::set<std::pair<uint32_t, uint64_t>> ended_;  // task, attempt
   std::set<uint32_t> ended_tasks_;
   std::string lost_;
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -9,7 +9,7 @@
 #include <array>
 #include <functional>
 
-#include "mosspath/election/cancelled.h"
+#include "mosspath/election/cancellation_log.h"
 #include "simulation/cluster.h"
 
 namespace mosspath::election {
@@ -19,7 +19,7 @@
 
 config::Settings Settings(const std::string& node = "hut-0") {
   config::Settings s = simulation::SmallSettings();
-  s.node = node;
+  s.name = node;
   for (const std::string other : {"hut-0", "hut-1", "hut-2"}) {
     if (other != node) s.peers.push_back({other, "east", other});
   }
@@ -32,37 +32,37 @@
 
   // Elected at 10 under this token, having read all up to it.
   void Lead(uint64_t token) {
-    l_.Granted(7, 10);
-    l_.Loaded(false);
-    EXPECT_EQ(l_.Next(10).kind, Kind::kCampaign);
-    l_.Read({"hut-0", 7, token});
-    EXPECT_EQ(l_.Next(10).kind, Kind::kElected);
-    l_.Seen(10, token);
+    l_.OnStoreLeaseGranted(7, 10);
+    l_.OnLoaded(false);
+    EXPECT_EQ(l_.NextStep(10).kind, Kind::kCampaign);
+    l_.OnLeaderKey({"hut-0", 7, token});
+    EXPECT_EQ(l_.NextStep(10).kind, Kind::kElected);
+    l_.OnReadUpTo(10, token);
   }
-  static wire::VouchAnswer Says(uint64_t newest, uint64_t from,
-                                std::vector<wire::CancelledPart::Entry> ids = {}) {
+  static wire::PromiseResponse Says(uint64_t newest, uint64_t from,
+                                    std::vector<wire::CancellationLogSlice::Entry> ids = {}) {
     return {true, {newest, from, std::max(newest, from), std::move(ids)}};
   }
-  std::vector<std::string> Hear(uint64_t round, const char* peer, const wire::VouchAnswer& answer,
-                                double now) {
-    std::vector<wire::CancelledPart::Entry> learned;
-    understood_ = l_.Answered(round, peer, answer, now, learned);
+  std::vector<std::string> Hear(uint64_t round, const char* peer,
+                                const wire::PromiseResponse& answer, double now) {
+    std::vector<wire::CancellationLogSlice::Entry> learned;
+    understood_ = l_.OnPromiseResponse(round, peer, answer, now, learned);
     std::vector<std::string> ids;
     for (const auto& e : learned) ids.push_back(e.id);
     return ids;
   }
   // As a peer that has read up to 100, where hut-1 leads under 90.
   void Follow() {
-    l_.Loaded(false);
-    l_.Read({"hut-1", 9, 90});
-    l_.Seen(10, 100);
+    l_.OnLoaded(false);
+    l_.OnLeaderKey({"hut-1", 9, 90});
+    l_.OnReadUpTo(10, 100);
   }
   bool Promises(uint64_t token, double contact, double now, const std::string& asker = "hut-1") {
-    return l_.Asked({asker, token, 0}, contact, now).promised;
+    return l_.OnPromiseRequest({asker, token, 0}, contact, now).promised;
   }
 
   const config::Settings settings_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   Leadership l_;
   bool understood_ = false;
 };
@@ -70,135 +70,136 @@
 TEST_F(LeadershipTest, LeadsUnderTheKeysVersionWhileItsGrantAndItsViewHold) {
   Lead(50);
   EXPECT_EQ(l_.token(), 50u);
-  EXPECT_TRUE(l_.Entitled(10 + derived_.grant_s / 2));
-  EXPECT_FALSE(l_.Entitled(10 + derived_.grant_s));
-  for (double now = 10; now < 40; now += derived_.renew_s) l_.Renewed(now);
-  EXPECT_FALSE(l_.Entitled(10 + derived_.view_s + 0.1));  // its view is too old
-  l_.Seen(39, 60);
-  EXPECT_TRUE(l_.Entitled(40));
-  const auto lost = l_.Read({"hut-1", 9, 61});
+  EXPECT_TRUE(l_.MayAct(10 + derived_.store_lease_s / 2));
+  EXPECT_FALSE(l_.MayAct(10 + derived_.store_lease_s));
+  for (double now = 10; now < 40; now += derived_.store_lease_renew_s) l_.OnStoreLeaseRenewed(now);
+  EXPECT_FALSE(l_.MayAct(10 + derived_.max_view_age_s + 0.1));  // its view is too old
+  l_.OnReadUpTo(39, 60);
+  EXPECT_TRUE(l_.MayAct(40));
+  const auto lost = l_.OnLeaderKey({"hut-1", 9, 61});
   ASSERT_TRUE(lost);
   EXPECT_EQ(lost->token, 50u);
-  EXPECT_FALSE(l_.Entitled(40));
+  EXPECT_FALSE(l_.MayAct(40));
 }
 
 // Whatever the process before it promised it may have promised just then.
 TEST_F(LeadershipTest, LeadsOnlyAfterItsPromise) {
   Leadership back(settings_, derived_, 10);
-  back.Granted(8, 10);
-  back.Loaded(false);
-  back.Read({"hut-0", 8, 70});
-  EXPECT_EQ(back.Next(10 + derived_.promise_s / 2).kind, Kind::kWait);
-  EXPECT_EQ(back.Next(10 + derived_.promise_s + 0.01).kind, Kind::kElected);
+  back.OnStoreLeaseGranted(8, 10);
+  back.OnLoaded(false);
+  back.OnLeaderKey({"hut-0", 8, 70});
+  EXPECT_EQ(back.NextStep(10 + derived_.promise_s / 2).kind, Kind::kWait);
+  EXPECT_EQ(back.NextStep(10 + derived_.promise_s + 0.01).kind, Kind::kElected);
   // Where nobody ever led there is nobody to have promised.
   Leadership first(settings_, derived_, 10);
-  first.Granted(8, 10);
-  first.Loaded(true);
-  first.Read({"hut-0", 8, 1});
-  EXPECT_EQ(first.Next(10).kind, Kind::kElected);
+  first.OnStoreLeaseGranted(8, 10);
+  first.OnLoaded(true);
+  first.OnLeaderKey({"hut-0", 8, 1});
+  EXPECT_EQ(first.NextStep(10).kind, Kind::kElected);
 }
 
 TEST_F(LeadershipTest, OthersGoFirstAfterItResigned) {
   Lead(50);
   ASSERT_TRUE(l_.Resign("", 11));
-  l_.Granted(8, 11);
-  l_.Read({});
-  EXPECT_EQ(l_.Next(11).kind, Kind::kWait);
-  EXPECT_EQ(l_.Next(11 + derived_.grant_s / 4).kind, Kind::kWait);
-  EXPECT_EQ(l_.Next(11 + derived_.grant_s / 2 + 0.01).kind, Kind::kCampaign);  // nobody does
+  l_.OnStoreLeaseGranted(8, 11);
+  l_.OnLeaderKey({});
+  EXPECT_EQ(l_.NextStep(11).kind, Kind::kWait);
+  EXPECT_EQ(l_.NextStep(11 + derived_.store_lease_s / 4).kind, Kind::kWait);
+  EXPECT_EQ(l_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind,
+            Kind::kCampaign);  // nobody does
 }
 
 TEST_F(LeadershipTest, GoesOnWhileAllPeersVouch) {
   Lead(50);
-  const double now = 10 + derived_.grant_s;
-  EXPECT_FALSE(l_.Ask(now - 0.1, now));  // the service answers
-  auto round = l_.Ask(10, now);
+  const double now = 10 + derived_.store_lease_s;
+  EXPECT_FALSE(l_.BeginPromiseRound(now - 0.1, now));  // the service answers
+  auto round = l_.BeginPromiseRound(10, now);
   ASSERT_TRUE(round);
   Hear(*round, "hut-1", Says(40, 50), now);
-  EXPECT_FALSE(l_.Entitled(now));  // one of two
+  EXPECT_FALSE(l_.MayAct(now));  // one of two
   Hear(*round - 1, "hut-2", Says(40, 50), now);
-  EXPECT_FALSE(l_.Entitled(now));  // of an earlier round
-  Hear(*round, "hut-2", {false, Says(40, 50).cancelled}, now);
-  EXPECT_FALSE(l_.Entitled(now));  // no promise
+  EXPECT_FALSE(l_.MayAct(now));  // of an earlier round
+  Hear(*round, "hut-2", {false, Says(40, 50).cancellations}, now);
+  EXPECT_FALSE(l_.MayAct(now));  // no promise
   Hear(*round, "hut-2", Says(40, 50), now + 0.1);
-  EXPECT_TRUE(l_.Entitled(now + 0.1));
+  EXPECT_TRUE(l_.MayAct(now + 0.1));
   EXPECT_NEAR(l_.view_age_s(now + 0.1), 0.1, 1e-9);  // as good as a look when it was asked for
-  EXPECT_FALSE(l_.Entitled(now + derived_.promise_s));
+  EXPECT_FALSE(l_.MayAct(now + derived_.promise_s));
 }
 
 // Told by one peer while this leader was refused alone: its tasks must not go on.
 TEST_F(LeadershipTest, ACancellationThatItHasNotReadIsLearnedFirst) {
   Lead(50);
-  const double now = 10 + derived_.grant_s;
-  const uint64_t round = *l_.Ask(10, now);
+  const double now = 10 + derived_.store_lease_s;
+  const uint64_t round = *l_.BeginPromiseRound(10, now);
   Hear(round, "hut-1", Says(0, 50), now);
   // The peer's process is new: what the one before it told can't be listed.
   EXPECT_TRUE(Hear(round, "hut-2", Says(60, 60), now).empty());
-  EXPECT_FALSE(l_.Entitled(now));
+  EXPECT_FALSE(l_.MayAct(now));
   // Nor does what it lists beyond that make up for it.
   Hear(round, "hut-2", Says(70, 60, {{"req-1", 70}}), now);
-  EXPECT_FALSE(l_.Entitled(now));
-  l_.Seen(10, 60);
-  EXPECT_EQ(l_.Question().seen, 60u);
-  const uint64_t next = *l_.Ask(10, now);
+  EXPECT_FALSE(l_.MayAct(now));
+  l_.OnReadUpTo(10, 60);
+  EXPECT_EQ(l_.MakePromiseRequest().read_revision, 60u);
+  const uint64_t next = *l_.BeginPromiseRound(10, now);
   Hear(next, "hut-1", Says(0, 60), now);
   EXPECT_EQ(Hear(next, "hut-2", Says(80, 60, {{"req-1", 70}, {"req-2", 80}}), now),
             (std::vector<std::string>{"req-1", "req-2"}));
-  EXPECT_TRUE(l_.Entitled(now));
+  EXPECT_TRUE(l_.MayAct(now));
 }
 
 // The answers to two changes come to a peer in the other order: it learns of the earlier
 // cancellation after it has told of the later one. Asked for what is later only, it never said so.
 TEST_F(LeadershipTest, AnEarlierCancellationMayBecomeKnownLater) {
   Lead(50);
-  Cancelled peer(10);
-  peer.MayHaveTold(40);
-  peer.Known("req-2", 80);
-  const double now = 10 + derived_.grant_s;
+  CancellationLog peer(10);
+  peer.AssumeReportedUpTo(40);
+  peer.Add("req-2", 80);
+  const double now = 10 + derived_.store_lease_s;
   const auto round = [&](double at) {
-    const uint64_t n = *l_.Ask(10, at);
+    const uint64_t n = *l_.BeginPromiseRound(10, at);
     Hear(n, "hut-1", Says(0, 50), at);
-    return Hear(n, "hut-2", {true, peer.Since(l_.Question().seen)}, at);
+    return Hear(n, "hut-2", {true, peer.Since(l_.MakePromiseRequest().read_revision)}, at);
   };
   EXPECT_EQ(round(now), std::vector<std::string>{"req-2"});
-  peer.Known("req-1", 70);
+  peer.Add("req-1", 70);
   EXPECT_EQ(round(now + 0.1), (std::vector<std::string>{"req-1", "req-2"}));
 }
 
 // More than an answer holds: what it lists is ended, but it is no look.
 TEST_F(LeadershipTest, AHalfLearnedListIsNoLook) {
   Lead(50);
-  const double now = 10 + derived_.grant_s;
-  const uint64_t round = *l_.Ask(10, now);
+  const double now = 10 + derived_.store_lease_s;
+  const uint64_t round = *l_.BeginPromiseRound(10, now);
   Hear(round, "hut-1", Says(0, 50), now);
-  wire::VouchAnswer part = Says(90, 50, {{"req-1", 60}});
-  part.cancelled.upto = 80;
+  wire::PromiseResponse part = Says(90, 50, {{"req-1", 60}});
+  part.cancellations.to_revision = 80;
   EXPECT_EQ(Hear(round, "hut-2", part, now), std::vector<std::string>{"req-1"});
-  EXPECT_FALSE(l_.Entitled(now));
+  EXPECT_FALSE(l_.MayAct(now));
 }
 
 // What has ended while it read anew it does not know, whatever the revision of the first page says.
 TEST_F(LeadershipTest, ALeaderThatReadsAnewIsNotVouchedFor) {
   Lead(50);
-  const double now = 10 + derived_.grant_s;
-  const uint64_t round = *l_.Ask(10, now);
+  const double now = 10 + derived_.store_lease_s;
+  const uint64_t round = *l_.BeginPromiseRound(10, now);
   Hear(round, "hut-1", Says(0, 50), now);
   l_.Reset();
   Hear(round, "hut-2", Says(0, 50), now);
-  EXPECT_FALSE(l_.Entitled(now));
-  EXPECT_FALSE(l_.Ask(10, now));
+  EXPECT_FALSE(l_.MayAct(now));
+  EXPECT_FALSE(l_.BeginPromiseRound(10, now));
 }
 
 TEST_F(LeadershipTest, APeerPromisesOnlyWhatItKnows) {
   EXPECT_FALSE(Promises(90, 0, 20));  // it has read nothing
-  l_.Read({"hut-1", 9, 90});
+  l_.OnLeaderKey({"hut-1", 9, 90});
   EXPECT_FALSE(Promises(90, 0, 20));  // not all: what the process before it told is not known
   Follow();
   EXPECT_FALSE(Promises(90, 19.9, 20));  // it can do without the leader
   EXPECT_TRUE(Promises(90, 0, 20));
   EXPECT_FALSE(Promises(89, 0, 20));  // a leader of the past
-  l_.Read({});
-  l_.Seen(15, 110);
+  l_.OnLeaderKey({});
+  l_.OnReadUpTo(15, 110);
   EXPECT_FALSE(Promises(90, 0, 20));  // its key is gone
 }
 
@@ -208,86 +209,87 @@
   Lead(50);
   EXPECT_FALSE(Promises(50, 10, 20));  // nobody else leads under its own token
   EXPECT_EQ(l_.token(), 50u);
-  const auto promise = l_.Asked({"hut-1", 60, 0}, 10, 20);
+  const auto promise = l_.OnPromiseRequest({"hut-1", 60, 0}, 10, 20);
   EXPECT_TRUE(promise.promised);
-  ASSERT_TRUE(promise.lost);
-  EXPECT_EQ(promise.lost->token, 50u);
+  ASSERT_TRUE(promise.loss);
+  EXPECT_EQ(promise.loss->token, 50u);
   EXPECT_EQ(l_.token(), 0u);
   EXPECT_EQ(l_.leader(), "hut-1");
   EXPECT_FALSE(Promises(50, 10, 20, "hut-2"));  // nor anybody earlier any more
-  EXPECT_EQ(l_.Next(20).kind, Kind::kNone);
+  EXPECT_EQ(l_.NextStep(20).kind, Kind::kNone);
   // What it reads later goes before what it was told.
-  l_.Read({});
-  l_.Seen(21, 70);
+  l_.OnLeaderKey({});
+  l_.OnReadUpTo(21, 70);
   EXPECT_FALSE(Promises(60, 10, 22));
 }
 
 TEST_F(LeadershipTest, WhatCannotBeIsNoPromise) {
   Follow();
-  EXPECT_FALSE(l_.Asked({"hut-1", 1'000'000, 0}, 0, 20).understood);
-  EXPECT_FALSE(l_.Asked({"hut-1", 90, 1'000'000}, 0, 20).understood);
-  EXPECT_FALSE(l_.Asked({"hut-9", 90, 0}, 0, 20).understood);
-  EXPECT_FALSE(l_.Asked({"hut-1", 0, 0}, 0, 20).understood);
-  EXPECT_TRUE(l_.Asked({"hut-1", 90, 0}, 0, 20).understood);
+  EXPECT_FALSE(l_.OnPromiseRequest({"hut-1", 1'000'000, 0}, 0, 20).well_formed);
+  EXPECT_FALSE(l_.OnPromiseRequest({"hut-1", 90, 1'000'000}, 0, 20).well_formed);
+  EXPECT_FALSE(l_.OnPromiseRequest({"hut-9", 90, 0}, 0, 20).well_formed);
+  EXPECT_FALSE(l_.OnPromiseRequest({"hut-1", 0, 0}, 0, 20).well_formed);
+  EXPECT_TRUE(l_.OnPromiseRequest({"hut-1", 90, 0}, 0, 20).well_formed);
   Leadership leader(settings_, derived_, 0);
-  leader.Granted(7, 10);
-  leader.Loaded(true);
-  leader.Read({"hut-0", 7, 5});
-  leader.Next(10);
-  leader.Seen(10, 5);
-  std::vector<wire::CancelledPart::Entry> learned;
-  const uint64_t round = *leader.Ask(10, 12);
-  EXPECT_FALSE(leader.Answered(round, "hut-1", Says(1'000'000, 5), 12, learned));
+  leader.OnStoreLeaseGranted(7, 10);
+  leader.OnLoaded(true);
+  leader.OnLeaderKey({"hut-0", 7, 5});
+  leader.NextStep(10);
+  leader.OnReadUpTo(10, 5);
+  std::vector<wire::CancellationLogSlice::Entry> learned;
+  const uint64_t round = *leader.BeginPromiseRound(10, 12);
+  EXPECT_FALSE(leader.OnPromiseResponse(round, "hut-1", Says(1'000'000, 5), 12, learned));
   EXPECT_TRUE(learned.empty());
 }
 
 // ---------------------------------------------------------------------------- cancellations
 
-std::vector<std::string> Ids(const wire::CancelledPart& part) {
+std::vector<std::string> Ids(const wire::CancellationLogSlice& part) {
   std::vector<std::string> ids;
-  for (const auto& e : part.ids) ids.push_back(e.id);
+  for (const auto& e : part.entries) ids.push_back(e.id);
   return ids;
 }
 
 TEST(Cancelled, ListsWhatCameSince) {
-  Cancelled c(10);
-  c.MayHaveTold(100);  // by the process before
-  c.Known("req-1", 90);
+  CancellationLog c(10);
+  c.AssumeReportedUpTo(100);  // by the process before
+  c.Add("req-1", 90);
   EXPECT_EQ(c.newest(), 100u);
-  EXPECT_TRUE(c.Since(0).ids.empty());
-  EXPECT_EQ(c.Since(0).from, 100u);
-  c.Known("req-2", 120);
-  c.Known("req-2", 120);  // its own answer, and the mirror
-  c.Known("req-3", 110);
+  EXPECT_TRUE(c.Since(0).entries.empty());
+  EXPECT_EQ(c.Since(0).from_revision, 100u);
+  c.Add("req-2", 120);
+  c.Add("req-2", 120);  // its own answer, and the mirror
+  c.Add("req-3", 110);
   EXPECT_EQ(Ids(c.Since(100)), (std::vector<std::string>{"req-3", "req-2"}));
   EXPECT_EQ(Ids(c.Since(110)), std::vector<std::string>{"req-2"});
-  EXPECT_EQ(c.Since(130).upto, 130u);
-  c.MayHaveTold(115);
+  EXPECT_EQ(c.Since(130).to_revision, 130u);
+  c.AssumeReportedUpTo(115);
   EXPECT_EQ(Ids(c.Since(100)), std::vector<std::string>{"req-2"});
-  EXPECT_EQ(c.Since(100).from, 115u);
+  EXPECT_EQ(c.Since(100).from_revision, 115u);
 }
 
 TEST(Cancelled, ForgetsTheEarliestAndSaysSo) {
-  Cancelled c(3);
-  for (uint64_t i = 1; i <= 5; ++i) c.Known("req-" + std::to_string(i), 10 * i);
-  EXPECT_EQ(c.Since(0).from, 20u);
+  CancellationLog c(3);
+  for (uint64_t i = 1; i <= 5; ++i) c.Add("req-" + std::to_string(i), 10 * i);
+  EXPECT_EQ(c.Since(0).from_revision, 20u);
   EXPECT_EQ(Ids(c.Since(0)), (std::vector<std::string>{"req-3", "req-4", "req-5"}));
 }
 
 TEST(Cancelled, AnAnswerHoldsSoMany) {
-  Cancelled c(4 * wire::kMostCancelledIds);
-  const uint64_t n = 2 * wire::kMostCancelledIds + 7;
-  for (uint64_t i = 1; i <= n; ++i) c.Known("req-" + std::to_string(i), (i + 2) / 2);
+  CancellationLog c(4 * wire::kMaxCancelledIds);
+  const uint64_t n = 2 * wire::kMaxCancelledIds + 7;
+  for (uint64_t i = 1; i <= n; ++i) c.Add("req-" + std::to_string(i), (i + 2) / 2);
   std::set<std::string> seen;
   uint64_t from = 0;
   int parts = 0;
   while (from < c.newest()) {
-    const auto part = wire::DecodeVouchAnswer(wire::Encode(wire::VouchAnswer{true, c.Since(from)}));
-    EXPECT_LE(part.cancelled.ids.size(), wire::kMostCancelledIds);
-    EXPECT_EQ(part.cancelled.from, from);
-    ASSERT_GT(part.cancelled.upto, from);
-    for (const auto& e : part.cancelled.ids) EXPECT_TRUE(seen.insert(e.id).second);
-    from = part.cancelled.upto;
+    const auto part =
+        wire::DecodePromiseResponse(wire::Encode(wire::PromiseResponse{true, c.Since(from)}));
+    EXPECT_LE(part.cancellations.entries.size(), wire::kMaxCancelledIds);
+    EXPECT_EQ(part.cancellations.from_revision, from);
+    ASSERT_GT(part.cancellations.to_revision, from);
+    for (const auto& e : part.cancellations.entries) EXPECT_TRUE(seen.insert(e.id).second);
+    from = part.cancellations.to_revision;
     ++parts;
   }
   EXPECT_EQ(seen.size(), n);
@@ -295,34 +297,34 @@
 }
 
 TEST(VouchFrame, WhatNoWriterWritesIsRefused) {
-  const std::string question = wire::Encode(wire::VouchQuestion{"hut-1", 70'000, 300});
-  EXPECT_EQ(wire::DecodeVouchQuestion(question).token, 70'000u);
+  const std::string question = wire::Encode(wire::PromiseRequest{"hut-1", 70'000, 300});
+  EXPECT_EQ(wire::DecodePromiseRequest(question).token, 70'000u);
   const std::string answer =
-      wire::Encode(wire::VouchAnswer{true, {300, 100, 300, {{"req-1", 200}, {"req-2", 300}}}});
-  EXPECT_EQ(wire::DecodeVouchAnswer(answer).cancelled.ids.size(), 2u);
+      wire::Encode(wire::PromiseResponse{true, {300, 100, 300, {{"req-1", 200}, {"req-2", 300}}}});
+  EXPECT_EQ(wire::DecodePromiseResponse(answer).cancellations.entries.size(), 2u);
   for (size_t n = 0; n < question.size(); ++n) {
-    EXPECT_THROW(wire::DecodeVouchQuestion(question.substr(0, n)), wire::BadMessage) << n;
+    EXPECT_THROW(wire::DecodePromiseRequest(question.substr(0, n)), wire::BadMessage) << n;
   }
   for (size_t n = 0; n < answer.size(); ++n) {
-    EXPECT_THROW(wire::DecodeVouchAnswer(answer.substr(0, n)), wire::BadMessage) << n;
+    EXPECT_THROW(wire::DecodePromiseResponse(answer.substr(0, n)), wire::BadMessage) << n;
   }
-  EXPECT_THROW(wire::DecodeVouchQuestion(question + '\0'), wire::BadMessage);
-  EXPECT_THROW(wire::DecodeVouchAnswer(answer + '\0'), wire::BadMessage);
+  EXPECT_THROW(wire::DecodePromiseRequest(question + '\0'), wire::BadMessage);
+  EXPECT_THROW(wire::DecodePromiseResponse(answer + '\0'), wire::BadMessage);
   for (const char version : {'\1', '\3'}) {
-    EXPECT_THROW(wire::DecodeVouchQuestion(version + question.substr(1)), wire::BadMessage);
-    EXPECT_THROW(wire::DecodeVouchAnswer(version + answer.substr(1)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodePromiseRequest(version + question.substr(1)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodePromiseResponse(version + answer.substr(1)), wire::BadMessage);
   }
-  using Ids = std::vector<wire::CancelledPart::Entry>;
+  using Ids = std::vector<wire::CancellationLogSlice::Entry>;
   for (const Ids& ids : {Ids{{"req-2", 300}, {"req-1", 200}}, Ids{{"req-1", 100}},
                          Ids{{"req-1", 301}}, Ids{{"vm-1", 200}}}) {
-    EXPECT_THROW(
-        wire::DecodeVouchAnswer(wire::Encode(wire::VouchAnswer{true, {300, 100, 300, ids}})),
-        wire::BadMessage);
+    EXPECT_THROW(wire::DecodePromiseResponse(
+                     wire::Encode(wire::PromiseResponse{true, {300, 100, 300, ids}})),
+                 wire::BadMessage);
   }
   Ids many;
-  for (uint64_t i = 0; i <= wire::kMostCancelledIds; ++i) many.push_back({"req-1", 200});
+  for (uint64_t i = 0; i <= wire::kMaxCancelledIds; ++i) many.push_back({"req-1", 200});
   EXPECT_THROW(
-      wire::DecodeVouchAnswer(wire::Encode(wire::VouchAnswer{true, {300, 100, 300, many}})),
+      wire::DecodePromiseResponse(wire::Encode(wire::PromiseResponse{true, {300, 100, 300, many}})),
       wire::BadMessage);
 }
 
@@ -362,16 +364,16 @@
   void Step(Event e) {
     switch (e) {
       case Event::kTime:
-        return Run(settings_.lease_s / 2);
+        return Run(settings_.agent_lease_s / 2);
       case Event::kMoment:
-        return Run(derived_.grant_s * 0.4);
+        return Run(derived_.store_lease_s * 0.4);
       case Event::kRefuse:
         refused_ = !refused_;
         return;
       case Event::kOutage:
         down_ = !down_;
         // Every lease has its full time again.
-        for (auto& [id, until] : grants_) until = now_ + derived_.grant_s;
+        for (auto& [id, until] : grants_) until = now_ + derived_.store_lease_s;
         return;
       case Event::kCancel:
         if (down_ || cancelled_ != 0) return;
@@ -402,7 +404,8 @@
       s += fmt::format(" {} {} {} {} {} {:.1f} {:.1f} {} {}", n.lead->token(),
                        n.lead->leader_token(), n.loaded, n.knows, n.told->newest() >= cancelled_,
                        std::min(99.0, n.lead->view_age_s(now_)), std::min(9.0, now_ - n.contact),
-                       n.lead->Entitled(now_), n.lead->Question().seen >= cancelled_);
+                       n.lead->MayAct(now_),
+                       n.lead->MakePromiseRequest().read_revision >= cancelled_);
     }
     return s;
   }
@@ -411,7 +414,7 @@
   struct Node {
     std::string name;
     std::optional<Leadership> lead;
-    std::optional<Cancelled> told;
+    std::optional<CancellationLog> told;
     double contact = -1e18;
     int loaded = 0;      // 1: a first page, 2: all
     bool knows = false;  // that the job is cancelled
@@ -429,12 +432,12 @@
     ++n.life;
   }
   void Learn(Node& n, uint64_t revision) {
-    n.told->Known("req-1", revision);
+    n.told->Add("req-1", revision);
     n.knows = true;
   }
   bool AnyEntitled() const {
     return std::any_of(nodes_.begin(), nodes_.end(),
-                       [&](const Node& n) { return n.lead->Entitled(now_); });
+                       [&](const Node& n) { return n.lead->MayAct(now_); });
   }
 
   void Run(double for_s) {
@@ -452,30 +455,30 @@
   // The state service answers it.
   void Reach(Node& n) {
     n.contact = now_;
-    const uint64_t grant = n.lead->grant();
+    const uint64_t grant = n.lead->store_lease();
     if (grant == 0) {
-      n.lead->Granted(++next_grant_, now_);
-      grants_[next_grant_] = now_ + derived_.grant_s;
+      n.lead->OnStoreLeaseGranted(++next_grant_, now_);
+      grants_[next_grant_] = now_ + derived_.store_lease_s;
     } else if (!grants_.contains(grant)) {
-      n.lead->GrantEnded();
+      n.lead->OnStoreLeaseEnded();
     } else {
-      n.lead->Renewed(now_);
-      grants_[grant] = now_ + derived_.grant_s;
+      n.lead->OnStoreLeaseRenewed(now_);
+      grants_[grant] = now_ + derived_.store_lease_s;
     }
     // Keys are read in the order of their names: the leader's comes long before all is known.
-    n.lead->Read(key_);
+    n.lead->OnLeaderKey(key_);
     if (n.loaded == 0 && without_ != Without::kLoaded) {
       n.loaded = 1;
       return;
     }
-    if (n.loaded < 2 && without_ != Without::kLoaded) n.told->MayHaveTold(revision_);
+    if (n.loaded < 2 && without_ != Without::kLoaded) n.told->AssumeReportedUpTo(revision_);
     n.loaded = 2;
-    n.lead->Loaded(revision_ == 0);
+    n.lead->OnLoaded(revision_ == 0);
     if (cancelled_ != 0 && without_ != Without::kLoaded) Learn(n, cancelled_);
-    n.lead->Seen(now_, revision_);
-    const auto step = n.lead->Next(now_);
+    n.lead->OnReadUpTo(now_, revision_);
+    const auto step = n.lead->NextStep(now_);
     if (step.kind == Kind::kCampaign && key_.version == step.version) {
-      key_ = {n.name, n.lead->grant(), ++revision_};
+      key_ = {n.name, n.lead->store_lease(), ++revision_};
     }
     if (step.kind == Kind::kElected) n.knows = n.knows || cancelled_ != 0;
   }
@@ -485,7 +488,7 @@
         ++it;
         continue;
       }
-      if (key_.version != 0 && key_.grant == it->first) {
+      if (key_.version != 0 && key_.store_lease == it->first) {
         ++revision_;
         key_ = {};
       }
@@ -494,22 +497,23 @@
   }
   void Ask(size_t i) {
     Node& n = nodes_[i];
-    const auto round = n.lead->Ask(n.contact, now_);
+    const auto round = n.lead->BeginPromiseRound(n.contact, now_);
     if (!round) return;
     for (size_t k = 0; k < nodes_.size(); ++k) {
       if (k == i || (apart_ && (k == 2 || i == 2))) continue;
       Node& peer = nodes_[k];
-      const auto question = wire::DecodeVouchQuestion(wire::Encode(n.lead->Question()));
-      const auto promise = peer.lead->Asked(question, peer.contact, now_);
-      if (!promise.understood) continue;
-      wire::VouchAnswer answer{promise.promised, peer.told->Since(question.seen)};
-      if (without_ == Without::kNewest) answer.cancelled = {0, 0, question.seen, {}};
+      const auto question = wire::DecodePromiseRequest(wire::Encode(n.lead->MakePromiseRequest()));
+      const auto promise = peer.lead->OnPromiseRequest(question, peer.contact, now_);
+      if (!promise.well_formed) continue;
+      wire::PromiseResponse answer{promise.promised, peer.told->Since(question.read_revision)};
+      if (without_ == Without::kNewest) answer.cancellations = {0, 0, question.read_revision, {}};
       const auto deliver = [this, i, round = *round, name = peer.name, life = n.life,
                             text = wire::Encode(answer)] {
         Node& asked = nodes_[i];
         if (asked.life != life) return;
-        std::vector<wire::CancelledPart::Entry> learned;
-        asked.lead->Answered(round, name, wire::DecodeVouchAnswer(text), now_, learned);
+        std::vector<wire::CancellationLogSlice::Entry> learned;
+        asked.lead->OnPromiseResponse(round, name, wire::DecodePromiseResponse(text), now_,
+                                      learned);
         if (without_ == Without::kLearned) return;
         for (const auto& e : learned) Learn(asked, e.revision);
         learned_ = learned_ || !learned.empty();
@@ -523,25 +527,25 @@
   }
   // The worker reports to whoever answers it, now and then.
   void Work() {
-    if (now_ - lease_from_ > settings_.lease_s) {
+    if (now_ - lease_from_ > settings_.agent_lease_s) {
       on_ = false;
       lease_from_ = now_;
     }
-    if (now_ - reported_ >= settings_.report_s) {
+    if (now_ - reported_ >= settings_.heartbeat_s) {
       reported_ = now_;
       for (const Node& n : nodes_) {
-        if (!n.lead->Entitled(now_) || n.lead->token() < worker_token_) continue;
+        if (!n.lead->MayAct(now_) || n.lead->token() < worker_token_) continue;
         worker_token_ = n.lead->token();
         lease_from_ = now_;
         if (n.knows) on_ = false;
       }
     }
-    broken_ = broken_ || (on_ && cancelled_ != 0 && now_ > told_at_ + settings_.cancel_s);
+    broken_ = broken_ || (on_ && cancelled_ != 0 && now_ > told_at_ + settings_.cancel_within_s);
   }
 
   const Without without_;
   const config::Settings settings_ = Settings();
-  const config::Derived derived_{settings_};
+  const config::DerivedSettings derived_{settings_};
   double now_ = 0;
   std::array<Node, 3> nodes_;
   // The state service.
@@ -550,7 +554,7 @@
   uint64_t revision_ = 0;
   uint64_t next_grant_ = 0;
   std::map<uint64_t, double> grants_;
-  Leadership::Key key_;
+  Leadership::LeaderKey key_;
   uint64_t cancelled_ = 0;
   double told_at_ = 0;
   // Between controllers.
--- a/tests/ledger_test.cc
+++ b/tests/ledger_test.cc
@@ -1,7 +1,5 @@
 // Acceptances that share records, against a plain state service: any order of accepting, ending,
 // tidying, looking and loading anew, with writes that are lost or done late.
-#include "mosspath/jobs/ledger.h"
-
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -9,6 +7,8 @@
 #include <random>
 #include <set>
 
+#include "mosspath/jobs/job_records.h"
+
 namespace mosspath::jobs {
 namespace {
 
@@ -59,14 +59,14 @@
 };
 
 struct Node {
-  Ledger ledger{kJob, kBatch};
+  JobRecords ledger{kJob, kBatch};
   uint64_t revision = 0;
 
   void Load(const Store& s) {
     ledger.Clear();
     revision = s.revision;
     for (const auto& [key, pair] : s.pairs) {
-      if (ledger.Holds(key)) ledger.Seen(key, &pair.first, pair.second);
+      if (ledger.OwnsKey(key)) ledger.OnRecord(key, &pair.first, pair.second);
     }
   }
   // Some of what it has not seen yet, in order.
@@ -76,8 +76,8 @@
       if (most-- == 0) return;
       const uint64_t whole = c.revision;  // a transaction is seen as a whole
       for (const auto& d : s.log) {
-        if (d.revision == whole && ledger.Holds(d.key)) {
-          ledger.Seen(d.key, d.value ? &*d.value : nullptr, d.revision);
+        if (d.revision == whole && ledger.OwnsKey(d.key)) {
+          ledger.OnRecord(d.key, d.value ? &*d.value : nullptr, d.revision);
         }
       }
       revision = whole;
@@ -116,7 +116,7 @@
       }
       w.conditions.emplace_back(kJob + id, 0);
       w.conditions.emplace_back("final/" + id, 0);
-      entries.push_back(Ledger::Entry(Spec(id), 1.0));
+      entries.push_back(JobRecords::EncodeEntry(Spec(id), 1.0));
       if (Below(6) == 0) {  // a controller that writes the older form
         w.changes.emplace_back(kJob + id, entries.back());
         under_way.push_back(std::move(w));
@@ -126,7 +126,7 @@
     if (entries.empty()) return;
     const std::string key = kBatch + std::to_string(batches++);
     w.conditions.emplace_back(key, 0);
-    w.changes.emplace_back(key, Ledger::Shared(std::move(entries)));
+    w.changes.emplace_back(key, JobRecords::EncodeBatch(std::move(entries)));
     under_way.push_back(std::move(w));
   }
 
@@ -137,11 +137,11 @@
     }
     std::vector<std::string> whole;
     for (const auto& id : ids) {
-      if (!n.ledger.End({id}, n.revision).empty()) whole.push_back(id);
+      if (!n.ledger.PlanEnd({id}, n.revision).empty()) whole.push_back(id);
     }
     if (whole.empty()) return;
     Write w;
-    Add(w, n.ledger.End(whole, n.revision));
+    Add(w, n.ledger.PlanEnd(whole, n.revision));
     for (const auto& id : whole) {
       w.conditions.emplace_back("final/" + id, 0);
       w.changes.emplace_back("final/" + id, wire::Json{});
@@ -199,7 +199,7 @@
           break;
         case 2: {
           Write w;
-          Add(w, n.ledger.Tidy(n.revision, 3));
+          Add(w, n.ledger.PlanCleanup(n.revision, 3));
           if (!w.changes.empty()) under_way.push_back(std::move(w));
           break;
         }
@@ -242,10 +242,10 @@
       for (const auto& [id, job] : n.ledger.live()) ids.push_back(id);
       Write w;
       if (ids.empty()) {
-        Add(w, n.ledger.Tidy(n.revision, 4));
+        Add(w, n.ledger.PlanCleanup(n.revision, 4));
         if (w.changes.empty()) break;
       } else {
-        Add(w, n.ledger.End({ids[0]}, n.revision));
+        Add(w, n.ledger.PlanEnd({ids[0]}, n.revision));
         w.conditions.emplace_back("final/" + ids[0], 0);
         w.changes.emplace_back("final/" + ids[0], wire::Json{});
       }
@@ -256,11 +256,11 @@
 }
 
 TEST(Ledger, WhatItCannotReadChangesNothing) {
-  Ledger l(kJob, kBatch);
-  const auto value = Ledger::Shared({Ledger::Entry(Spec("req-000001"), 1)});
-  EXPECT_EQ(l.Seen("batch/1", &value, 5).came.size(), 1u);
+  JobRecords l(kJob, kBatch);
+  const auto value = JobRecords::EncodeBatch({JobRecords::EncodeEntry(Spec("req-000001"), 1)});
+  EXPECT_EQ(l.OnRecord("batch/1", &value, 5).accepted.size(), 1u);
   const wire::Json broken = {{"jobs", {{{"spec", {}}}}}};
-  EXPECT_THROW(l.Seen("batch/1", &broken, 6), std::exception);
+  EXPECT_THROW(l.OnRecord("batch/1", &broken, 6), std::exception);
   ASSERT_NE(l.Find("req-000001"), nullptr);
   EXPECT_EQ(l.VersionOf("batch/1"), 5u);
 }
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -145,8 +145,8 @@
   std::string address_[kNodes];
   std::string back_[kNodes];
   pid_t pid_[kNodes] = {};
-  fakes::HttpState state_;
-  fakes::HttpCloud cloud_;
+  fakes::FakeKeyValueStore state_;
+  fakes::FakeCloud cloud_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
 };
 
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -4,19 +4,19 @@
 
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/http_server.h"
-#include "mosspath/net/rate.h"
-#include "mosspath/net/stall_watch.h"
+#include "mosspath/net/rate_limit.h"
+#include "mosspath/net/stall_detector.h"
 #include "mosspath/net/timer.h"
 
 namespace mosspath::net {
 namespace {
 
 TEST(TurnClock, TellsAPauseFromALateTurn) {
-  TurnClock c(0.5, 10);
-  EXPECT_FALSE(c.Turn(10.5));
-  EXPECT_FALSE(c.Turn(11.9));  // busy
-  EXPECT_EQ(c.Turn(25), 11.9);
-  EXPECT_FALSE(c.Turn(25.5));
+  LoopClock c(0.5, 10);
+  EXPECT_FALSE(c.OnTurn(10.5));
+  EXPECT_FALSE(c.OnTurn(11.9));  // busy
+  EXPECT_EQ(c.OnTurn(25), 11.9);
+  EXPECT_FALSE(c.OnTurn(25.5));
 }
 
 // What was queued before a leader stood still must not leave after it.
@@ -74,8 +74,9 @@
       : sockets(std::make_shared<SocketBudget>(n)),
         server(io, "127.0.0.1:0", {.sockets = sockets},
                [](const HttpRequest& r, const auto& respond) {
-                 HttpAnswer a{200, "{}"};
-                 a.party = r.path == "/user" ? Party::kUser : Party::kWorker;
+                 HttpResponse a{200, "{}"};
+                 a.connection_class =
+                     r.path == "/user" ? ConnectionClass::kUser : ConnectionClass::kAgent;
                  respond(std::move(a));
                }),
         address("127.0.0.1:" + std::to_string(server.port())) {}
@@ -103,36 +104,36 @@
   }
   HttpClient worker(served.io, served.address, {});
   for (int i = 0; i < 3; ++i) EXPECT_EQ(served.Ask(worker, "/worker"), 200);
-  EXPECT_GT(served.sockets->sent_off(Party::kUser), 0u);
-  EXPECT_EQ(served.sockets->used(Party::kWorker), 1u);
+  EXPECT_GT(served.sockets->closed_after_answer(ConnectionClass::kUser), 0u);
+  EXPECT_EQ(served.sockets->used(ConnectionClass::kAgent), 1u);
 }
 
 TEST(SocketBudget, EachPartyHasItsOwnAndNobodyElses) {
   SocketBudget b(1000);
   size_t workers = 0;
-  while (b.Take(Party::kNew)) {
-    b.Change(Party::kNew, Party::kWorker);
+  while (b.Acquire(ConnectionClass::kUnidentified)) {
+    b.Reclassify(ConnectionClass::kUnidentified, ConnectionClass::kAgent);
     ++workers;
   }
-  EXPECT_EQ(workers, b.limit(Party::kWorker));
-  EXPECT_EQ(b.refused(Party::kNew), 1u);
+  EXPECT_EQ(workers, b.limit(ConnectionClass::kAgent));
+  EXPECT_EQ(b.refused(ConnectionClass::kUnidentified), 1u);
   // All on the public address are taken; the others still have theirs.
-  EXPECT_TRUE(b.Take(Party::kOutside));
-  EXPECT_TRUE(b.Take(Party::kPeer));
+  EXPECT_TRUE(b.Acquire(ConnectionClass::kOutbound));
+  EXPECT_TRUE(b.Acquire(ConnectionClass::kPeer));
   size_t orders = 0;
-  while (b.Take(Party::kOrder)) ++orders;
-  EXPECT_EQ(orders, b.limit(Party::kOrder));
-  EXPECT_LE(b.limit(Party::kWorker) + b.limit(Party::kOrder) + b.limit(Party::kPeer) +
-                b.limit(Party::kOutside),
+  while (b.Acquire(ConnectionClass::kCommand)) ++orders;
+  EXPECT_EQ(orders, b.limit(ConnectionClass::kCommand));
+  EXPECT_LE(b.limit(ConnectionClass::kAgent) + b.limit(ConnectionClass::kCommand) +
+                b.limit(ConnectionClass::kPeer) + b.limit(ConnectionClass::kOutbound),
             1000u);
   // Workers that were answered give way until users have room again.
-  while (!b.MayStay(Party::kWorker)) b.Give(Party::kWorker);
-  EXPECT_GT(b.sent_off(Party::kWorker), 0u);
-  EXPECT_LE(b.used(Party::kWorker) * 10, b.limit(Party::kWorker) * 7);
+  while (!b.MayKeepAlive(ConnectionClass::kAgent)) b.Release(ConnectionClass::kAgent);
+  EXPECT_GT(b.closed_after_answer(ConnectionClass::kAgent), 0u);
+  EXPECT_LE(b.used(ConnectionClass::kAgent) * 10, b.limit(ConnectionClass::kAgent) * 7);
   for (int i = 0; i < 50; ++i) {
-    ASSERT_TRUE(b.Take(Party::kNew));
-    b.Change(Party::kNew, Party::kUser);
-    EXPECT_TRUE(b.MayStay(Party::kUser));
+    ASSERT_TRUE(b.Acquire(ConnectionClass::kUnidentified));
+    b.Reclassify(ConnectionClass::kUnidentified, ConnectionClass::kUser);
+    EXPECT_TRUE(b.MayKeepAlive(ConnectionClass::kUser));
   }
 }
 
@@ -150,8 +151,8 @@
     for (auto& w : workers) EXPECT_EQ(served.Ask(*w, "/worker"), 200);
     EXPECT_EQ(served.Ask(user, "/user"), 200);
   }
-  EXPECT_LT(served.sockets->used(Party::kWorker), 60u);
-  EXPECT_EQ(served.sockets->refused(Party::kNew), 0u);
+  EXPECT_LT(served.sockets->used(ConnectionClass::kAgent), 60u);
+  EXPECT_EQ(served.sockets->refused(ConnectionClass::kUnidentified), 0u);
 }
 
 // A deadline that expired in the same round as the answer came ended the request a second time.
@@ -172,10 +173,10 @@
 }
 
 TEST(RateBudget, AllowsTheBurstThenTheRate) {
-  RateBudget b(10, 5);
+  TokenBucket b(10, 5);
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(b.TryTake(1.0));
   EXPECT_FALSE(b.TryTake(1.0));
-  EXPECT_NEAR(b.Wait(1.0), 0.1, 1e-9);
+  EXPECT_NEAR(b.DelayFor(1.0), 0.1, 1e-9);
   EXPECT_TRUE(b.TryTake(1.11));
   EXPECT_FALSE(b.TryTake(1.11));
 }
