--- a/tests/report_model_test.cc
+++ b/tests/report_model_test.cc
@@ -11,16 +11,16 @@
 #include <string>
 #include <vector>
 
-#include "mosspath/scheduler/dispatcher.h"
-#include "simulation/cluster.h"
 #include "fakes/plain_worker.h"
+#include "mosspath/scheduler/scheduler.h"
+#include "simulation/cluster.h"
 
 namespace mosspath::scheduler {
 namespace {
 
 const wire::TaskId kTask{"req-1", 0};
 
-using fakes::PlainWorker;
+using fakes::PlainAgent;
 
 enum class Event {
   kAnswered,     // the machine reports, and is answered
@@ -50,8 +50,8 @@
     s.tasks = 1;
     s.cpus = 1;
     s.image = "img";
-    s.rank = wire::Rank::kHigh;
-    s.estimate_s = 100;
+    s.priority = wire::Priority::kHigh;
+    s.estimated_run_s = 100;
     job_ = s;
     leader_->AddJob(job_, 5, now_);
     leader_->Place(now_);
@@ -60,9 +60,9 @@
   // False: nothing like that can happen now.
   bool Step(Event e) {
     now_ += 0.6;
-    for (PlainWorker* w : {&a_, &b_}) w->LeaseAt(now_, settings_.lease_s);
+    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
     const bool happens = Happens(e);
-    for (PlainWorker* w : {&a_, &b_}) w->LeaseAt(now_, settings_.lease_s);
+    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
     leader_->Tick(now_);
     Durable();
     return happens;
@@ -72,20 +72,22 @@
 
   // All that may decide what comes next; times only as far as they matter.
   std::string State() const {
-    std::string out = fmt::format("{} {} {}", elections_, held_.size(), first_ ? first_->seq : 0);
-    for (const PlainWorker* w : {&a_, &b_}) {
+    std::string out =
+        fmt::format("{} {} {}", elections_, held_.size(), first_ ? first_->sequence : 0);
+    for (const PlainAgent* w : {&a_, &b_}) {
       out += fmt::format("|{} {} {} {:.0f}", w->session, w->seq, w->token, now_ - w->lease_from);
       for (const auto& [key, a] : w->attempts) {
         out += fmt::format(" {}:{}", key.second, static_cast<int>(a.state));
       }
     }
     for (const auto& [id, m] : leader_->machines()) {
-      out += fmt::format("|{} {} {} {} {}{}{}{} {:.0f} {:.0f}", id, m.session, m.seq, m.token,
-                         m.confirmed, m.lost, m.inherited, m.ignored, now_ - m.last_answered,
-                         m.DeafFor(now_));
-      for (const auto& [key, slot] : m.slots) {
-        out += fmt::format(" {}:{}{}{}", key.second, static_cast<int>(slot.state), slot.unsure,
-                           slot.stop);
+      out += fmt::format("|{} {} {} {} {}{}{}{} {:.0f} {:.0f}", id, m.agent_epoch,
+                         m.heartbeat_sequence, m.fencing_token, m.token_confirmed, m.lost,
+                         m.awaits_recovery, m.ignored_answers, now_ - m.lease_renewed_at,
+                         m.TokenUnconfirmedFor(now_));
+      for (const auto& [key, slot] : m.allocations) {
+        out += fmt::format(" {}:{}{}{}", key.second, static_cast<int>(slot.state),
+                           slot.start_unconfirmed, slot.stop_requested);
       }
     }
     return out;
@@ -93,55 +95,55 @@
 
  private:
   void Lead(uint64_t token) {
-    leader_ = std::make_unique<Dispatcher>(settings_, derived_, token, now_);
-    leader_->SetTypes({simulation::SmallType()});
+    leader_ = std::make_unique<Scheduler>(settings_, derived_, token, now_);
+    leader_->SetMachineTypes({simulation::SmallType()});
   }
   void Durable() {
     for (;;) {
       const auto batch = leader_->TakeRecords(100, 48u << 10);
       if (batch.empty()) return;
       for (const auto& w : batch.machines) records_[w.pack] = w.value;
-      leader_->RecordsWritten(++revision_, now_);
+      leader_->OnRecordsWritten(++revision_, now_);
     }
   }
-  void Answer(PlainWorker& w, bool arrives) {
-    const wire::Report r = w.Report();
+  void Answer(PlainAgent& w, bool arrives) {
+    const wire::Heartbeat r = w.Report();
     if (&w == &a_) {
       if (!first_) first_ = r;
       last_ = r;
     }
-    const ReportAnswer answer = leader_->OnReport(r, now_);
+    const HeartbeatAnswer answer = leader_->OnHeartbeat(r, now_);
     if (!arrives || !answer.accepted || answer.token < w.token) return;
     w.lease_from = now_;
     w.token = answer.token;
     w.Execute(answer.commands);
   }
   // A worker's answer to an order, if it takes it.
-  static bool Take(PlainWorker& w, const DirectOrder& o) {
-    if (o.token < w.token || o.session != w.session) return false;
-    w.token = o.token;
+  static bool Take(PlainAgent& w, const CommandBatch& o) {
+    if (o.fencing_token < w.token || o.agent_epoch != w.session) return false;
+    w.token = o.fencing_token;
     w.Execute(o.commands);
     return true;
   }
   bool Orders(Event e) {
     bool any = false;
-    for (const DirectOrder& o : leader_->TakeDirect(now_)) {
-      PlainWorker& w = o.machine == a_.id ? a_ : b_;
+    for (const CommandBatch& o : leader_->TakeCommands(now_)) {
+      PlainAgent& w = o.machine == a_.id ? a_ : b_;
       const bool meant = (&w == &a_) == (e != Event::kOther);
       any = any || meant;
       if (meant && e == Event::kOrderHeld) {
         held_.push_back(o);
-        leader_->OnDirect(o, DirectOutcome::kUnsure, nullptr, now_);
+        leader_->OnCommandOutcome(o, CommandOutcome::kUndetermined, nullptr, now_);
         continue;
       }
       const bool taken = Take(w, o);
-      const wire::Report r = w.Report();
+      const wire::Heartbeat r = w.Report();
       const bool lost = meant && e == Event::kOrderUnsure;
-      leader_->OnDirect(o,
-                        lost    ? DirectOutcome::kUnsure
-                        : taken ? DirectOutcome::kExecuted
-                                : DirectOutcome::kRefused,
-                        lost ? nullptr : &r, now_);
+      leader_->OnCommandOutcome(o,
+                                lost    ? CommandOutcome::kUndetermined
+                                : taken ? CommandOutcome::kExecuted
+                                        : CommandOutcome::kRefused,
+                                lost ? nullptr : &r, now_);
     }
     return any;
   }
@@ -163,8 +165,8 @@
       case Event::kCopyFirst:
       case Event::kCopyLast: {
         const auto& copy = e == Event::kCopyFirst ? first_ : last_;
-        if (!copy || (e == Event::kCopyFirst && first_->seq == last_->seq)) return false;
-        leader_->OnReport(*copy, now_);
+        if (!copy || (e == Event::kCopyFirst && first_->sequence == last_->sequence)) return false;
+        leader_->OnHeartbeat(*copy, now_);
         return true;
       }
       case Event::kOther:
@@ -174,8 +176,8 @@
       case Event::kTime:
         // The other machine reports all the while.
         for (int i = 0; i < 3; ++i) {
-          now_ += settings_.lease_s / 9;
-          for (PlainWorker* w : {&a_, &b_}) w->LeaseAt(now_, settings_.lease_s);
+          now_ += settings_.agent_lease_s / 9;
+          for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
           leader_->Tick(now_);
           Durable();
           Answer(b_, true);
@@ -185,7 +187,7 @@
         if (++elections_ > 1) return false;
         Lead(1000);
         revision_ = 1000;
-        for (const auto& [pack, value] : records_) leader_->LoadMachines(pack, value, 900);
+        for (const auto& [pack, value] : records_) leader_->LoadMachinesPack(pack, value, 900);
         leader_->AddJob(job_, 5, now_);
         return true;
       }
@@ -196,18 +198,18 @@
   }
 
   const config::Settings settings_;
-  const config::Derived derived_;
+  const config::DerivedSettings derived_;
   double now_ = 1;
   uint64_t revision_ = 20;
   int elections_ = 0;
   wire::JobSpec job_;
-  PlainWorker a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainWorker b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
-  std::unique_ptr<Dispatcher> leader_;
+  PlainAgent a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
+  PlainAgent b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  std::unique_ptr<Scheduler> leader_;
   std::map<int, wire::Json> records_;
-  std::vector<DirectOrder> held_;
-  std::optional<wire::Report> first_;
-  std::optional<wire::Report> last_;
+  std::vector<CommandBatch> held_;
+  std::optional<wire::Heartbeat> first_;
+  std::optional<wire::Heartbeat> last_;
 };
 
 TEST(ReportModel, TheTaskIsNeverOnBothMachinesWhateverIsLostOrComesAgain) {
--- a/tests/runnable_test.cc
+++ b/tests/runnable_test.cc
@@ -26,8 +26,8 @@
     s_.cpus = 2;
     s_.memory_gb = 1;
   }
-  bool Runs() const { return WhyNeverRuns(s_, teams_, types_).empty(); }
-  void Service() { s_.kind = wire::Kind::kService; }
+  bool Runs() const { return ReasonNeverRunnable(s_, teams_, types_).empty(); }
+  void Service() { s_.kind = wire::JobKind::kService; }
 
   std::vector<config::Team> teams_;
   std::vector<wire::MachineType> types_;
@@ -75,18 +75,18 @@
 
 // Half of them, rounded up, may be in one zone; replicas are up all at once, or not served.
 TEST_F(RunnableTest, ReplicasThatMustBeApartNeedTwoZones) {
-  s_.spread = true;
+  s_.spread_over_zones = true;
   s_.zone = "b";
   EXPECT_TRUE(Runs());  // an array runs a few at a time
   Service();
   EXPECT_FALSE(Runs());
   s_.zone.reset();
   EXPECT_TRUE(Runs());
-  s_.one_zone = true;
+  s_.single_zone = true;
   EXPECT_FALSE(Runs());
   s_.tasks = 1;
   EXPECT_TRUE(Runs());
-  s_.one_zone = false;
+  s_.single_zone = false;
   s_.tasks = 2;
   s_.cpus = 9;  // large ones are in one zone only
   EXPECT_FALSE(Runs());
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -56,13 +56,13 @@
 
 TEST(Settings, GoodFileIsRead) {
   const auto s = config::Parse(kGood);
-  EXPECT_EQ(s.node, "hut-0");
+  EXPECT_EQ(s.name, "hut-0");
   EXPECT_EQ(s.peers.size(), 1u);
-  EXPECT_EQ(s.state_write_rps, 25);
-  const config::Derived d(s);
-  EXPECT_LT(d.grant_s, s.lease_s);
-  EXPECT_GT(d.gone_s, s.lease_s * (1 + config::kDrift));
-  EXPECT_LT(d.renew_s * 2, d.grant_s);
+  EXPECT_EQ(s.store_writes_per_s, 25);
+  const config::DerivedSettings d(s);
+  EXPECT_LT(d.store_lease_s, s.agent_lease_s);
+  EXPECT_GT(d.agent_lease_over_s, s.agent_lease_s * (1 + config::kMaxClockDrift));
+  EXPECT_LT(d.store_lease_renew_s * 2, d.store_lease_s);
 }
 
 struct Broken {
@@ -81,7 +81,7 @@
   try {
     config::Parse(text);
     FAIL() << "accepted";
-  } catch (const config::BadSettings& e) {
+  } catch (const config::SettingsError& e) {
     EXPECT_NE(std::string(e.what()).find(GetParam().names), std::string::npos) << e.what();
     EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
   }
@@ -156,10 +156,10 @@
   const auto next = map.TakeDirty(1, 300);
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].version, late[0].version);  // one of the two fails
-  map.Seen(0, 7);
+  map.OnPackVersion(0, 7);
   map.Set("vm-3", "a");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
-  map.Seen(0, 5);  // an old event
+  map.OnPackVersion(0, 5);  // an old event
   map.Touch("vm-3");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
 }
@@ -173,15 +173,15 @@
     if (i % 5 != 0 && i % 7 != 3) job.MarkDone(i);
   }
   jobs::Job copy(spec, 1, 0);
-  for (uint32_t s = 0; s < 3; ++s) jobs::ApplyBits(jobs::DoneBits(job, s), s, &copy);
+  for (uint32_t s = 0; s < 3; ++s) jobs::ApplyDoneBitmap(jobs::EncodeDoneBitmap(job, s), s, &copy);
   EXPECT_EQ(copy.done, job.done);
   EXPECT_EQ(copy.pending, job.pending);
-  EXPECT_TRUE(copy.unsaved.empty());
+  EXPECT_TRUE(copy.done_not_durable.empty());
   // Hostile records change nothing they shouldn't.
-  jobs::ApplyBits(wire::Json("x"), 0, &copy);
-  jobs::ApplyBits(wire::Json("ff"), 5, &copy);
-  jobs::ApplyBits(wire::Json(std::string(200, 'f')), 0, &copy);
-  jobs::ApplyBits(wire::Json{{"a", 1}}, 0, &copy);
+  jobs::ApplyDoneBitmap(wire::Json("x"), 0, &copy);
+  jobs::ApplyDoneBitmap(wire::Json("ff"), 5, &copy);
+  jobs::ApplyDoneBitmap(wire::Json(std::string(200, 'f')), 0, &copy);
+  jobs::ApplyDoneBitmap(wire::Json{{"a", 1}}, 0, &copy);
   EXPECT_EQ(copy.done, job.done);
 }
 
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -10,10 +10,10 @@
 namespace mosspath {
 namespace {
 
-using simulation::Controller;
+using simulation::SimulatedController;
+using simulation::SimulatedEnvironment;
 using simulation::SmallSettings;
 using simulation::SmallType;
-using simulation::World;
 
 struct Trouble {
   bool crashes = false;
@@ -30,14 +30,15 @@
 };
 
 config::Settings With(config::Settings s, const Trouble& trouble) {
-  s.lease_blocks = trouble.blocks;
+  s.lease_shards = trouble.blocks;
   return s;
 }
 
-class Day : public simulation::Cluster {
+class Day : public simulation::SimulatedCluster {
  public:
   Day(uint64_t seed, Trouble trouble)
-      : Cluster(With(SmallSettings(), trouble), {SmallType()}, 3, seed), blocks_(trouble.blocks) {
+      : SimulatedCluster(With(SmallSettings(), trouble), {SmallType()}, 3, seed),
+        blocks_(trouble.blocks) {
     for (int i = 0; i < 8; ++i) world.AddMachine("box", i % 2 == 0 ? "east" : "west", i >= 6);
     for (int i = 0; i < 30; ++i) {
       world.clock.At(world.random.Uniform(0, 90), [this, i] { SubmitOne(i); });
@@ -53,7 +54,7 @@
   }
   std::string Unfinished() {
     std::string out;
-    for (const auto& [key, pair] : world.state.pairs()) {
+    for (const auto& [key, pair] : world.store.pairs()) {
       if (key.starts_with("job/")) out += key + "\n";
     }
     return out;
@@ -65,18 +66,18 @@
     s.id = "req-" + std::to_string(100000 + i);
     s.job_class = "work";
     s.team = i % 3 == 0 ? "tight" : "free";
-    s.rank = static_cast<wire::Rank>(i % 3);
+    s.priority = static_cast<wire::Priority>(i % 3);
     s.tasks = 1 + static_cast<uint32_t>(world.random.Below(12));
     s.cpus = 1 + static_cast<double>(world.random.Below(3));
     s.memory_gb = 2;
     s.image = "img-" + std::to_string(i % 4);
     s.image_gb = 1;
     // With blocks these are the leader's, so there are fewer.
-    s.one_zone = i % (blocks_ ? 14 : 7) == 1;
-    s.spread = i % (blocks_ ? 14 : 7) == 2;
+    s.single_zone = i % (blocks_ ? 14 : 7) == 1;
+    s.spread_over_zones = i % (blocks_ ? 14 : 7) == 2;
     if (i % 7 == 3) s.zone = "west";
-    s.spot = i % 2 == 0;
-    s.estimate_s = world.random.Uniform(2, 12);
+    s.spot_allowed = i % 2 == 0;
+    s.estimated_run_s = world.random.Uniform(2, 12);
     world.Accept(s);
     if (i % 6 == 5) {
       world.clock.After(world.random.Uniform(1, 15), [this, id = s.id] { Cancel(id); });
@@ -84,16 +85,18 @@
   }
 
   void Cancel(const std::string& id) {
-    Controller& asked = Any();
-    if (!world.state.up() || !asked.up()) return;
+    SimulatedController& asked = Any();
+    if (!world.store.up() || !asked.up()) return;
     if (const uint64_t revision = world.Cancel(id); revision != 0) {
       asked.LearnCancelled(id, revision);
-      world.checker.ToldCancelled(id, world.clock.now());
+      world.rule_checker.ToldCancelled(id, world.clock.now());
     }
   }
 
-  Controller& Any() { return *controllers[world.random.Below(controllers.size())]; }
-  Controller& Leader() { return Cluster::Leader(world.random.Below(controllers.size())); }
+  SimulatedController& Any() { return *controllers[world.random.Below(controllers.size())]; }
+  SimulatedController& Leader() {
+    return SimulatedCluster::Leader(world.random.Below(controllers.size()));
+  }
 
   void Plan(const Trouble& t) {
     auto& w = world;
@@ -128,12 +131,12 @@
       });
       at([this] {
         // One is left, and stands still until the workers' leases are over.
-        Controller& left = Leader();
+        SimulatedController& left = Leader();
         for (auto& c : controllers) {
           if (c.get() != &left) c->Crash(60);
         }
         world.clock.After(3, [this, &left] {
-          left.Freeze(world.settings.lease_s * world.random.Uniform(1.2, 2));
+          left.Freeze(world.settings.agent_lease_s * world.random.Uniform(1.2, 2));
         });
       });
     }
@@ -152,7 +155,7 @@
         const auto kind = world.random.Below(3);
         if (kind != 1) world.network.Cut(name, "state", s, hold);
         if (kind == 0) return;
-        for (auto& [id, m] : world.workers) world.network.Cut(name, id, s, hold);
+        for (auto& [id, m] : world.agents) world.network.Cut(name, id, s, hold);
       });
     }
     if (t.partitions) {
@@ -160,7 +163,7 @@
         const double s = world.random.Uniform(3, 25);
         const auto which = world.random.Below(2);
         size_t i = 0;
-        for (auto& [id, m] : world.workers) {
+        for (auto& [id, m] : world.agents) {
           if (i++ % 2 != which) continue;
           for (auto& c : controllers) world.network.Cut(c->name(), id, s, true);
         }
@@ -185,7 +188,7 @@
         for (const auto& other : world.nodes) {
           if (world.ZoneOf(other) != zone) world.network.Cut(name, other, s, true);
         }
-        for (auto& [id, worker] : world.workers) {
+        for (auto& [id, worker] : world.agents) {
           const bool inside = worker->zone() == zone;
           for (const auto& node : world.nodes) {
             if ((world.ZoneOf(node) == zone) != inside) world.network.Cut(node, id, s, true);
@@ -195,13 +198,13 @@
     }
     if (t.outages) {
       at([this] {
-        if (world.state.up()) world.state.Outage(world.random.Uniform(1, 15));
+        if (world.store.up()) world.store.Outage(world.random.Uniform(1, 15));
       });
     }
     if (t.deaths) {
       at([this] {
-        auto it = world.workers.begin();
-        std::advance(it, static_cast<std::ptrdiff_t>(world.random.Below(world.workers.size())));
+        auto it = world.agents.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(world.random.Below(world.agents.size())));
         const std::string zone = world.random.Below(2) == 0 ? "east" : "west";
         it->second->Die();
         world.clock.After(5, [this, zone] { world.AddMachine("box", zone, false); });
@@ -209,7 +212,7 @@
     }
     if (t.sick) {
       at([this] {
-        world.workers.begin()->second->sick = true;
+        world.agents.begin()->second->sick = true;
         world.clock.After(2, [this] { world.AddMachine("box", "east", false); });
       });
     }
@@ -228,11 +231,11 @@
   uint64_t held = 0;
   for (int d = 0; d < days; ++d) {
     Day day(first_seed + static_cast<uint64_t>(d), trouble);
-    EXPECT_TRUE(day.world.checker.breaches().empty())
+    EXPECT_TRUE(day.world.rule_checker.breaches().empty())
         << "seed " << first_seed + static_cast<uint64_t>(d) << "\n"
-        << All(day.world.checker.breaches());
+        << All(day.world.rule_checker.breaches());
     // 30 jobs, up to 5 of them cancelled: the rest must get done, or nothing was tested.
-    EXPECT_GE(day.world.checker.done_jobs(), 22u)
+    EXPECT_GE(day.world.rule_checker.done_jobs(), 22u)
         << "seed " << first_seed + static_cast<uint64_t>(d) << "\n"
         << day.Unfinished();
     held += day.held_starts();
@@ -311,14 +314,14 @@
   OneJob(uint64_t seed, uint32_t tasks, double run_s)
       : world(SmallSettings(), {SmallType()}, seed) {
     for (const char* name : {"hut-0", "hut-1", "hut-2"}) world.nodes.emplace_back(name);
-    world.on_report = [this](const std::string& node, const wire::Report& r,
-                             const World::ReportAnswer& answer) {
+    world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
+                             const SimulatedEnvironment::ReportAnswer& answer) {
       for (auto& c : controllers) {
         if (c->name() == node) c->OnReport(r, answer);
       }
     };
     for (const auto& n : world.nodes) {
-      controllers.push_back(std::make_unique<Controller>(world, n, 1.0));
+      controllers.push_back(std::make_unique<SimulatedController>(world, n, 1.0));
     }
     for (int i = 0; i < 6; ++i) world.AddMachine("box", "east", false);
     wire::JobSpec s;
@@ -328,17 +331,17 @@
     s.tasks = tasks;
     s.cpus = 1;
     s.image = "i";
-    s.estimate_s = run_s;
+    s.estimated_run_s = run_s;
     world.Accept(s);
   }
 
   void Cancel() {
     ASSERT_NE(world.Cancel("req-1"), 0u);
-    world.checker.ToldCancelled("req-1", world.clock.now());
+    world.rule_checker.ToldCancelled("req-1", world.clock.now());
   }
 
-  World world;
-  std::vector<std::unique_ptr<Controller>> controllers;
+  SimulatedEnvironment world;
+  std::vector<std::unique_ptr<SimulatedController>> controllers;
 };
 
 // The size that the deployments have grown to: up to a thousand machines and more, five
@@ -346,10 +349,10 @@
 struct LargeDay {
   static config::Settings Size() {
     config::Settings s = SmallSettings();
-    s.nodes = 5;
-    s.report_s = 4;
-    s.lease_s = 26;
-    s.cancel_s = 46;
+    s.controller_count = 5;
+    s.heartbeat_s = 4;
+    s.agent_lease_s = 26;
+    s.cancel_within_s = 46;
     s.teams = {{"free", 0, 0, 0, 0}, {"tight", 40, 400, 0, 0}};
     return s;
   }
@@ -362,13 +365,14 @@
   LargeDay(uint64_t seed, size_t capacity, int jobs) : world(Size(), {Type()}, seed), jobs_(jobs) {
     world.capacity = capacity;
     for (int i = 0; i < 5; ++i) world.nodes.push_back("hut-" + std::to_string(i));
-    world.on_report = [this](const std::string& node, const wire::Report& r,
-                             const World::ReportAnswer& answer) {
+    world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
+                             const SimulatedEnvironment::ReportAnswer& answer) {
       controllers.at(node)->OnReport(r, answer);
     };
     for (size_t i = 0; i < world.nodes.size(); ++i) {
       const double drift = 1.0 + 0.00025 * (static_cast<double>(i) - 2);
-      controllers[world.nodes[i]] = std::make_unique<Controller>(world, world.nodes[i], drift);
+      controllers[world.nodes[i]] =
+          std::make_unique<SimulatedController>(world, world.nodes[i], drift);
     }
     for (int i = 0; i < 56; ++i) world.AddMachine("box", i % 2 == 0 ? "east" : "west", false);
     for (int i = 0; i < jobs; ++i) SubmitOne(i);
@@ -380,20 +384,20 @@
     s.id = "req-" + std::to_string(i);
     s.job_class = "work";
     s.team = i % 10 == 0 ? "tight" : "free";
-    s.rank = static_cast<wire::Rank>(i % 3);
+    s.priority = static_cast<wire::Priority>(i % 3);
     s.tasks = i % 20 == 7 ? 600 : 30 + static_cast<uint32_t>(world.random.Below(150));
     s.cpus = i % 3 == 0 ? 4 : 2;
     s.memory_gb = s.cpus * 3;
     s.image = "img-" + std::to_string(i % 12);
     s.image_gb = 1;
-    s.spread = i % 11 == 3;
-    s.spot = true;
-    s.estimate_s = world.random.Uniform(10, 30);
+    s.spread_over_zones = i % 11 == 3;
+    s.spot_allowed = true;
+    s.estimated_run_s = world.random.Uniform(10, 30);
     world.clock.At(i < jobs_ / 3 ? 0.1 : world.random.Uniform(1, 120),
                    [this, s] { world.Accept(s); });
   }
 
-  Controller& Leader() {
+  SimulatedController& Leader() {
     for (auto& [name, c] : controllers) {
       if (c->leading()) return *c;
     }
@@ -401,9 +405,9 @@
   }
   // Every so-manieth machine that the test picks.
   void Each(size_t step, size_t most, const std::function<bool(size_t i)>& pick,
-            const std::function<void(const std::string&, simulation::Worker&)>& f) {
+            const std::function<void(const std::string&, simulation::SimulatedAgent&)>& f) {
     size_t i = 0;
-    for (auto& [id, w] : world.workers) {
+    for (auto& [id, w] : world.agents) {
       if (most > 0 && i % step == 0 && pick(i) && w->alive()) {
         f(id, *w);
         --most;
@@ -419,16 +423,16 @@
   }
   void Expect(double end) {
     world.clock.RunUntil(end);
-    EXPECT_TRUE(world.checker.breaches().empty()) << All(world.checker.breaches());
-    EXPECT_EQ(world.checker.done_jobs(), static_cast<size_t>(jobs_));
+    EXPECT_TRUE(world.rule_checker.breaches().empty()) << All(world.rule_checker.breaches());
+    EXPECT_EQ(world.rule_checker.done_jobs(), static_cast<size_t>(jobs_));
   }
 
-  World world;
-  std::map<std::string, std::unique_ptr<Controller>> controllers;
+  SimulatedEnvironment world;
+  std::map<std::string, std::unique_ptr<SimulatedController>> controllers;
 
  private:
   void Check() {
-    world.checker.Tick(world.clock.now());
+    world.rule_checker.Tick(world.clock.now());
     world.clock.After(1, [this] { Check(); });
   }
   const int jobs_;
@@ -440,35 +444,35 @@
 // outage, machines die.
 TEST(Simulation, ALargeDay) {
   LargeDay day(21, 1000, 60);
-  World& world = day.world;
+  SimulatedEnvironment& world = day.world;
   world.clock.At(30, [&] { world.network.Slow("state", 10, 30); });
   world.clock.At(45, [&] { day.Leader().Crash(4); });
   world.clock.At(70, [&] {
-    day.Each(10, 40, kAny, [](const std::string&, simulation::Worker& w) { w.Die(); });
+    day.Each(10, 40, kAny, [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
   });
   world.clock.At(75, [&] { day.CrashAll(); });
   world.clock.At(105, [&] {
     const std::string name = day.Leader().name();
-    for (auto& [id, w] : world.workers) world.network.Cut(name, id, 20, true);
+    for (auto& [id, w] : world.agents) world.network.Cut(name, id, 20, true);
     for (const auto& other : world.nodes) world.network.Cut(name, other, 20, true);
     world.network.Cut(name, "state", 20, true);
   });
-  world.clock.At(140, [&] { world.state.Outage(10); });
+  world.clock.At(140, [&] { world.store.Outage(10); });
   day.Expect(260);
-  EXPECT_GT(world.workers.size(), 300u);
+  EXPECT_GT(world.agents.size(), 300u);
 }
 
 // A third of all machines die or go silent at once while all controllers crash.
 TEST(Simulation, AThirdOfTheFleetFallsWithAllControllers) {
   LargeDay day(22, 600, 40);
   day.world.clock.At(60, [&] {
-    day.Each(6, 200, kAny, [](const std::string&, simulation::Worker& w) { w.Die(); });
+    day.Each(6, 200, kAny, [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
     day.Each(
         6, 200, [](size_t i) { return i % 12 == 0; },
-        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 20); });
+        [&](const std::string& id, simulation::SimulatedAgent&) { day.CutOff(id, 20); });
     day.Each(
         1, 200, [](size_t i) { return i % 6 == 3; },
-        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 20); });
+        [&](const std::string& id, simulation::SimulatedAgent&) { day.CutOff(id, 20); });
     day.CrashAll();
   });
   day.Expect(330);
@@ -480,9 +484,9 @@
   day.world.clock.At(60, [&] {
     day.Each(
         1, 600, [](size_t i) { return i % 2 == 0; },
-        [&](const std::string& id, simulation::Worker&) { day.CutOff(id, 60); });
+        [&](const std::string& id, simulation::SimulatedAgent&) { day.CutOff(id, 60); });
   });
-  day.world.clock.At(75, [&] { day.world.state.Outage(15); });
+  day.world.clock.At(75, [&] { day.world.store.Outage(15); });
   day.Expect(330);
 }
 
@@ -492,8 +496,8 @@
   day.world.clock.At(60, [&] {
     day.Each(
         1, 600, [](size_t i) { return i % 5 < 3; },
-        [](const std::string&, simulation::Worker& w) { w.Die(); });
-    Controller& leader = day.Leader();
+        [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
+    SimulatedController& leader = day.Leader();
     leader.Freeze(25);
     for (auto& [name, c] : day.controllers) {
       if (c.get() == &leader) continue;
@@ -511,27 +515,27 @@
   day.world.clock.At(60, [&] { day.CrashAll(); });
   day.world.clock.At(90, [&] { day.Leader().Crash(4); });
   day.Expect(300);
-  EXPECT_GT(day.world.workers.size(), 700u);
+  EXPECT_GT(day.world.agents.size(), 700u);
 }
 
 // A leader that lost all workers, but not the state service, kept the leadership until every
 // worker's lease was over, and all tasks with it. Now another controller takes them over in time.
 TEST(Simulation, ALeaderWithoutWorkersResigns) {
   OneJob day(11, 30, 60);
-  World& world = day.world;
+  SimulatedEnvironment& world = day.world;
   auto& controllers = day.controllers;
   std::string old_leader;
   world.clock.At(20, [&] {
     for (auto& c : controllers) {
       if (!c->leading()) continue;
       old_leader = c->name();
-      for (auto& [id, w] : world.workers) world.network.Cut(c->name(), id, 60, false);
+      for (auto& [id, w] : world.agents) world.network.Cut(c->name(), id, 60, false);
     }
   });
   world.clock.RunUntil(200);
-  EXPECT_TRUE(world.checker.breaches().empty()) << All(world.checker.breaches());
-  EXPECT_EQ(world.checker.starts(), 30u);  // every task ran once: none was lost
-  EXPECT_EQ(world.checker.done_jobs(), 1u);
+  EXPECT_TRUE(world.rule_checker.breaches().empty()) << All(world.rule_checker.breaches());
+  EXPECT_EQ(world.rule_checker.starts(), 30u);  // every task ran once: none was lost
+  EXPECT_EQ(world.rule_checker.done_jobs(), 1u);
   for (auto& c : controllers) EXPECT_EQ(c->resigned() > 0, c->name() == old_leader);
 }
 
@@ -544,14 +548,14 @@
     day.world.clock.At(20, [&] { c->Unread(80); });
   }
   std::function<void()> check = [&] {
-    day.world.checker.Tick(day.world.clock.now());
+    day.world.rule_checker.Tick(day.world.clock.now());
     day.world.clock.After(0.5, check);
   };
   check();
   day.world.clock.At(21, [&] { day.Cancel(); });
   day.world.clock.RunUntil(90);
-  EXPECT_EQ(day.world.checker.starts(), 30u);
-  EXPECT_TRUE(day.world.checker.breaches().empty()) << All(day.world.checker.breaches());
+  EXPECT_EQ(day.world.rule_checker.starts(), 30u);
+  EXPECT_TRUE(day.world.rule_checker.breaches().empty()) << All(day.world.rule_checker.breaches());
 }
 
 // And it gives way to one that can, long before that.
@@ -563,26 +567,26 @@
     }
   });
   day.world.clock.RunUntil(200);
-  EXPECT_TRUE(day.world.checker.breaches().empty()) << All(day.world.checker.breaches());
-  EXPECT_EQ(day.world.checker.starts(), 30u);  // no task was lost
-  EXPECT_EQ(day.world.checker.done_jobs(), 1u);
+  EXPECT_TRUE(day.world.rule_checker.breaches().empty()) << All(day.world.rule_checker.breaches());
+  EXPECT_EQ(day.world.rule_checker.starts(), 30u);  // no task was lost
+  EXPECT_EQ(day.world.rule_checker.done_jobs(), 1u);
 }
 
 // In an outage of several leases, all tasks were lost when their workers' leases ran out. The
 // leader goes on as long as every peer vouches that it won't lead.
 TEST(Simulation, ALongOutageLosesNoTasks) {
   OneJob day(12, 240, 20);
-  World& world = day.world;
-  world.clock.At(25, [&] { world.state.Outage(35); });
+  SimulatedEnvironment& world = day.world;
+  world.clock.At(25, [&] { world.store.Outage(35); });
   size_t before = 0;
   size_t during = 0;
-  world.clock.At(30, [&] { before = world.checker.starts(); });
-  world.clock.At(58, [&] { during = world.checker.starts(); });
+  world.clock.At(30, [&] { before = world.rule_checker.starts(); });
+  world.clock.At(58, [&] { during = world.rule_checker.starts(); });
   world.clock.RunUntil(300);
-  EXPECT_TRUE(world.checker.breaches().empty()) << All(world.checker.breaches());
-  EXPECT_GT(during, before);                // work went on
-  EXPECT_EQ(world.checker.starts(), 240u);  // and none was done twice
-  EXPECT_EQ(world.checker.done_jobs(), 1u);
+  EXPECT_TRUE(world.rule_checker.breaches().empty()) << All(world.rule_checker.breaches());
+  EXPECT_GT(during, before);                     // work went on
+  EXPECT_EQ(world.rule_checker.starts(), 240u);  // and none was done twice
+  EXPECT_EQ(world.rule_checker.done_jobs(), 1u);
 }
 
 // The checker itself: planted violations must be caught.
@@ -590,39 +594,42 @@
  protected:
   Planted() : world(SmallSettings(), {SmallType()}, 1) {
     world.nodes = {"hut-0"};
-    world.on_report = [](const std::string&, const wire::Report&, const World::ReportAnswer&) {};
+    world.on_report = [](const std::string&, const wire::Heartbeat&,
+                         const SimulatedEnvironment::ReportAnswer&) {};
     spec_.id = "req-1";
     spec_.team = "tight";
     spec_.tasks = 12;
     spec_.cpus = 1;
     spec_.image = "i";
-    spec_.estimate_s = 5;
+    spec_.estimated_run_s = 5;
     spec_.zone = "east";
     world.Submit(spec_);
   }
-  wire::Command Start(uint32_t index) { return {wire::Op::kStart, {"req-1", index}, 7, 0}; }
+  wire::Command Start(uint32_t index) {
+    return {wire::CommandType::kStart, {"req-1", index}, 7, 0};
+  }
   bool Caught(const std::string& rule) {
-    for (const auto& b : world.checker.breaches()) {
+    for (const auto& b : world.rule_checker.breaches()) {
       if (b.starts_with(rule)) return true;
     }
     return false;
   }
 
-  World world;
+  SimulatedEnvironment world;
   wire::JobSpec spec_;
 };
 
 TEST_F(Planted, RanTwiceIsCaught) {
   auto& a = world.AddMachine("box", "east", false);
   auto& b = world.AddMachine("box", "east", false);
-  a.Commands(1, 1, {Start(0)});
-  b.Commands(1, 1, {Start(0)});
+  a.OnCommands(1, 1, {Start(0)});
+  b.OnCommands(1, 1, {Start(0)});
   world.clock.RunUntil(1.5);
   EXPECT_TRUE(Caught("ran_twice"));
 }
 
 TEST_F(Planted, WrongPlaceIsCaught) {
-  world.AddMachine("box", "west", false).Commands(1, 1, {Start(0)});
+  world.AddMachine("box", "west", false).OnCommands(1, 1, {Start(0)});
   world.clock.RunUntil(1.5);
   EXPECT_TRUE(Caught("wrong_place"));
 }
@@ -630,64 +637,65 @@
 TEST_F(Planted, QuotaIsCaught) {
   auto& a = world.AddMachine("box", "east", false);
   auto& b = world.AddMachine("box", "east", false);
-  for (uint32_t i = 0; i < 12; ++i) (i % 2 == 0 ? a : b).Commands(1, 1, {Start(i)});
+  for (uint32_t i = 0; i < 12; ++i) (i % 2 == 0 ? a : b).OnCommands(1, 1, {Start(i)});
   world.clock.RunUntil(1.5);
   EXPECT_TRUE(Caught("quota"));
 }
 
 TEST_F(Planted, CancelledButRunningIsCaught) {
-  spec_.kind = wire::Kind::kService;
+  spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
   auto& a = world.AddMachine("box", "east", false);
-  world.checker.ToldCancelled("req-1", 0);
-  world.clock.At(25, [&] { a.Commands(1, 3, {Start(0)}); });  // its third session by then
+  world.rule_checker.ToldCancelled("req-1", 0);
+  world.clock.At(25, [&] { a.OnCommands(1, 3, {Start(0)}); });  // its third session by then
   world.clock.RunUntil(27);
-  world.checker.Tick(27);
+  world.rule_checker.Tick(27);
   EXPECT_TRUE(Caught("ran_cancelled"));
 }
 
 // Its lease holds, so it goes on with what was cancelled while it hung.
 TEST_F(Planted, CancelledOnAMachineThatHungIsCaught) {
-  spec_.kind = wire::Kind::kService;
+  spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
   auto& a = world.AddMachine("box", "east", false);
   world.clock.At(15, [&] {  // its second session by then
-    a.Commands(1, 2, {Start(0)});
+    a.OnCommands(1, 2, {Start(0)});
     a.Hang(4);
   });
-  world.clock.At(17, [&] { world.checker.ToldCancelled("req-1", -4); });
+  world.clock.At(17, [&] { world.rule_checker.ToldCancelled("req-1", -4); });
   world.clock.RunUntil(19.5);
-  world.checker.Tick(19.5);
+  world.rule_checker.Tick(19.5);
   EXPECT_TRUE(Caught("ran_cancelled"));
 }
 
 TEST_F(Planted, WaitingBesideRoomIsCaught) {
   world.Submit(spec_);
-  world.checker.Accepted("req-1", 0);
-  for (double now = 0; now <= 88; now += 2) world.checker.RoomFor("req-1", {"vm-1", "vm-2"}, now);
+  world.rule_checker.Accepted("req-1", 0);
+  for (double now = 0; now <= 88; now += 2)
+    world.rule_checker.RoomFor("req-1", {"vm-1", "vm-2"}, now);
   EXPECT_FALSE(Caught("waits"));
   // Another machine each time is the holes of a fleet that is full.
-  for (double now = 90; now <= 178; now += 2) world.checker.RoomFor("req-1", {"vm-3"}, now);
+  for (double now = 90; now <= 178; now += 2) world.rule_checker.RoomFor("req-1", {"vm-3"}, now);
   EXPECT_FALSE(Caught("waits"));
-  world.checker.RoomFor("req-1", {"vm-3"}, 182);
+  world.rule_checker.RoomFor("req-1", {"vm-3"}, 182);
   EXPECT_TRUE(Caught("waits"));
 }
 
 TEST_F(Planted, AcceptedThoughItCannotRunIsCaught) {
   spec_.cpus = 1'000;
   world.Submit(spec_);
-  world.checker.Accepted("req-1", 0);
+  world.rule_checker.Accepted("req-1", 0);
   EXPECT_TRUE(Caught("accepted"));
 }
 
 TEST_F(Planted, RefusedThoughItWasAcceptedIsCaught) {
-  world.checker.Accepted("req-1", 0);
-  world.checker.Refused("req-1");
+  world.rule_checker.Accepted("req-1", 0);
+  world.rule_checker.Refused("req-1");
   EXPECT_TRUE(Caught("forgotten"));
 }
 
 TEST_F(Planted, DoneTooEarlyIsCaught) {
-  world.checker.ToldDone("req-1", 0);
+  world.rule_checker.ToldDone("req-1", 0);
   EXPECT_TRUE(Caught("not_done"));
 }
 
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -17,7 +17,7 @@
           "guess_s":240.0,"tally_s":30.0,"stow_s":4.0,"dawn_s":900.0,"unheard_of":[1]})");
   const JobSpec s = ParseJob(j);
   EXPECT_EQ(s.tasks, 16u);
-  EXPECT_EQ(s.rank, Rank::kHigh);
+  EXPECT_EQ(s.priority, Priority::kHigh);
   EXPECT_FALSE(s.zone);
   EXPECT_EQ(s.deadline_s, 900.0);
   EXPECT_EQ(ToJson(ParseJob(ToJson(s))), ToJson(s));
@@ -104,21 +104,21 @@
 
 // The fast reader takes and refuses what the plain one does.
 TEST(Report, TheFastReaderAgreesWithThePlainOne) {
-  Report r;
+  Heartbeat r;
   r.machine = "vm-1";
   r.address = "10.1.0.1:9000";
   r.type = "g8";
   r.zone = "a";
-  r.session = 2;
-  r.seq = 88;
-  r.token = 41;
+  r.agent_epoch = 2;
+  r.sequence = 88;
+  r.fencing_token = 41;
   for (uint32_t i = 0; i < 5; ++i) {
-    TaskReport t;
+    TaskStatus t;
     t.task = {"req-000412", i};
     t.attempt = (uint64_t{41} << 16) | i;
     t.state = static_cast<TaskState>(i);
-    t.why = i == 4 ? Why::kDone : Why::kNone;
-    t.saved = i % 2 == 0;
+    t.exit_reason = i == 4 ? ExitReason::kSucceeded : ExitReason::kNone;
+    t.checkpointed = i % 2 == 0;
     r.tasks.push_back(t);
   }
   const std::string good = ToJson(r).dump();
@@ -157,8 +157,8 @@
   }
   size_t taken = 0;
   for (const auto& text : texts) {
-    const auto plain = told([&] { return ParseReport(ParseObject(text)); });
-    EXPECT_EQ(told([&] { return ReadReport(text); }), plain) << text;
+    const auto plain = told([&] { return ParseHeartbeat(ParseObject(text)); });
+    EXPECT_EQ(told([&] { return ReadHeartbeat(text); }), plain) << text;
     taken += plain == "refused" ? 0 : 1;
   }
   EXPECT_GT(taken, 20u);
