--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -91,7 +91,8 @@
   std::pair<typename Teams::iterator, typename std::map<std::string, Class>::iterator> Next() {
     auto t = teams_.end();
     for (auto it = teams_.begin(); it != teams_.end(); ++it) {
-      if (it->second.size > 0 && (t == teams_.end() || it->second.start_tag < t->second.start_tag)) t = it;
+      if (it->second.size > 0 && (t == teams_.end() || it->second.start_tag < t->second.start_tag))
+        t = it;
     }
     auto& classes = t->second.classes;
     auto c = classes.end();
