--- /dev/null
+++ b/include/mosspath/scheduler/holder_role.h
@@ -0,0 +1,38 @@
+// The role of a controller that holds a shard: it commands the machines that the leader hands over,
+// runs the tasks that the leader delegates, and tells the leader what the leader must record. Pure.
+#pragma once
+
+#include "mosspath/scheduler/holder_sharding.h"
+#include "mosspath/scheduler/role.h"
+#include "mosspath/scheduler/scheduler_state.h"
+
+namespace mosspath::scheduler {
+
+class HolderRole : public Role {
+ public:
+  // Both outlive this object.
+  HolderRole(SchedulerState& state, HolderSharding& sharding)
+      : state_(state), sharding_(sharding) {}
+
+  bool AcceptsUnknownMachines() const override { return false; }
+  bool ProbesAtAllTimes() const override { return true; }
+  bool ReceivesMachineLists() const override { return false; }
+  void OnDeliverySuspected(cluster::Machine& machine) override;
+  // The leader is told in the next round of returns, so the machine stays until then.
+  bool OnMachineLost(cluster::Machine& /*machine*/) override { return false; }
+  void OnJobRemoved(const jobs::Job& job) override;
+  void OnTaskDone(const jobs::Job& job, uint32_t index) override;
+  void OnTaskFound(jobs::Job& job, uint32_t index) override;
+  void OnCrashLoop(const jobs::Job& job) override;
+  void OnCrashLoopEnded(const jobs::Job& /*job*/) override {}
+  void OnReconciliationEnded(uint64_t /*reconciliation*/, size_t /*tasks*/) override {}
+  void BeforePlacement(double /*now*/) override {}
+  void AfterPlacement(double /*now*/) override {}
+  void OnRecordsWritten() override {}
+
+ private:
+  SchedulerState& state_;
+  HolderSharding& sharding_;
+};
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/include/mosspath/scheduler/leader_role.h
@@ -0,0 +1,53 @@
+// The roles of a leader: alone, and with holders of shards. Pure.
+#pragma once
+
+#include "mosspath/scheduler/leader_sharding.h"
+#include "mosspath/scheduler/machine_handover.h"
+#include "mosspath/scheduler/role.h"
+#include "mosspath/scheduler/scheduler_state.h"
+
+namespace mosspath::scheduler {
+
+// The leader that commands all machines itself, and writes the durable state.
+class LeaderRole : public Role {
+ public:
+  // `state` outlives this object.
+  explicit LeaderRole(SchedulerState& state) : state_(state) {}
+
+  bool AcceptsUnknownMachines() const override { return true; }
+  bool ProbesAtAllTimes() const override { return false; }
+  bool ReceivesMachineLists() const override { return true; }
+  void OnDeliverySuspected(cluster::Machine& machine) override;
+  bool OnMachineLost(cluster::Machine& machine) override;
+  void OnJobRemoved(const jobs::Job& job) override;
+  void OnTaskDone(const jobs::Job& job, uint32_t index) override;
+  void OnTaskFound(jobs::Job& /*job*/, uint32_t /*index*/) override {}
+  void OnCrashLoop(const jobs::Job& job) override;
+  void OnCrashLoopEnded(const jobs::Job& job) override;
+  void OnReconciliationEnded(uint64_t /*reconciliation*/, size_t /*tasks*/) override {}
+  void BeforePlacement(double /*now*/) override {}
+  void AfterPlacement(double /*now*/) override {}
+  void OnRecordsWritten() override {}
+
+ private:
+  SchedulerState& state_;
+};
+
+// The leader that also delegates machines and tasks to holders of shards.
+class ShardedLeaderRole : public LeaderRole {
+ public:
+  // All outlive this object.
+  ShardedLeaderRole(SchedulerState& state, MachineHandover& handover, LeaderSharding& sharding)
+      : LeaderRole(state), handover_(handover), sharding_(sharding) {}
+
+  void OnReconciliationEnded(uint64_t reconciliation, size_t tasks) override;
+  void BeforePlacement(double now) override { handover_.HandOverMachines(now); }
+  void AfterPlacement(double now) override { handover_.RecallMachines(now); }
+  void OnRecordsWritten() override { sharding_.SendDurableCompletions(); }
+
+ private:
+  MachineHandover& handover_;
+  LeaderSharding& sharding_;
+};
+
+}  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/machine_health.h
+++ b/include/mosspath/scheduler/machine_health.h
@@ -1,6 +1,6 @@
-// Tells machines that fail or run far slower than others from jobs with a mistake, which fail on
-// every machine until their users cancel them. What it knows stands with the machine and the job.
-// Pure.
+// Tells machines that fail tasks, or run them far slower than others, from jobs with a mistake,
+// whose tasks fail on every machine until their users cancel them. What it concludes from is kept
+// with the machine and the job. Pure.
 #pragma once
 
 #include "mosspath/cluster/cluster_state.h"
@@ -11,30 +11,34 @@
 class MachineHealth {
  public:
   explicit MachineHealth(const config::Settings& settings)
-      : report_s_(settings.heartbeat_s), lease_s_(settings.agent_lease_s) {}
+      : heartbeat_s_(settings.heartbeat_s), agent_lease_s_(settings.agent_lease_s) {}
 
   enum class Verdict {
     kNone,
-    kMachineSlow,      // put aside just now
-    kMachineFaulty,    // put aside just now
-    kJobCrashLooping,  // its tasks fail everywhere: seen just now
-    kJobStillCrashLooping,
+    kMachineSlow,           // the machine has just been quarantined for its speed
+    kMachineFaulty,         // the machine has just been quarantined for its failures
+    kJobCrashLooping,       // the job's tasks fail on every machine, as was found just now
+    kJobStillCrashLooping,  // the same, as was found before
   };
-  // A task of the job ran on the machine for so long, and completed. Owners' estimates are often
+  // A task of the job ran on the machine for so long, and succeeded. Users' estimates are often
   // wrong, so machines are compared by tasks of the same job.
-  Verdict OnTaskTimed(cluster::Machine& m, jobs::Job& job, double ran_s) const;
-  // A task of the job failed on the machine.
-  Verdict OnTaskFailed(cluster::Machine& m, jobs::Job& job, cluster::Machines& machines,
+  Verdict OnTaskTimed(cluster::Machine& machine, jobs::Job& job, double ran_s) const;
+  // A task of the job failed on the machine. `machines` are all that this controller commands.
+  Verdict OnTaskFailed(cluster::Machine& machine, jobs::Job& job, cluster::Machines& machines,
                        double now) const;
-  // One completed: true if the job was doubted.
-  bool OnTaskSucceeded(cluster::Machine& m, jobs::Job& job) const;
-  // Whether what has run for so long on a machine that is far too slow should rather begin again
-  // elsewhere.
-  bool ShouldRestartElsewhere(const cluster::Machine& m, const jobs::Job& job, double ran_s) const;
+  // A task of the job succeeded on the machine. Returns whether the job was crash looping.
+  bool OnTaskSucceeded(cluster::Machine& machine, jobs::Job& job) const;
+  // Whether a task that has run for so long on a machine which is far too slow would end sooner if
+  // it began again elsewhere.
+  bool ShouldRestartElsewhere(const cluster::Machine& machine, const jobs::Job& job,
+                              double ran_s) const;
 
  private:
-  const double report_s_;
-  const double lease_s_;
+  // Counts the failure against the machine, unless the job looks to blame.
+  Verdict BlameMachine(cluster::Machine& machine, const jobs::Job& job) const;
+
+  const double heartbeat_s_;
+  const double agent_lease_s_;
 };
 
 }  // namespace mosspath::scheduler
--- /dev/null
+++ b/include/mosspath/scheduler/scaling_coordinator.h
@@ -0,0 +1,72 @@
+// Builds the input of the autoscaler's planner from the scheduler's state, and applies the plan
+// that it returns: which machines drain, and which are to be added or deleted. Pure.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "mosspath/autoscaler/scaling_planner.h"
+#include "mosspath/scheduler/scheduler_state.h"
+#include "mosspath/scheduler/task_migration.h"
+
+namespace mosspath::scheduler {
+
+class ScalingCoordinator {
+ public:
+  // Both outlive this object.
+  ScalingCoordinator(SchedulerState& state, TaskMigration& migration)
+      : state_(state), migration_(migration) {}
+
+  // Plans with the present demand, marks the machines that drain, tells the holders of shards of
+  // the changes among theirs, and starts migrations. The caller carries out what the returned plan
+  // adds and deletes; its deletions include machines that are unreachable or never came up.
+  autoscaler::ScalingPlan Plan(double now);
+
+ private:
+  // Machines that are to be deleted whatever the demand is, by the cause.
+  struct MachinesToReplace {
+    // Silent for too long. Whether each is deleted depends on how many there are.
+    std::set<std::string> unreachable;
+    // The last machines that a takeover waits for.
+    std::vector<std::string> stragglers;
+    // Provisioned, and given up before their agents reported.
+    std::vector<std::string> never_booted;
+  };
+  // How much a machine drains, in the values of ShardMessage::Kind::kSetDraining.
+  enum class DrainLevel : uint64_t { kNone = 0, kDraining = 1, kCordoned = 2 };
+
+  // --- The planner's input ---
+  autoscaler::ScalingInput MakeInput(double now, MachinesToReplace& to_replace);
+  std::vector<autoscaler::Demand> WaitingDemand(double now) const;
+  void AppendJobDemand(const jobs::Job& job, std::vector<autoscaler::Demand>& demand) const;
+  void AppendReservedDemand(double now, autoscaler::ScalingInput& input);
+  void AppendMachines(double now, std::vector<autoscaler::FleetMachine>& machines,
+                      std::set<std::string>& unreachable) const;
+  void AppendDelegatedMachines(double now, std::vector<autoscaler::FleetMachine>& machines,
+                               std::set<std::string>& unreachable) const;
+  autoscaler::FleetMachine DescribeMachine(const cluster::Machine& machine, double now) const;
+  autoscaler::FleetMachine DescribeOwnMachine(const cluster::Machine& machine, double now) const;
+  autoscaler::FleetMachine DescribeDelegatedMachine(const cluster::Machine& machine,
+                                                    double now) const;
+  bool IsIdle(const cluster::Machine& machine) const;
+  bool IsHolderIdle(const cluster::Machine& machine) const;
+  bool HasOnDemandWork(const cluster::Machine& machine) const;
+  bool IsSilent(const cluster::Machine& machine, double now) const;
+
+  // --- The plan ---
+  static DrainLevel DrainLevelOf(const cluster::Machine& machine);
+  void ApplyDraining(const autoscaler::ScalingPlan& plan);
+  void SendDrainLevels(const std::map<std::string, DrainLevel>& known_to_holders);
+  void AppendReplacements(const MachinesToReplace& to_replace, double now,
+                          std::vector<std::string>& scale_in) const;
+  bool AreFewUnreachable(size_t unreachable, double now) const;
+  bool MayDeleteUnreachable(const cluster::Machine& machine, bool few, double now) const;
+
+  SchedulerState& state_;
+  TaskMigration& migration_;
+};
+
+}  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,11 +1,12 @@
-// Starts that another machine may have taken than they were meant for. An order goes to an address;
-// when its answer is lost and the machine that was meant is gone, whoever was reached there may run
-// the task, and nothing that is known of the machine that is gone tells of it. Pure.
+// Starts that may have been taken by another machine than they were meant for. A command batch goes
+// to an address. When its answer is lost and the machine that was meant is gone, whichever machine
+// was reached at that address may run the task, and nothing that is known of the machine that is
+// gone tells of it. Pure.
 //
-// Such a task waits until no other machine can have it: a list of the cloud, asked for late enough
-// to show all that were up when the order left, has none at that address, or each that it has there
-// has shown a token above the order's, under which its own list has been taken in (docs/design.md,
-// 16).
+// Such a task waits until no other machine can have it: a list of the cloud, requested late enough
+// to show all machines that were up when the batch was sent, has none at that address, or each that
+// it has there has shown a token above the batch's, under which its own heartbeat has been taken in
+// (docs/design.md, 16).
 #pragma once
 
 #include <map>
@@ -16,6 +17,7 @@
 
 #include "mosspath/cluster/cluster_state.h"
 #include "mosspath/config/settings.h"
+#include "mosspath/scheduler/time_points.h"
 
 namespace mosspath::scheduler {
 
@@ -23,8 +25,8 @@
  public:
   struct UnconfirmedStart {
     std::string machine;  // that was meant
-    std::string address;  // where the order went
-    uint64_t token = 0;   // that it was given under
+    std::string address;  // that the batch was sent to
+    uint64_t token = 0;   // that the batch was sent under
     double sent_at = 0;
   };
 
@@ -33,21 +35,29 @@
   void Add(const wire::TaskId& task, UnconfirmedStart start) { starts_[task] = std::move(start); }
   void Forget(const wire::TaskId& task) { starts_.erase(task); }
   bool empty() const { return starts_.empty(); }
-  // A whole list of machines, asked for at `asked`.
-  void OnMachineList(const std::vector<wire::ListedMachine>& listed, double asked);
-  // Tasks that no other machine can have, which are forgotten here. Machines that must show a
-  // higher token for others go to `doubted`.
-  std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& picture,
-                                         std::set<std::string>& doubted);
+  // The cloud's list of all machines, requested at `requested_at`. Older lists than the last one
+  // are ignored.
+  void OnMachineList(const std::vector<wire::ListedMachine>& listed, double requested_at);
+  // Removes and returns the tasks that no other machine can have. Adds to `suspects` the machines
+  // that must show a higher token before more tasks can be ruled out.
+  std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& cluster,
+                                         std::set<std::string>& suspects);
 
  private:
-  bool MayHaveRunElsewhere(const UnconfirmedStart& start, const cluster::ClusterState& picture,
-                           std::set<std::string>& doubted) const;
+  struct ListedAddress {
+    std::string address;  // empty if the cloud doesn't say
+    std::string machine;
+  };
+  bool MayHaveRunElsewhere(const UnconfirmedStart& start, const cluster::ClusterState& cluster,
+                           std::set<std::string>& suspects) const;
+  static bool MayHaveTaken(const UnconfirmedStart& start, const ListedAddress& listed,
+                           const cluster::ClusterState& cluster, std::set<std::string>& suspects);
 
   const double list_lag_s_;
   std::map<wire::TaskId, UnconfirmedStart> starts_;
-  double list_requested_at_ = -1e18;                                  // for the last list
-  std::vector<std::pair<std::string, std::string>> listed_machines_;  // in it: address, machine
+  // Of the last list.
+  double list_requested_at_ = kLongAgo;
+  std::vector<ListedAddress> listed_machines_;
 };
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/activity_tracker.cc
+++ b/src/scheduler/activity_tracker.cc
@@ -1,30 +1,35 @@
 #include "mosspath/scheduler/activity_tracker.h"
 
+#include <algorithm>
+#include <utility>
+
 namespace mosspath::scheduler {
 namespace {
 
-constexpr size_t kMaxTroubles = 20;
+constexpr size_t kMaxIncidents = 20;
 constexpr size_t kMaxClasses = 100;
+// Leases from one log line with the load to the next.
+constexpr double kLogIntervalLeases = 0.5;
 
 }  // namespace
 
 ActivityTracker::ActivityTracker(const config::Settings& settings)
     : objectives_(settings.objectives),
-      log_every_s_(settings.agent_lease_s / 2),
+      log_interval_s_(kLogIntervalLeases * settings.agent_lease_s),
       progress_(settings.objectives.size()) {}
 
-void ActivityTracker::AddIncident(double now, std::string what) {
-  incidents_.emplace_back(now, std::move(what));
-  if (incidents_.size() > kMaxTroubles) incidents_.pop_front();
+void ActivityTracker::AddIncident(double now, std::string description) {
+  incidents_.push_back({now, std::move(description)});
+  if (incidents_.size() > kMaxIncidents) incidents_.pop_front();
 }
 
-void ActivityTracker::Record(const jobs::Job& job, double LastActivity::*what, double now) {
+void ActivityTracker::Record(const jobs::Job& job, double LastActivity::*event, double now) {
   // Teams are those of the settings, but users choose the names of classes.
   if (classes_.size() >= kMaxClasses && !classes_.contains(job.spec.job_class)) {
     classes_.erase(classes_.begin());
   }
-  classes_[job.spec.job_class].*what = now;
-  teams_[job.spec.team].*what = now;
+  classes_[job.spec.job_class].*event = now;
+  teams_[job.spec.team].*event = now;
 }
 
 void ActivityTracker::OnTaskStarted(jobs::Job& job, uint32_t index, double now) {
@@ -32,42 +37,43 @@
   if (job.tasks[index].start_counted) return;
   job.tasks[index].start_counted = true;
   for (size_t i = 0; i < objectives_.size(); ++i) {
-    const auto& o = objectives_[i];
-    if (o.kind != "wait" || o.job_class != job.spec.job_class) continue;
-    auto& [met, of] = progress_[i];
-    ++of;
-    met += now - job.submitted_at <= o.within_s ? 1 : 0;
+    const config::Objective& objective = objectives_[i];
+    if (objective.kind != "wait" || objective.job_class != job.spec.job_class) continue;
+    ++progress_[i].total;
+    progress_[i].met += now - job.submitted_at <= objective.within_s ? 1 : 0;
   }
 }
 
 void ActivityTracker::OnJobFinished(const jobs::Job& job, double now) {
   Record(job, &LastActivity::finished_at, now);
-  const double took = now - job.submitted_at;
+  const double took_s = now - job.submitted_at;
   for (size_t i = 0; i < objectives_.size(); ++i) {
-    const auto& o = objectives_[i];
-    if (o.job_class != job.spec.job_class) continue;
-    const bool deadline = o.kind == "deadline" && job.spec.deadline_s;
-    if (!deadline && o.kind != "finished") continue;
-    auto& [met, of] = progress_[i];
-    ++of;
-    met += took <= (deadline ? o.times * *job.spec.deadline_s : o.within_s) ? 1 : 0;
+    const config::Objective& objective = objectives_[i];
+    if (objective.job_class != job.spec.job_class) continue;
+    const bool has_deadline = objective.kind == "deadline" && job.spec.deadline_s;
+    if (!has_deadline && objective.kind != "finished") continue;
+    ++progress_[i].total;
+    progress_[i].met +=
+        took_s <= (has_deadline ? objective.times * *job.spec.deadline_s : objective.within_s) ? 1
+                                                                                               : 0;
   }
 }
 
-void ActivityTracker::FillSnapshot(double now, wire::StatusSnapshot& d) const {
+void ActivityTracker::FillSnapshot(double now, wire::StatusSnapshot& snapshot) const {
   for (size_t i = 0; i < objectives_.size(); ++i) {
-    const auto& o = objectives_[i];
-    const auto& [met, of] = progress_[i];
-    d.progress.push_back({o.kind, o.job_class, o.within_s, o.times, o.share, met, of});
+    const config::Objective& objective = objectives_[i];
+    const Progress& progress = progress_[i];
+    snapshot.progress.push_back({objective.kind, objective.job_class, objective.within_s,
+                                 objective.times, objective.share, progress.met, progress.total});
   }
-  for (auto t = incidents_.rbegin(); t != incidents_.rend(); ++t) {
-    d.incidents.push_back({now - t->first, t->second});
+  for (auto incident = incidents_.rbegin(); incident != incidents_.rend(); ++incident) {
+    snapshot.incidents.push_back({now - incident->at, incident->description});
   }
 }
 
 bool ActivityTracker::IsLogDue(double now) {
-  if (now < next_log_) return false;
-  next_log_ = now + log_every_s_;
+  if (now < next_log_at_) return false;
+  next_log_at_ = now + log_interval_s_;
   return true;
 }
 
--- /dev/null
+++ b/src/scheduler/command_outcome_handler.cc
@@ -0,0 +1,62 @@
+#include "mosspath/scheduler/command_outcome_handler.h"
+
+namespace mosspath::scheduler {
+
+using cluster::Allocation;
+using cluster::Machine;
+
+void CommandOutcomeHandler::OnOutcome(const CommandBatch& batch, CommandOutcome outcome,
+                                      const wire::Heartbeat* heartbeat, double now) {
+  const bool is_probe = batch.commands.empty();
+  if (is_probe) state_.failover.OnProbeEnded();
+  const auto found = state_.cluster.machines.find(batch.machine);
+  if (found == state_.cluster.machines.end()) return;
+  const bool from_other_machine = heartbeat != nullptr && heartbeat->machine != batch.machine;
+  if (outcome == CommandOutcome::kExecuted && from_other_machine) {
+    heartbeats_.OnUnexpectedMachine(*heartbeat, now);
+  }
+  Machine& machine = found->second;
+  machine.command_in_flight = false;
+  if (is_probe) return heartbeats_.OnProbeAnswer(machine, batch, outcome, heartbeat, now);
+  const bool answered_by_addressee =
+      heartbeat != nullptr && !from_other_machine && heartbeat->agent_epoch == batch.agent_epoch;
+  if (outcome == CommandOutcome::kExecuted && !answered_by_addressee) {
+    outcome = CommandOutcome::kUndetermined;  // the answer contradicts itself, so it is none
+  }
+  for (const wire::Command& command : batch.commands) {
+    if (command.type != wire::CommandType::kStart) continue;
+    OnStartOutcome(machine, command, outcome, heartbeat, now);
+  }
+  // Answers to commands don't renew the lease, but are as good as heartbeats otherwise.
+  if (outcome != CommandOutcome::kExecuted ||
+      !machine.IsNewer(heartbeat->agent_epoch, heartbeat->sequence) ||
+      heartbeat->fencing_token != machine.fencing_token) {
+    return;
+  }
+  machine.heartbeat_sequence = heartbeat->sequence;
+  machine.last_contact_at = now;
+  reconciler_.Reconcile(machine, *heartbeat, HeartbeatKind::kCommandAnswer, now);
+}
+
+void CommandOutcomeHandler::OnStartOutcome(Machine& machine, const wire::Command& start,
+                                           CommandOutcome outcome, const wire::Heartbeat* heartbeat,
+                                           double now) {
+  const auto it = machine.allocations.find({start.task, start.attempt});
+  if (it == machine.allocations.end()) return;
+  Allocation& allocation = it->second;
+  if (allocation.state != Allocation::State::kStartSent) return;
+  switch (outcome) {
+    case CommandOutcome::kExecuted:
+      // The heartbeat that came with the answer tells of the start already.
+      allocation.start_sent_sequence = heartbeat->sequence - 1;
+      return;
+    case CommandOutcome::kRefused:
+      state_.cluster.RemoveAllocation(machine, it, now);
+      return;
+    case CommandOutcome::kUndetermined:
+      allocation.start_unconfirmed = machine.has_unconfirmed_starts = true;
+      return;
+  }
+}
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/command_planner.cc
@@ -0,0 +1,163 @@
+#include "mosspath/scheduler/command_planner.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "mosspath/scheduler/role.h"
+
+namespace mosspath::scheduler {
+
+using cluster::Allocation;
+using cluster::Machine;
+using jobs::Job;
+
+namespace {
+
+// Keeps an answer to an agent well below the 64 KiB that a line may have.
+constexpr size_t kMaxCommands = 400;
+// Heartbeat intervals without contact, after which no start goes straight to a machine.
+constexpr double kMaxContactAgeHeartbeats = 1.5;
+// The value of Machine::unheeded_token while no answer is suspected to be without effect.
+constexpr uint64_t kNoUnheededToken = 0;
+
+bool IsUnconfirmedStart(const Allocation& allocation) {
+  return allocation.start_unconfirmed && allocation.state == Allocation::State::kStartSent;
+}
+
+bool HasUnconfirmedStart(const Machine& machine) {
+  return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                     [](const auto& it) { return IsUnconfirmedStart(it.second); });
+}
+
+// Whether a start that got no answer was sent under the machine's present token.
+bool HasUnconfirmedStartUnderToken(const Machine& machine) {
+  return std::any_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
+    return IsUnconfirmedStart(it.second) && it.second.start_sent_token == machine.fencing_token;
+  });
+}
+
+}  // namespace
+
+// ---------------------------------------------------------------------------- answers
+
+std::vector<wire::Command> CommandPlanner::TakeAnswer(Machine& machine, double now) {
+  std::vector<wire::Command> commands;
+  const bool may_start = machine.record_durable && state_.cluster.IsSchedulable(machine, now);
+  // What ends attempts goes first.
+  for (auto& [key, allocation] : machine.allocations) {
+    if (commands.size() >= kMaxCommands) break;
+    const auto& [task, attempt] = key;
+    if (allocation.exited()) {
+      if (MustKeep(task, allocation)) continue;
+      allocation.forget_sent_sequence = machine.heartbeat_sequence;
+      commands.push_back({wire::CommandType::kForget, task, attempt, 0});
+    } else if (allocation.stop_requested && allocation.state != Allocation::State::kPlanned) {
+      allocation.stop_sent_at = now;
+      commands.push_back({wire::CommandType::kStop, task, attempt, allocation.grace_s});
+    }
+  }
+  for (auto& [key, allocation] : machine.allocations) {
+    if (commands.size() >= kMaxCommands) break;
+    if (allocation.state != Allocation::State::kPlanned || !may_start) continue;
+    allocation.state = Allocation::State::kStartSent;
+    allocation.start_sent_sequence = machine.heartbeat_sequence;
+    allocation.start_sent_token = machine.fencing_token;
+    commands.push_back({wire::CommandType::kStart, key.first, key.second, 0});
+  }
+  return commands;
+}
+
+// An attempt that succeeded is kept by its agent until the completion is durable.
+bool CommandPlanner::MustKeep(const wire::TaskId& task, const Allocation& allocation) const {
+  if (allocation.orphaned || allocation.exit_reason != wire::ExitReason::kSucceeded) return false;
+  const Job* job = state_.cluster.FindJob(task.job);
+  return job != nullptr && !job->tasks[task.index].durable;
+}
+
+// ---------------------------------------------------------------------------- batches
+
+std::vector<CommandBatch> CommandPlanner::TakeBatches(double now, size_t max_batches) {
+  std::vector<CommandBatch> batches;
+  if (NeedsProbes(now)) {
+    state_.failover.TakeProbes(state_.cluster.machines, now, max_batches, batches);
+  }
+  for (auto& [id, machine] : state_.cluster.machines) {
+    if (batches.size() >= max_batches) break;
+    if (!machine.has_pending_commands || machine.command_in_flight || !machine.token_confirmed ||
+        machine.lost || machine.deleting) {
+      continue;
+    }
+    std::vector<wire::Command> commands = TakeDirectCommands(machine, now);
+    if (commands.empty()) continue;
+    machine.command_in_flight = true;
+    batches.push_back(
+        {id, machine.address, machine.fencing_token, machine.agent_epoch, std::move(commands)});
+  }
+  return batches;
+}
+
+bool CommandPlanner::NeedsProbes(double now) const {
+  return !state_.failover.recovery_complete() || state_.failover.agents_may_be_searching(now) ||
+         !state_.reconciliation.empty() || state_.role->ProbesAtAllTimes();
+}
+
+std::vector<wire::Command> CommandPlanner::TakeDirectCommands(Machine& machine, double now) {
+  const double max_contact_age_s = kMaxContactAgeHeartbeats * state_.settings.heartbeat_s;
+  const bool may_start = machine.record_durable && state_.cluster.IsSchedulable(machine, now) &&
+                         now - machine.last_contact_at < max_contact_age_s;
+  machine.has_pending_commands = false;
+  std::vector<wire::Command> commands;
+  for (auto& [key, allocation] : machine.allocations) {
+    const bool planned = allocation.state == Allocation::State::kPlanned;
+    const bool to_stop = allocation.stop_requested && !allocation.exited();
+    machine.has_pending_commands = machine.has_pending_commands || planned || to_stop;
+    if (commands.size() >= kMaxCommands) {
+      machine.has_pending_commands = true;
+      break;
+    }
+    if (planned) {
+      if (!may_start) continue;
+      allocation.state = Allocation::State::kStartSent;
+      allocation.start_sent_sequence = cluster::kNoHeartbeat;
+      allocation.start_sent_directly = true;
+      allocation.start_sent_at = now;
+      allocation.start_sent_token = machine.fencing_token;
+      commands.push_back({wire::CommandType::kStart, key.first, key.second, 0});
+    } else if (to_stop && now - allocation.stop_sent_at > state_.settings.heartbeat_s) {
+      allocation.stop_sent_at = now;
+      commands.push_back({wire::CommandType::kStop, key.first, key.second, allocation.grace_s});
+    }
+  }
+  return commands;
+}
+
+// ---------------------------------------------------------------------------- tokens
+
+void CommandPlanner::RaiseTokens() {
+  for (auto& [id, machine] : state_.cluster.machines) {
+    const bool answers_ignored = machine.unheeded_token == machine.fencing_token;
+    if (!machine.has_unconfirmed_starts && !answers_ignored) continue;
+    machine.has_unconfirmed_starts = HasUnconfirmedStart(machine);
+    if (answers_ignored || HasUnconfirmedStartUnderToken(machine)) RaiseToken(machine);
+  }
+}
+
+// Asks for a write of the machine's record if there was none since the present token was given.
+void CommandPlanner::RaiseToken(Machine& machine) {
+  const uint64_t newest_revision = state_.durable_state.newest_revision();
+  if (newest_revision <= machine.fencing_token) {
+    state_.durable_state.RewriteMachine(machine.id);
+    return;
+  }
+  machine.fencing_token = newest_revision;
+  machine.token_confirmed = false;
+  machine.token_unconfirmed_since = 0;
+  const bool answers_ignored = machine.unheeded_token != kNoUnheededToken;
+  spdlog::info("scheduler: token_raised machine={} token={} cause={}", machine.id,
+               machine.fencing_token, answers_ignored ? "answers_ignored" : "start_unanswered");
+  machine.unheeded_token = kNoUnheededToken;
+}
+
+}  // namespace mosspath::scheduler
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -11,133 +11,166 @@
 
 namespace {
 
-constexpr double kBlindReports = 2;   // report intervals
-constexpr size_t kMostAsked = 128;    // machines taken over, at once
-constexpr double kStragglers = 0.03;  // of the machines taken over
+// Heartbeat intervals without contact after which a machine counts as silent.
+constexpr double kSilentHeartbeats = 2;
+// Of the machines that were heard, the share that must be silent for a partition is more than
+// 1 - 1 / kKnownPerHeard.
+constexpr size_t kKnownPerHeard = 4;
+// A partition shows on no fewer machines than this.
+constexpr size_t kMinKnownMachines = 2;
+// Heartbeat intervals that a partition must have lasted.
+constexpr double kMinPartitionHeartbeats = 0.5;
+constexpr size_t kMaxProbesInFlight = 128;
+// The share of the machines of a takeover that the others needn't wait for.
+constexpr double kMaxStragglerShare = 0.03;
 
 }  // namespace
 
 Failover::Failover(const config::Settings& settings, const config::DerivedSettings& derived,
                    double now)
     : began_at_(now),
-      report_s_(settings.heartbeat_s),
+      heartbeat_s_(settings.heartbeat_s),
       search_s_(derived.agents_try_all_s),
-      ask_s_(derived.probe_answer_s),
-      find_s_(derived.agents_find_leader_s),
-      silent_s_(derived.agent_suspect_s),
-      gone_s_(derived.agent_lease_over_s),
+      probe_interval_s_(derived.probe_answer_s),
+      agents_find_leader_s_(derived.agents_find_leader_s),
+      agent_suspect_s_(derived.agent_suspect_s),
+      agent_lease_over_s_(derived.agent_lease_over_s),
       listening_since_(now) {}
 
-void Failover::AddMachine(Machine& m, bool counted) {
-  m.awaits_recovery = true;
-  m.blocks_recovery = counted;
+void Failover::AddMachine(Machine& machine, bool counted) {
+  machine.awaits_recovery = true;
+  machine.blocks_recovery = counted;
   if (!counted) return;
-  m.lease_renewed_at = began_at_;
+  machine.lease_renewed_at = began_at_;
   ++machines_left_;
   ++machines_total_;
 }
 
-bool Failover::OnMachineKnown(Machine& m) {
-  if (!m.awaits_recovery) return false;
-  m.awaits_recovery = false;
-  if (!std::exchange(m.blocks_recovery, false)) return false;
+bool Failover::OnMachineKnown(Machine& machine) {
+  if (!machine.awaits_recovery) return false;
+  machine.awaits_recovery = false;
+  if (!std::exchange(machine.blocks_recovery, false)) return false;
   if (--machines_left_ > 0 || !recovery_complete()) return false;
-  spdlog::info("takeover: settled, every inherited machine is known or ruled out");
+  spdlog::info("scheduler: recovery_complete cause=machines_known");
   return true;
 }
 
-void Failover::TakeProbes(cluster::Machines& machines, double now, size_t most,
-                          std::vector<CommandBatch>& out) {
-  for (auto& [id, m] : machines) {
-    if (probes_in_flight_ >= kMostAsked || out.size() >= most) return;
-    if (m.command_in_flight || m.deleting || m.lost || m.needs_new_token ||
-        m.recorded_address.empty())
+// ---------------------------------------------------------------------------- probes
+
+void Failover::TakeProbes(cluster::Machines& machines, double now, size_t max_batches,
+                          std::vector<CommandBatch>& batches) {
+  for (auto& [id, machine] : machines) {
+    if (probes_in_flight_ >= kMaxProbesInFlight || batches.size() >= max_batches) return;
+    if (machine.command_in_flight || machine.deleting || machine.lost || machine.needs_new_token ||
+        machine.recorded_address.empty()) {
       continue;
-    // Again until its worker has found us, so that what ends there is known and refilled meanwhile.
-    const bool due = m.token_confirmed
-                         ? m.lease_renewed_at <= began_at_ && now - m.last_contact_at > report_s_
-                         : m.awaits_recovery && now >= m.next_probe_at;
+    }
+    // A machine is probed until its agent has found us, so that what ends there is known and
+    // refilled meanwhile.
+    const bool due = machine.token_confirmed
+                         ? !HasReported(machine) && now - machine.last_contact_at > heartbeat_s_
+                         : machine.awaits_recovery && now >= machine.next_probe_at;
     if (!due) continue;
-    m.command_in_flight = true;
+    machine.command_in_flight = true;
     ++probes_in_flight_;
-    out.push_back({id, m.recorded_address, m.fencing_token, m.probe_epoch, {}});
+    batches.push_back(
+        {id, machine.recorded_address, machine.fencing_token, machine.probe_epoch, {}});
   }
 }
 
-bool Failover::OnProbeAnswer(Machine& m, const CommandBatch& order, CommandOutcome outcome,
-                             const wire::Heartbeat* report, double now) const {
-  const bool told = report != nullptr && report->machine == order.machine;
-  if (!told || outcome == CommandOutcome::kUndetermined) {
-    ++m.failed_probes;
-    m.next_probe_at = now + ask_s_;
+bool Failover::OnProbeAnswer(Machine& machine, const CommandBatch& probe, CommandOutcome outcome,
+                             const wire::Heartbeat* heartbeat, double now) const {
+  const bool answered = heartbeat != nullptr && heartbeat->machine == probe.machine;
+  if (!answered || outcome == CommandOutcome::kUndetermined) {
+    ++machine.failed_probes;
+    machine.next_probe_at = now + probe_interval_s_;
     return false;
   }
   if (outcome == CommandOutcome::kRefused) {
-    // In another session, or a later leader's.
-    m.next_probe_at = now + ask_s_;
-    if (report->fencing_token <= m.fencing_token)
-      m.probe_epoch = std::max(m.probe_epoch, report->agent_epoch);
+    // The agent is in another epoch, or has seen a later leader's token.
+    machine.next_probe_at = now + probe_interval_s_;
+    if (heartbeat->fencing_token <= machine.fencing_token) {
+      machine.probe_epoch = std::max(machine.probe_epoch, heartbeat->agent_epoch);
+    }
     return false;
   }
-  return report->fencing_token == m.fencing_token && report->agent_epoch == order.agent_epoch &&
-         m.IsNewer(report->agent_epoch, report->sequence);
+  return heartbeat->fencing_token == machine.fencing_token &&
+         heartbeat->agent_epoch == probe.agent_epoch &&
+         machine.IsNewer(heartbeat->agent_epoch, heartbeat->sequence);
 }
 
-// A successor starts nothing of earlier jobs before it has heard from every machine it took over.
-// At any time some of many machines have just been taken by the cloud, so once nearly all have been
-// heard the others are deleted: that is answered at once, and rules them out.
+// ---------------------------------------------------------------------------- silent machines
+
+// A new leader starts nothing of earlier jobs before it has heard from every machine that it took
+// over. At any time some of many machines have just been reclaimed by the cloud, so once nearly all
+// have been heard the others are deleted: that is answered at once, and rules them out.
 std::vector<std::string> Failover::Stragglers(const cluster::Machines& machines,
-                                              const TaskReconciliation& search, double now) const {
-  std::vector<std::string> late;
-  const bool few = static_cast<double>(machines_left_) <=
-                   std::max(1.0, kStragglers * static_cast<double>(machines_total_));
-  const bool found = now - listening_since_ > find_s_;
-  for (const auto& [id, m] : machines) {
-    if (m.deleting || !m.awaits_recovery || now - m.last_contact_at <= find_s_) continue;
-    const bool nearly = m.blocks_recovery ? few : search.IsNearlyComplete(id, kStragglers);
-    // Its reports come, but nothing reaches it: while that is new it may yet. What it had has ended
-    // once that has lasted for a lease.
-    if (m.token_unconfirmed_since > 0) {
-      const double deaf = m.TokenUnconfirmedFor(now);
-      if (deaf > gone_s_ || (nearly && deaf > silent_s_)) late.push_back(id);
+                                              const TaskReconciliation& reconciliation,
+                                              double now) const {
+  std::vector<std::string> stragglers;
+  const bool few_left = static_cast<double>(machines_left_) <=
+                        std::max(1.0, kMaxStragglerShare * static_cast<double>(machines_total_));
+  const bool agents_had_time = now - listening_since_ > agents_find_leader_s_;
+  for (const auto& [id, machine] : machines) {
+    if (machine.deleting || !machine.awaits_recovery) continue;
+    if (now - machine.last_contact_at <= agents_find_leader_s_) continue;
+    const bool nearly_complete = machine.blocks_recovery
+                                     ? few_left
+                                     : reconciliation.IsNearlyComplete(id, kMaxStragglerShare);
+    // Its heartbeats arrive, but answers don't reach it. While that is new they may yet. What it
+    // had has ended once that has lasted for a lease.
+    if (machine.token_unconfirmed_since > 0) {
+      const double unconfirmed_s = machine.TokenUnconfirmedFor(now);
+      if (unconfirmed_s > agent_lease_over_s_ ||
+          (nearly_complete && unconfirmed_s > agent_suspect_s_)) {
+        stragglers.push_back(id);
+      }
       continue;
     }
-    if (nearly && ((m.blocks_recovery && found) || m.failed_probes >= kMaxFailedProbes))
-      late.push_back(id);
+    const bool given_up =
+        (machine.blocks_recovery && agents_had_time) || machine.failed_probes >= kMaxFailedProbes;
+    if (nearly_complete && given_up) stragglers.push_back(id);
   }
-  return late;
+  return stragglers;
 }
 
 bool Failover::IsPartitionedFromAgents(const cluster::Machines& machines, double now) {
   size_t known = 0;
   size_t heard = 0;
-  // A successor that asks in vain can't do the work either. What answered it is within reach,
-  // though its worker may take long to find it: that tries the nodes one by one.
-  const bool looked = now - listening_since_ > search_s_;
-  for (const auto& [id, m] : machines) {
-    if (m.lost || m.deleting || m.missing_from_list || m.failed) continue;
-    if (m.awaits_recovery && !m.blocks_recovery)
-      continue;  // a holder that is gone couldn't reach it either
-    const bool reported = m.lease_renewed_at > began_at_;
-    if (!reported && (m.token_confirmed || !m.awaits_recovery)) continue;
-    // It has just found us, and may not have had the time to show it.
-    if (!m.token_confirmed && m.token_unconfirmed_since > 0 &&
-        m.TokenUnconfirmedFor(now) <= silent_s_)
-      continue;
-    if (!reported && !looked && m.failed_probes < kMaxFailedProbes) continue;
+  for (const auto& [id, machine] : machines) {
+    if (!CountsForPartition(machine, now)) continue;
     ++known;
-    heard += reported && now - m.last_contact_at < kBlindReports * report_s_ ? 1 : 0;
+    const bool silent = now - machine.last_contact_at >= kSilentHeartbeats * heartbeat_s_;
+    heard += HasReported(machine) && !silent ? 1 : 0;
   }
-  if (known < 2 || heard * 4 > known) {
-    partitioned_since_ = -1;
+  if (known < kMinKnownMachines || heard * kKnownPerHeard > known) {
+    partitioned_since_.reset();
+    return false;
+  }
+  if (!partitioned_since_) partitioned_since_ = now;
+  return now - *partitioned_since_ > kMinPartitionHeartbeats * heartbeat_s_;
+}
+
+bool Failover::CountsForPartition(const Machine& machine, double now) const {
+  if (machine.lost || machine.deleting || machine.missing_from_list || machine.failed) return false;
+  // A holder that is gone couldn't reach the machine either.
+  if (machine.awaits_recovery && !machine.blocks_recovery) return false;
+  const bool reported = HasReported(machine);
+  if (!reported && (machine.token_confirmed || !machine.awaits_recovery)) return false;
+  // It has just found us, and may not have had the time to show our token.
+  if (!machine.token_confirmed && machine.token_unconfirmed_since > 0 &&
+      machine.TokenUnconfirmedFor(now) <= agent_suspect_s_) {
     return false;
   }
-  if (partitioned_since_ < 0) partitioned_since_ = now;
-  return now - partitioned_since_ > report_s_ / 2;
+  // A new leader that probes in vain can't do its work either. What answered a probe is within
+  // reach, though its agent may take long to find the leader, as it tries the controllers one by
+  // one.
+  const bool agents_tried_all = now - listening_since_ > search_s_;
+  return reported || agents_tried_all || machine.failed_probes >= kMaxFailedProbes;
 }
 
 void Failover::OnProcessStall(double now) {
-  partitioned_since_ = -1;
+  partitioned_since_.reset();
   listening_since_ = now;
 }
 
--- /dev/null
+++ b/src/scheduler/heartbeat_handler.cc
@@ -0,0 +1,114 @@
+#include "mosspath/scheduler/heartbeat_handler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <optional>
+
+#include "mosspath/scheduler/role.h"
+
+namespace mosspath::scheduler {
+
+using cluster::Machine;
+
+// Whether another controller commands the machine, or it is gone.
+bool HeartbeatHandler::IsCommandedElsewhere(const std::string& machine) const {
+  if (state_.provisioning.is_deleted(machine)) return true;
+  if (state_.cluster.delegated_machines.contains(machine)) return true;
+  return !state_.role->AcceptsUnknownMachines() && !state_.cluster.machines.contains(machine);
+}
+
+// Whether anything can be concluded from the heartbeat. A token above all that we gave is a later
+// leader's, and one below the machine's may be another machine's that had its address. The answer
+// to a late heartbeat could never be used, and a late copy tells nothing, not even an address.
+bool HeartbeatHandler::IsUsable(const wire::Heartbeat& heartbeat) const {
+  const uint64_t newest_token = state_.durable_state.newest_revision();
+  const auto it = state_.cluster.machines.find(heartbeat.machine);
+  if (it == state_.cluster.machines.end()) return heartbeat.fencing_token <= newest_token;
+  const Machine& machine = it->second;
+  return !machine.needs_new_token && !machine.answers_suspended &&
+         heartbeat.fencing_token <= std::max(machine.fencing_token, newest_token) &&
+         machine.IsNewer(heartbeat.agent_epoch, heartbeat.sequence);
+}
+
+HeartbeatAnswer HeartbeatHandler::OnHeartbeat(const wire::Heartbeat& heartbeat, double now) {
+  if (IsCommandedElsewhere(heartbeat.machine) || !IsUsable(heartbeat)) return {};
+  Machine& machine = lifecycle_.FindOrAdd(heartbeat, now);
+  machine.fencing_token = std::max(machine.fencing_token, heartbeat.fencing_token);
+  lifecycle_.OnAgentEpoch(machine, heartbeat.agent_epoch, now);
+  machine.heartbeat_sequence = heartbeat.sequence;
+  machine.lease_renewed_at = now;
+  machine.lost = false;
+  // A heartbeat made before our token was seen may be late, or an older leader's answer may still
+  // be on its way: nothing is concluded from it, not even that answers reach the machine. A machine
+  // whose answers were lost kept a takeover waiting for as long as its heartbeats came.
+  if (heartbeat.fencing_token != machine.fencing_token) {
+    if (machine.token_unconfirmed_since <= 0) machine.token_unconfirmed_since = now;
+    return {true, machine.fencing_token, {}};
+  }
+  machine.missing_from_list = false;
+  OnReclaimNotice(machine, heartbeat, now);
+  if (!machine.token_confirmed) state_.cluster.changed_since_pass = true;
+  OnTokenShown(machine, now);
+  reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kPeriodic, now);
+  lifecycle_.OnMachineKnown(machine);
+  state_.placer.Refill(machine, now);
+  return {true, machine.fencing_token, commands_.TakeAnswer(machine, now)};
+}
+
+void HeartbeatHandler::OnTokenShown(Machine& machine, double now) {
+  machine.last_contact_at = now;
+  machine.token_unconfirmed_since = 0;
+  machine.token_confirmed = true;
+}
+
+void HeartbeatHandler::OnReclaimNotice(Machine& machine, const wire::Heartbeat& heartbeat,
+                                       double now) {
+  if (!heartbeat.reclaim_notice_s) {
+    machine.reclaim_at.reset();
+    return;
+  }
+  if (!machine.reclaim_at) {
+    spdlog::info("scheduler: reclaim_notice machine={} notice_s={}", machine.id,
+                 *heartbeat.reclaim_notice_s);
+    state_.activity.AddIncident(now, "the cloud takes machine " + machine.id + " back");
+    state_.cluster.changed_since_pass = true;
+  }
+  machine.reclaim_at = now + *heartbeat.reclaim_notice_s;
+}
+
+void HeartbeatHandler::OnProbeAnswer(Machine& machine, const CommandBatch& probe,
+                                     CommandOutcome outcome, const wire::Heartbeat* heartbeat,
+                                     double now) {
+  const int failed_before = machine.failed_probes;
+  if (!state_.failover.OnProbeAnswer(machine, probe, outcome, heartbeat, now)) {
+    const bool failed_again = machine.failed_probes > failed_before;
+    state_.wants_scaling_plan =
+        state_.wants_scaling_plan || (failed_again && machine.failed_probes >= kMaxFailedProbes);
+    return;
+  }
+  lifecycle_.FindOrAdd(*heartbeat, now);
+  TakeCommandAnswer(machine, *heartbeat, now);
+}
+
+void HeartbeatHandler::OnUnexpectedMachine(const wire::Heartbeat& heartbeat, double now) {
+  if (IsCommandedElsewhere(heartbeat.machine) || !IsUsable(heartbeat)) return;
+  if (heartbeat.fencing_token < state_.token) return;
+  Machine& machine = lifecycle_.FindOrAdd(heartbeat, now);
+  if (heartbeat.fencing_token < machine.fencing_token) return;
+  machine.fencing_token = heartbeat.fencing_token;
+  TakeCommandAnswer(machine, heartbeat, now);
+}
+
+// Unlike a periodic heartbeat, the answer to a command batch doesn't renew the lease.
+void HeartbeatHandler::TakeCommandAnswer(Machine& machine, const wire::Heartbeat& heartbeat,
+                                         double now) {
+  lifecycle_.OnAgentEpoch(machine, heartbeat.agent_epoch, now);
+  machine.heartbeat_sequence = heartbeat.sequence;
+  OnTokenShown(machine, now);
+  state_.cluster.changed_since_pass = true;
+  reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kCommandAnswer, now);
+  lifecycle_.OnMachineKnown(machine);
+}
+
+}  // namespace mosspath::scheduler
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -2,83 +2,104 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace mosspath::scheduler {
+
+using cluster::Machine;
+using jobs::Job;
+
 namespace {
 
-constexpr uint32_t kTimedToCompare = 3;  // tasks of a job
-constexpr int kTimedToJudge = 4;         // tasks on a machine
-constexpr double kSlow = 2.5;            // times the usual
-constexpr double kWorthMoving = 1.5;     // times the usual run, that is left on a slow machine
-constexpr int kErrorsToCondemn = 3;
-constexpr uint32_t kFailuresToDoubt = 4;  // of a job in a row, before its tasks are held back
-constexpr double kMaxDoubtPause = 16;     // leases
-constexpr double kDoubtGrowth = 2;        // of the pause, from one try to the next
+// Timed tasks of a job, before others are compared with their mean.
+constexpr uint32_t kMinTimedTasksOfJob = 3;
+// Timed tasks on a machine, before it is judged; also over how many its slowdown is averaged.
+constexpr int kMinTimedTasksOnMachine = 4;
+// How many times slower than others a machine is when it counts as slow.
+constexpr double kSlowFactor = 2.5;
+// How many times the usual run time a task must have to run yet, to be restarted elsewhere.
+constexpr double kRestartFactor = 1.5;
+// Failed tasks in a row, before a machine counts as faulty.
+constexpr int kFailuresOfFaultyMachine = 3;
+// Different jobs that must have failed on a machine, unless the last has succeeded elsewhere.
+constexpr size_t kMinFailedJobs = 2;
+// Failed tasks of a job in a row, and machines that they failed on, before it is crash looping.
+constexpr uint32_t kFailuresOfCrashLoop = 4;
+constexpr size_t kMinMachinesOfCrashLoop = 2;
+// The pause between retries of a crash looping job: agent leases, growing by the factor each time.
+constexpr double kMaxRetryPauseLeases = 16;
+constexpr double kRetryPauseGrowth = 2;
 
 }  // namespace
 
-MachineHealth::Verdict MachineHealth::OnTaskTimed(cluster::Machine& m, jobs::Job& job,
-                                                  double ran_s) const {
+MachineHealth::Verdict MachineHealth::OnTaskTimed(Machine& machine, Job& job, double ran_s) const {
   auto verdict = Verdict::kNone;
-  if (job.timed_tasks >= kTimedToCompare && job.mean_run_s() > report_s_) {
-    const double ratio = ran_s / job.mean_run_s();
-    m.slowdown +=
-        (std::min(ratio, 2 * kSlow) - m.slowdown) / std::min(++m.timed_tasks, kTimedToJudge);
-    if (!m.quarantined && m.timed_tasks >= kTimedToJudge && m.slowdown > kSlow) {
-      m.quarantined = true;
+  if (job.timed_tasks >= kMinTimedTasksOfJob && job.mean_run_s() > heartbeat_s_) {
+    const double slowdown = std::min(ran_s / job.mean_run_s(), 2 * kSlowFactor);
+    ++machine.timed_tasks;
+    machine.slowdown +=
+        (slowdown - machine.slowdown) / std::min(machine.timed_tasks, kMinTimedTasksOnMachine);
+    if (!machine.quarantined && machine.timed_tasks >= kMinTimedTasksOnMachine &&
+        machine.slowdown > kSlowFactor) {
+      machine.quarantined = true;
       verdict = Verdict::kMachineSlow;
     }
   }
-  if (m.quarantined) return verdict;  // would make the others look fast
+  // The run times of a slow machine would make the others look fast.
+  if (machine.quarantined) return verdict;
   job.timed_run_s += ran_s;
   ++job.timed_tasks;
   return verdict;
 }
 
-MachineHealth::Verdict MachineHealth::OnTaskFailed(cluster::Machine& m, jobs::Job& job,
+MachineHealth::Verdict MachineHealth::OnTaskFailed(Machine& machine, Job& job,
                                                    cluster::Machines& machines, double now) const {
-  const std::string& id = job.spec.id;
-  job.failed_on[m.id] = now;
+  job.failed_on[machine.id] = now;
   ++job.consecutive_failures;
   auto verdict = job.crash_looping ? Verdict::kJobStillCrashLooping : Verdict::kNone;
-  if (!job.crash_looping && job.done == 0 && job.failed_on.size() >= 2 &&
-      job.consecutive_failures >= kFailuresToDoubt) {
+  if (!job.crash_looping && job.done == 0 && job.failed_on.size() >= kMinMachinesOfCrashLoop &&
+      job.consecutive_failures >= kFailuresOfCrashLoop) {
     job.crash_looping = true;
     verdict = Verdict::kJobCrashLooping;
-    // No machine is blamed for it, also not for what it failed before that was seen.
-    for (const auto& [machine, when] : job.failed_on) {
-      if (const auto it = machines.find(machine); it != machines.end())
-        it->second.errors_by_job.erase(id);
+    // No machine is blamed for the job, also not for failures before this was found.
+    for (const auto& [id, failed_at] : job.failed_on) {
+      if (const auto it = machines.find(id); it != machines.end()) {
+        it->second.errors_by_job.erase(job.spec.id);
+      }
     }
   }
-  if (job.crash_looping) {
-    // Tried again ever more rarely, one task at a time, once what was placed before has ended.
-    if (job.placed() == 0) ++job.retries;
-    job.not_before = now + lease_s_ * std::min(kMaxDoubtPause, std::pow(kDoubtGrowth, job.retries));
-    return verdict;
-  }
-  ++m.errors_by_job[id];
-  int in_row = 0;
-  for (const auto& [other, n] : m.errors_by_job) in_row += n;
-  if (!m.quarantined && in_row >= kErrorsToCondemn &&
-      (job.done > 0 || m.errors_by_job.size() >= 2)) {
-    m.quarantined = true;
-    return Verdict::kMachineFaulty;
-  }
+  if (!job.crash_looping) return BlameMachine(machine, job);
+  // The job is retried ever more rarely, one task at a time, once what was placed before has ended.
+  if (job.placed() == 0) ++job.retries;
+  job.not_before = now + agent_lease_s_ * std::min(kMaxRetryPauseLeases,
+                                                   std::pow(kRetryPauseGrowth, job.retries));
   return verdict;
 }
 
-bool MachineHealth::OnTaskSucceeded(cluster::Machine& m, jobs::Job& job) const {
+MachineHealth::Verdict MachineHealth::BlameMachine(Machine& machine, const Job& job) const {
+  ++machine.errors_by_job[job.spec.id];
+  int failures = 0;
+  for (const auto& [id, errors] : machine.errors_by_job) failures += errors;
+  const bool others_do_better = job.done > 0 || machine.errors_by_job.size() >= kMinFailedJobs;
+  if (machine.quarantined || failures < kFailuresOfFaultyMachine || !others_do_better) {
+    return Verdict::kNone;
+  }
+  machine.quarantined = true;
+  return Verdict::kMachineFaulty;
+}
+
+bool MachineHealth::OnTaskSucceeded(Machine& machine, Job& job) const {
   job.consecutive_failures = 0;
   job.not_before = 0;
-  m.errors_by_job.clear();
+  machine.errors_by_job.clear();
   return std::exchange(job.crash_looping, false);
 }
 
-bool MachineHealth::ShouldRestartElsewhere(const cluster::Machine& m, const jobs::Job& job,
+bool MachineHealth::ShouldRestartElsewhere(const Machine& machine, const Job& job,
                                            double ran_s) const {
-  const double usual = job.mean_run_s();
-  return m.quarantined && usual > 0 && m.slowdown * usual - ran_s > kWorthMoving * usual;
+  const double usual_s = job.mean_run_s();
+  return machine.quarantined && usual_s > 0 &&
+         machine.slowdown * usual_s - ran_s > kRestartFactor * usual_s;
 }
 
 }  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/reconciler.cc
@@ -0,0 +1,300 @@
+#include "mosspath/scheduler/reconciler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "mosspath/scheduler/role.h"
+
+namespace mosspath::scheduler {
+
+using cluster::Allocation;
+using cluster::AllocationKey;
+using cluster::Machine;
+using jobs::Job;
+using jobs::TaskPhase;
+using wire::ExitReason;
+using wire::TaskState;
+
+namespace {
+
+// Answers in a row without effect, before a machine must show that answers reach it.
+constexpr int kMaxIgnoredAnswers = 2;
+
+// The value of Allocation::forget_sent_sequence while no answer has said to forget the attempt.
+constexpr uint64_t kForgetNotSent = 0;
+
+}  // namespace
+
+void Reconciler::Reconcile(Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatKind kind,
+                           double now) {
+  Pass pass{machine, heartbeat, kind, ++reconciled_heartbeats_, now};
+  for (const wire::TaskStatus& status : heartbeat.tasks) TakeStatus(pass, status);
+  RemoveUnlisted(pass);
+  if (pass.answer_had_effect) machine.ignored_answers = 0;
+  const bool ignored =
+      kind == HeartbeatKind::kPeriodic && pass.answer_was_ignored && !pass.answer_had_effect;
+  if (ignored && ++machine.ignored_answers >= kMaxIgnoredAnswers) {
+    lifecycle_.OnDeliverySuspected(machine);
+  }
+}
+
+// ---------------------------------------------------------------------------- what is listed
+
+void Reconciler::TakeStatus(Pass& pass, const wire::TaskStatus& status) {
+  std::map<AllocationKey, Allocation>& allocations = pass.machine.allocations;
+  const AllocationKey key{status.task, status.attempt};
+  auto it = allocations.find(key);
+  if (it == allocations.end()) {
+    RecoverAllocation(pass.machine, status, pass.now);
+    it = allocations.find(key);
+    if (it != allocations.end()) it->second.last_listed_in = pass.number;
+    return;
+  }
+  OnStatus(pass, key, it->second, status);
+}
+
+void Reconciler::OnStatus(Pass& pass, const AllocationKey& key, Allocation& allocation,
+                          const wire::TaskStatus& status) {
+  allocation.last_listed_in = pass.number;
+  pass.answer_had_effect =
+      pass.answer_had_effect || allocation.state == Allocation::State::kStartSent;
+  if (allocation.forget_sent_sequence != kForgetNotSent && pass.kind == HeartbeatKind::kPeriodic &&
+      pass.heartbeat.sequence > allocation.forget_sent_sequence) {
+    pass.answer_was_ignored = true;
+    allocation.forget_sent_sequence = kForgetNotSent;
+  }
+  const bool had_exited = allocation.exited();
+  if (allocation.reported != TaskState::kRunning && status.state == TaskState::kRunning) {
+    OnTaskRunning(status.task, allocation, pass.now);
+  }
+  allocation.state = Allocation::State::kReported;
+  allocation.reported = status.state;
+  allocation.exit_reason = status.exit_reason;
+  if (allocation.exited() && !had_exited) {
+    OnTaskExited(pass.machine, key.first, allocation, pass.now);
+  }
+}
+
+void Reconciler::OnTaskRunning(const wire::TaskId& task, Allocation& allocation, double now) {
+  allocation.running_since = now;
+  Job* job = allocation.orphaned ? nullptr : state_.cluster.FindJob(task.job);
+  if (job == nullptr) return;
+  const bool had_started = std::exchange(job->has_started, true);
+  if (!had_started) {
+    spdlog::debug("scheduler: job_started job={} class={} tasks={} waited_s={:.1f}", task.job,
+                  job->spec.job_class, job->spec.tasks, now - job->submitted_at);
+  }
+  state_.activity.OnTaskStarted(*job, task.index, now);
+}
+
+// ---------------------------------------------------------------------------- what is missing
+
+void Reconciler::RemoveUnlisted(Pass& pass) {
+  Machine& machine = pass.machine;
+  for (auto it = machine.allocations.begin(); it != machine.allocations.end();) {
+    const auto next = std::next(it);
+    const Allocation& allocation = it->second;
+    if (allocation.last_listed_in != pass.number && WouldBeListed(pass, allocation)) {
+      const bool start_was_lost = allocation.state == Allocation::State::kStartSent;
+      pass.answer_had_effect =
+          pass.answer_had_effect || allocation.forget_sent_sequence != kForgetNotSent;
+      pass.answer_was_ignored =
+          pass.answer_was_ignored || (start_was_lost && !allocation.start_sent_directly);
+      if (start_was_lost) {
+        spdlog::debug("scheduler: start_lost task={} machine={}", wire::TaskName(it->first.first),
+                      machine.id);
+      }
+      state_.cluster.RemoveAllocation(machine, it, pass.now);
+    }
+    it = next;
+  }
+}
+
+// Whether the heartbeat lists the attempt if it is on the machine, or a start that was sent was
+// taken or will be. The agent makes its next periodic heartbeat only after the answer to the last
+// one was taken or given up. The answer to a command batch can be made while the answer to a
+// periodic heartbeat is still on its way, so it tells nothing about starts that went with that.
+bool Reconciler::WouldBeListed(const Pass& pass, const Allocation& allocation) {
+  if (allocation.state == Allocation::State::kReported) return true;
+  if (allocation.state != Allocation::State::kStartSent) return false;
+  if (pass.kind != HeartbeatKind::kPeriodic && !allocation.start_sent_directly) return false;
+  return pass.heartbeat.sequence > allocation.start_sent_sequence ||
+         (allocation.start_unconfirmed &&
+          pass.heartbeat.fencing_token > allocation.start_sent_token);
+}
+
+// ---------------------------------------------------------------------------- recovery
+
+// An attempt that this scheduler did not start: an earlier leader's, or of a job that is over.
+void Reconciler::RecoverAllocation(Machine& machine, const wire::TaskStatus& status, double now) {
+  Job* job = state_.cluster.FindJob(status.task.job);
+  if (job != nullptr && status.task.index >= job->spec.tasks) job = nullptr;
+  Allocation allocation;
+  allocation.state = Allocation::State::kReported;
+  allocation.reported = status.state;
+  allocation.exit_reason = status.exit_reason;
+  allocation.placed_at = allocation.running_since = now;
+  allocation.recovered = true;
+  if (job != nullptr) {
+    allocation.image = job->spec.image;
+    allocation.team = job->spec.team;
+    allocation.expected_run_s = ExpectedRunS(*job);
+    machine.image_cache.MarkUsed(job->spec.image, job->spec.image_gb, machine.cache_gb);
+  }
+  const AllocationKey key{status.task, status.attempt};
+  if (allocation.exited()) return RecoverExited(machine, job, key, std::move(allocation));
+  RecoverRunning(machine, job, key, std::move(allocation), now);
+}
+
+// `job` is null if there is no such job or task any more.
+void Reconciler::RecoverExited(Machine& machine, Job* job, const AllocationKey& key,
+                               Allocation allocation) {
+  const wire::TaskId& task = key.first;
+  const bool succeeded = job != nullptr && allocation.exit_reason == ExitReason::kSucceeded;
+  allocation.orphaned = !succeeded;
+  if (succeeded) {
+    EndReconciliationOf(task);
+    if (job->tasks[task.index].phase == TaskPhase::kPlaced) {
+      spdlog::debug("scheduler: earlier_attempt_succeeded task={} machine={}", wire::TaskName(task),
+                    machine.id);
+    }
+    OnTaskDone(*job, task.index);
+  }
+  machine.allocations.emplace(key, std::move(allocation));
+}
+
+// `job` is null if there is no such job or task any more.
+void Reconciler::RecoverRunning(Machine& machine, Job* job, const AllocationKey& key,
+                                Allocation allocation, double now) {
+  const wire::TaskId& task = key.first;
+  if (job != nullptr) {
+    if (job->tasks[task.index].phase == TaskPhase::kPlaced) RemovePlannedStart(task, now);
+    if (state_.IsReconciling(task)) {
+      EndReconciliationOf(task);
+    } else {
+      state_.role->OnTaskFound(*job, task.index);
+    }
+    allocation.cpus = job->spec.cpus;
+    allocation.gpus = job->spec.gpus;
+    allocation.memory_gb = job->spec.memory_gb;
+  } else {
+    state_.cluster.quota.AddUnknownTask();
+  }
+  const bool is_wanted = job != nullptr && job->tasks[task.index].phase == TaskPhase::kPending;
+  const bool is_duplicate = job != nullptr && !is_wanted;
+  if (!is_wanted) {
+    allocation.orphaned = true;
+    if (is_duplicate) state_.cluster.AddDuplicate(task, machine.id);
+    cluster::RequestStop(machine, allocation, /*grace_s=*/0);
+    spdlog::info("scheduler: stopping_task task={} machine={} cause={}", wire::TaskName(task),
+                 machine.id, is_duplicate ? "elsewhere_or_done" : "job_over");
+  }
+  state_.cluster.Allocate(machine, key, std::move(allocation));
+  if (is_duplicate) {
+    // If the task was withheld, this is the attempt that was looked for.
+    state_.unconfirmed_starts.Forget(task);
+    state_.cluster.ReleaseWithheld(task);
+  }
+}
+
+// Gives up a start of the task that is planned elsewhere. One that was sent can't be given up.
+void Reconciler::RemovePlannedStart(const wire::TaskId& task, double now) {
+  for (auto& [id, machine] : state_.cluster.machines) {
+    for (auto it = machine.allocations.lower_bound({task, 0});
+         it != machine.allocations.end() && it->first.first == task; ++it) {
+      if (it->second.state != Allocation::State::kPlanned) continue;
+      state_.cluster.RemoveAllocation(machine, it, now);
+      break;
+    }
+  }
+}
+
+void Reconciler::EndReconciliationOf(const wire::TaskId& task) {
+  if (!state_.IsReconciling(task)) return;
+  state_.cluster.ReturnDelegated(task, state_.cluster.delegated_tasks.LeaseOf(task));
+}
+
+// ---------------------------------------------------------------------------- attempts that ended
+
+void Reconciler::OnTaskExited(Machine& machine, const wire::TaskId& task, Allocation& allocation,
+                              double now) {
+  Job* job = allocation.orphaned ? nullptr : state_.cluster.FindJob(task.job);
+  state_.cluster.changed_since_pass = true;
+  state_.cluster.ReleaseResources(machine, allocation, task);
+  if (job != nullptr && allocation.exit_reason == ExitReason::kSucceeded) {
+    OnTaskSucceeded(machine, *job, task, allocation, now);
+  } else {
+    OnTaskEndedEarly(machine, job, task, allocation, now);
+  }
+  const bool is_idle = std::all_of(machine.allocations.begin(), machine.allocations.end(),
+                                   [](const auto& it) { return it.second.exited(); });
+  if (is_idle) machine.idle_since = now;
+}
+
+void Reconciler::OnTaskSucceeded(Machine& machine, Job& job, const wire::TaskId& task,
+                                 const Allocation& allocation, double now) {
+  OnTaskDone(job, task.index);
+  const bool run_time_known = allocation.running_since > 0 && !allocation.recovered;
+  if (run_time_known) {
+    const double ran_s = now - allocation.running_since;
+    OnHealthVerdict(machine, job, state_.machine_health.OnTaskTimed(machine, job, ran_s), now);
+  }
+  const bool was_crash_looping = state_.machine_health.OnTaskSucceeded(machine, job);
+  if (was_crash_looping) state_.role->OnCrashLoopEnded(job);
+}
+
+// `job` is null if the attempt was only to be stopped.
+void Reconciler::OnTaskEndedEarly(Machine& machine, Job* job, const wire::TaskId& task,
+                                  const Allocation& allocation, double now) {
+  const ExitReason reason = allocation.exit_reason;
+  if (job != nullptr && reason == ExitReason::kFailed) {
+    const auto verdict =
+        state_.machine_health.OnTaskFailed(machine, *job, state_.cluster.machines, now);
+    OnHealthVerdict(machine, *job, verdict, now);
+  }
+  if (job != nullptr && reason == ExitReason::kUnknownJob) {
+    job->not_before = std::max(job->not_before, now + state_.settings.heartbeat_s);
+  }
+  if (reason != ExitReason::kStopped && reason != ExitReason::kSucceeded &&
+      reason != ExitReason::kGangMemberEnded) {
+    spdlog::info("scheduler: task_ended task={} machine={} exit_reason={}", wire::TaskName(task),
+                 machine.id, static_cast<int>(reason));
+  }
+}
+
+void Reconciler::OnTaskDone(Job& job, uint32_t index) {
+  if (job.MarkDone(index)) state_.role->OnTaskDone(job, index);
+}
+
+// Tells people, the log, and whoever records it of a verdict.
+void Reconciler::OnHealthVerdict(const Machine& machine, const Job& job,
+                                 MachineHealth::Verdict verdict, double now) {
+  switch (verdict) {
+    case MachineHealth::Verdict::kNone:
+      return;
+    case MachineHealth::Verdict::kMachineSlow:
+      state_.activity.AddIncident(now,
+                                  "machine " + machine.id + " is far too slow and is put aside");
+      spdlog::info("scheduler: machine_quarantined machine={} cause=slow slowdown={:.1f}",
+                   machine.id, machine.slowdown);
+      return;
+    case MachineHealth::Verdict::kMachineFaulty:
+      state_.activity.AddIncident(now,
+                                  "machine " + machine.id + " fails its tasks and is put aside");
+      spdlog::info("scheduler: machine_quarantined machine={} cause=faulty", machine.id);
+      return;
+    case MachineHealth::Verdict::kJobCrashLooping:
+      spdlog::info("scheduler: job_crash_looping job={}", job.spec.id);
+      state_.activity.AddIncident(now, job.spec.id + " fails on every machine");
+      state_.role->OnCrashLoop(job);
+      return;
+    case MachineHealth::Verdict::kJobStillCrashLooping:
+      state_.role->OnCrashLoop(job);
+      return;
+  }
+}
+
+}  // namespace mosspath::scheduler
--- a/src/scheduler/shard_leases.cc
+++ b/src/scheduler/shard_leases.cc
@@ -1,18 +1,23 @@
 #include "mosspath/scheduler/shard_leases.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace mosspath::scheduler {
+
+using cluster::Machine;
+using wire::ShardMessage;
+
 namespace {
 
-constexpr size_t kMostTasksPerItem = 2000;
+constexpr size_t kMaxTasksPerMessage = 2000;
 
 }  // namespace
 
-ShardLeases::Lease& ShardLeases::Open(uint64_t lease, size_t block) {
-  Lease& l = leases_[lease];
-  l.shard = block;
-  return l;
+ShardLeases::Lease& ShardLeases::Open(uint64_t lease, size_t shard) {
+  Lease& opened = leases_[lease];
+  opened.shard = shard;
+  return opened;
 }
 
 ShardLeases::Lease* ShardLeases::Find(uint64_t lease) {
@@ -25,91 +30,93 @@
   return it == leases_.end() ? nullptr : &it->second;
 }
 
-uint64_t ShardLeases::ReadyLeaseOf(size_t block) const {
-  for (const auto& [lease, l] : leases_) {
-    if (l.ready && l.shard == block) return lease;
+uint64_t ShardLeases::ReadyLeaseOf(size_t shard) const {
+  for (const auto& [id, lease] : leases_) {
+    if (lease.ready && lease.shard == shard) return id;
   }
-  return 0;
+  return kNoLease;
 }
 
-void ShardLeases::Delegate(cluster::Machine& m, const jobs::Job& job, uint32_t index) {
-  Lease* l = Find(m.shard_lease);
-  if (l == nullptr) return;
-  l->unsent_tasks[job.spec.id].push_back(index);
-  const wire::JobSpec& s = job.spec;
-  unconfirmed_use_[m.id].push_back({l->batches_sent + 1, s.cpus, s.gpus, s.memory_gb});
-  m.used_cpus += s.cpus;
-  m.used_gpus += s.gpus;
-  m.used_memory_gb += s.memory_gb;
+void ShardLeases::Delegate(Machine& machine, const jobs::Job& job, uint32_t index) {
+  Lease* lease = Find(machine.shard_lease);
+  if (lease == nullptr) return;
+  lease->unsent_tasks[job.spec.id].push_back(index);
+  const wire::JobSpec& spec = job.spec;
+  unconfirmed_use_[machine.id].push_back(
+      {lease->batches_sent + 1, spec.cpus, spec.gpus, spec.memory_gb});
+  machine.used_cpus += spec.cpus;
+  machine.used_gpus += spec.gpus;
+  machine.used_memory_gb += spec.memory_gb;
 }
 
 void ShardLeases::DelegateAhead(uint64_t lease, const jobs::Job& job, uint32_t index) {
-  Lease* l = Find(lease);
-  if (l == nullptr) return;
-  l->unsent_tasks[job.spec.id].push_back(index);
-  l->ahead_cpus_by_batch[l->batches_sent + 1] += job.spec.cpus;
+  Lease* found = Find(lease);
+  if (found == nullptr) return;
+  found->unsent_tasks[job.spec.id].push_back(index);
+  found->ahead_cpus_by_batch[found->batches_sent + 1] += job.spec.cpus;
 }
 
-double ShardLeases::RoomAheadCpus(const Lease& l, double share) const {
-  double waiting = l.waiting_cpus;
-  for (const auto& [give, cpus] : l.ahead_cpus_by_batch)
-    waiting += give > l.applied_batch ? cpus : 0;
-  return share * l.cpus - waiting;
+double ShardLeases::RoomAheadCpus(const Lease& lease, double share) const {
+  double waiting_cpus = lease.waiting_cpus;
+  for (const auto& [batch, cpus] : lease.ahead_cpus_by_batch) {
+    waiting_cpus += batch > lease.applied_batch ? cpus : 0;
+  }
+  return share * lease.cpus - waiting_cpus;
 }
 
-void ShardLeases::OnMachineStatus(cluster::Machine& m, const cluster::MachineStatusUpdate& news,
-                                  uint64_t applied, double now) {
-  m.holder_status = news;
-  m.holder_status_at = now;
-  m.used_cpus = news.used_cpus;
-  m.used_gpus = news.used_gpus;
-  m.used_memory_gb = news.used_memory_gb;
-  const auto it = unconfirmed_use_.find(m.id);
+void ShardLeases::OnMachineStatus(Machine& machine, const cluster::MachineStatusUpdate& update,
+                                  uint64_t applied_batch, double now) {
+  machine.holder_status = update;
+  machine.holder_status_at = now;
+  machine.used_cpus = update.used_cpus;
+  machine.used_gpus = update.used_gpus;
+  machine.used_memory_gb = update.used_memory_gb;
+  const auto it = unconfirmed_use_.find(machine.id);
   if (it == unconfirmed_use_.end()) return;
-  std::erase_if(it->second, [&](const UnconfirmedUse& p) { return p.batch <= applied; });
-  for (const UnconfirmedUse& p : it->second) {
-    m.used_cpus += p.cpus;
-    m.used_gpus += p.gpus;
-    m.used_memory_gb += p.memory_gb;
+  std::erase_if(it->second, [&](const UnconfirmedUse& use) { return use.batch <= applied_batch; });
+  for (const UnconfirmedUse& use : it->second) {
+    machine.used_cpus += use.cpus;
+    machine.used_gpus += use.gpus;
+    machine.used_memory_gb += use.memory_gb;
   }
   if (it->second.empty()) unconfirmed_use_.erase(it);
 }
 
-void ShardLeases::SendToHolder(uint64_t lease, wire::ShardMessage item) {
-  if (Lease* l = Find(lease)) l->outbox.push_back(std::move(item));
+void ShardLeases::SendToHolder(uint64_t lease, ShardMessage message) {
+  if (Lease* found = Find(lease)) found->outbox.push_back(std::move(message));
 }
 
-std::vector<wire::ShardMessage> ShardLeases::TakeMessages(uint64_t lease) {
+std::vector<ShardMessage> ShardLeases::TakeMessages(uint64_t lease) {
   if (is_holder()) return std::exchange(to_leader_, {});
-  Lease* l = Find(lease);
-  if (l == nullptr) return {};
-  std::vector<wire::ShardMessage> items = std::exchange(l->outbox, {});
-  if (l->unsent_tasks.empty()) return items;
-  ++l->batches_sent;
-  for (auto& [job, tasks] : l->unsent_tasks) {
+  Lease* found = Find(lease);
+  if (found == nullptr) return {};
+  std::vector<ShardMessage> messages = std::exchange(found->outbox, {});
+  if (found->unsent_tasks.empty()) return messages;
+  ++found->batches_sent;
+  for (auto& [job, tasks] : found->unsent_tasks) {
     std::sort(tasks.begin(), tasks.end());
-    for (auto& item : TaskMessages(wire::ShardMessage::Kind::kDelegateTasks, job, tasks)) {
-      item.count = l->batches_sent;
-      items.push_back(std::move(item));
+    for (ShardMessage& message : TaskMessages(ShardMessage::Kind::kDelegateTasks, job, tasks)) {
+      message.count = found->batches_sent;
+      messages.push_back(std::move(message));
     }
   }
-  l->unsent_tasks.clear();
-  return items;
+  found->unsent_tasks.clear();
+  return messages;
 }
 
-std::vector<wire::ShardMessage> TaskMessages(wire::ShardMessage::Kind kind, const std::string& job,
-                                             const std::vector<uint32_t>& tasks) {
-  std::vector<wire::ShardMessage> items;
-  for (size_t i = 0; i < tasks.size(); i += kMostTasksPerItem) {
-    const size_t end = std::min(tasks.size(), i + kMostTasksPerItem);
-    wire::ShardMessage item;
-    item.kind = kind;
-    item.name = job;
-    item.tasks.assign(tasks.begin() + static_cast<std::ptrdiff_t>(i),
-                      tasks.begin() + static_cast<std::ptrdiff_t>(end));
-    items.push_back(std::move(item));
+std::vector<ShardMessage> TaskMessages(ShardMessage::Kind kind, const std::string& job,
+                                       const std::vector<uint32_t>& tasks) {
+  std::vector<ShardMessage> messages;
+  for (size_t begin = 0; begin < tasks.size(); begin += kMaxTasksPerMessage) {
+    const size_t end = std::min(tasks.size(), begin + kMaxTasksPerMessage);
+    ShardMessage message;
+    message.kind = kind;
+    message.name = job;
+    message.tasks.assign(tasks.begin() + static_cast<std::ptrdiff_t>(begin),
+                         tasks.begin() + static_cast<std::ptrdiff_t>(end));
+    messages.push_back(std::move(message));
   }
-  return items;
+  return messages;
 }
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/task_reconciliation.cc
+++ b/src/scheduler/task_reconciliation.cc
@@ -4,14 +4,14 @@
 
 namespace mosspath::scheduler {
 
-bool TaskReconciliation::Begin(uint64_t key, const std::vector<std::string>& machines) {
+bool TaskReconciliation::Begin(uint64_t reconciliation, const std::vector<std::string>& machines) {
   if (machines.empty()) return false;
-  PendingMachines& left = pending_[key];
+  PendingMachines& pending = pending_[reconciliation];
   for (const auto& id : machines) {
-    left.machines.insert(id);
-    by_machine_[id].insert(key);
+    pending.machines.insert(id);
+    by_machine_[id].insert(reconciliation);
   }
-  left.total = left.machines.size();
+  pending.total = pending.machines.size();
   return true;
 }
 
@@ -19,24 +19,24 @@
   std::vector<uint64_t> ended;
   const auto it = by_machine_.find(machine);
   if (it == by_machine_.end()) return ended;
-  for (const uint64_t key : it->second) {
-    PendingMachines& left = pending_[key];
-    left.machines.erase(machine);
-    if (!left.machines.empty()) continue;
-    ended.push_back(key);
-    pending_.erase(key);
+  for (const uint64_t reconciliation : it->second) {
+    PendingMachines& pending = pending_[reconciliation];
+    pending.machines.erase(machine);
+    if (!pending.machines.empty()) continue;
+    ended.push_back(reconciliation);
+    pending_.erase(reconciliation);
   }
   by_machine_.erase(it);
   return ended;
 }
 
-bool TaskReconciliation::IsNearlyComplete(const std::string& machine, double share) const {
+bool TaskReconciliation::IsNearlyComplete(const std::string& machine, double max_share) const {
   const auto it = by_machine_.find(machine);
   if (it == by_machine_.end()) return false;
-  return std::all_of(it->second.begin(), it->second.end(), [&](uint64_t key) {
-    const PendingMachines& left = pending_.at(key);
-    return static_cast<double>(left.machines.size()) <=
-           std::max(1.0, share * static_cast<double>(left.total));
+  return std::all_of(it->second.begin(), it->second.end(), [&](uint64_t reconciliation) {
+    const PendingMachines& pending = pending_.at(reconciliation);
+    return static_cast<double>(pending.machines.size()) <=
+           std::max(1.0, max_share * static_cast<double>(pending.total));
   });
 }
 
--- a/src/scheduler/unconfirmed_starts.cc
+++ b/src/scheduler/unconfirmed_starts.cc
@@ -3,7 +3,8 @@
 namespace mosspath::scheduler {
 namespace {
 
-constexpr double kMostLag = 2;  // times the list's usual lag
+// The cloud's list of machines may lag by this many times its usual lag.
+constexpr double kMaxListLagFactor = 2;
 
 }  // namespace
 
@@ -11,54 +12,62 @@
     : list_lag_s_(settings.machine_list_lag_s) {}
 
 void UnconfirmedStarts::OnMachineList(const std::vector<wire::ListedMachine>& listed,
-                                      double asked) {
-  if (asked < list_requested_at_) return;
-  list_requested_at_ = asked;
+                                      double requested_at) {
+  if (requested_at < list_requested_at_) return;
+  list_requested_at_ = requested_at;
   listed_machines_.clear();
-  for (const auto& l : listed) {
-    if (l.state != wire::MachineState::kFailed) listed_machines_.emplace_back(l.address, l.id);
+  for (const auto& machine : listed) {
+    if (machine.state == wire::MachineState::kFailed) continue;
+    listed_machines_.push_back({machine.address, machine.id});
   }
 }
 
 bool UnconfirmedStarts::MayHaveRunElsewhere(const UnconfirmedStart& start,
-                                            const cluster::ClusterState& picture,
-                                            std::set<std::string>& doubted) const {
-  // What was up when the order left is listed by then, unless it is gone.
-  if (list_requested_at_ <
-      start.sent_at + kMostLag * list_lag_s_ * (1 + 2 * config::kMaxClockDrift))
-    return true;
+                                            const cluster::ClusterState& cluster,
+                                            std::set<std::string>& suspects) const {
+  // A list that was requested later shows all that was up when the batch was sent, unless it is
+  // gone.
+  const double max_lag_s = kMaxListLagFactor * list_lag_s_ * (1 + 2 * config::kMaxClockDrift);
+  if (list_requested_at_ < start.sent_at + max_lag_s) return true;
   bool possible = false;
-  for (const auto& [address, machine] : listed_machines_) {
-    if (address != start.address && !address.empty()) continue;
-    // One that another controller commands by now was handed over under a later token.
-    if (machine == start.machine || picture.delegated_machines.contains(machine)) continue;
-    const auto m = picture.machines.find(machine);
-    if (m != picture.machines.end() && !m->second.address.empty() &&
-        m->second.address != start.address) {
-      continue;  // it says where it is
-    }
-    if (m == picture.machines.end() || m->second.fencing_token <= start.token) {
-      if (m != picture.machines.end()) doubted.insert(machine);
-      possible = true;
-    } else if (!m->second.token_confirmed) {
-      possible = true;
-    }
+  for (const ListedAddress& listed : listed_machines_) {
+    possible = MayHaveTaken(start, listed, cluster, suspects) || possible;
   }
   return possible;
 }
 
-std::vector<wire::TaskId> UnconfirmedStarts::TakeRuledOut(const cluster::ClusterState& picture,
-                                                          std::set<std::string>& doubted) {
-  std::vector<wire::TaskId> out;
+// Whether the listed machine may have taken the start instead of the one that was meant.
+bool UnconfirmedStarts::MayHaveTaken(const UnconfirmedStart& start, const ListedAddress& listed,
+                                     const cluster::ClusterState& cluster,
+                                     std::set<std::string>& suspects) {
+  if (listed.address != start.address && !listed.address.empty()) return false;
+  // One that another controller commands by now was handed over under a later token.
+  if (listed.machine == start.machine) return false;
+  if (cluster.delegated_machines.contains(listed.machine)) return false;
+  const auto it = cluster.machines.find(listed.machine);
+  if (it == cluster.machines.end()) return true;
+  const cluster::Machine& machine = it->second;
+  const bool reports_other_address = !machine.address.empty() && machine.address != start.address;
+  if (reports_other_address) return false;
+  if (machine.fencing_token <= start.token) {
+    suspects.insert(listed.machine);
+    return true;
+  }
+  return !machine.token_confirmed;
+}
+
+std::vector<wire::TaskId> UnconfirmedStarts::TakeRuledOut(const cluster::ClusterState& cluster,
+                                                          std::set<std::string>& suspects) {
+  std::vector<wire::TaskId> ruled_out;
   for (auto it = starts_.begin(); it != starts_.end();) {
-    if (MayHaveRunElsewhere(it->second, picture, doubted)) {
+    if (MayHaveRunElsewhere(it->second, cluster, suspects)) {
       ++it;
       continue;
     }
-    out.push_back(it->first);
+    ruled_out.push_back(it->first);
     it = starts_.erase(it);
   }
-  return out;
+  return ruled_out;
 }
 
 }  // namespace mosspath::scheduler
