--- /dev/null
+++ b/include/mosspath/scheduler/job_ranking.h
@@ -0,0 +1,56 @@
+// The queue order of placement: which waiting job is tried first. Pure.
+//
+// Teams whose unfinished jobs all fit into their guarantee come first, then the higher priority,
+// then jobs that can still meet an objective, then the earlier virtual deadline.
+#pragma once
+
+#include <set>
+#include <string>
+#include <vector>
+
+#include "mosspath/cluster/cluster_state.h"
+#include "mosspath/config/settings.h"
+#include "mosspath/jobs/job.h"
+#include "mosspath/scheduler/fair_share.h"
+#include "mosspath/scheduler/service_level_objectives.h"
+#include "mosspath/scheduler/start_gate.h"
+
+namespace mosspath::scheduler {
+
+class JobRanking {
+ public:
+  // The arguments outlive the ranking.
+  JobRanking(const config::Settings& settings, cluster::ClusterState& cluster,
+             const ServiceLevelObjectives& objectives, const StartGate& start_gate,
+             FairShare& fair_share);
+
+  // All jobs with tasks that may start now, first things first. Begins a new pass of the fair
+  // share, and writes each job's place in the order to the job.
+  std::vector<jobs::Job*> Rank(double now);
+
+ private:
+  struct RankedJob {
+    jobs::Job* job = nullptr;
+    bool within_guarantee = false;
+    int level = 0;  // the higher first: a priority, or one of the levels below all of them
+    bool unattainable = false;
+    double virtual_deadline = 0;
+  };
+  using TeamNames = std::set<std::string>;
+
+  TeamNames TeamsWithinGuarantee() const;
+  RankedJob RankJob(jobs::Job& job, const TeamNames& within_guarantee, double pool_cpus,
+                    double now) const;
+  double VirtualDeadline(const jobs::Job& job,
+                         const ServiceLevelObjectives::NextObjective& objective,
+                         double pool_cpus) const;
+  static bool Precedes(const RankedJob& a, const RankedJob& b);
+
+  const config::Settings& settings_;
+  cluster::ClusterState& cluster_;
+  const ServiceLevelObjectives& objectives_;
+  const StartGate& start_gate_;
+  FairShare& fair_share_;
+};
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/array_placement.cc
@@ -0,0 +1,11 @@
+#include "mosspath/scheduler/array_placement.h"
+
+namespace mosspath::scheduler {
+
+PlacementOutcome PlaceArray(PlacementAttempt& attempt, const CandidateSet& set, MachineTier tier) {
+  if (set.candidates.empty()) return PlacementOutcome::kNoRoom;
+  if (!attempt.HasDurableStartMarker()) return PlacementOutcome::kSettled;
+  return attempt.PlaceOneByOne(set, tier);
+}
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/deficit_queue.cc
@@ -0,0 +1,41 @@
+#include "mosspath/scheduler/deficit_queue.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace mosspath::scheduler {
+
+using jobs::Job;
+
+namespace {
+
+constexpr double kMinTaskCpus = 0.1;  // that a task counts as
+
+// What can meet no objective any more comes up too, and some jobs are finished rather than a little
+// done of all. A job in a crash loop takes no share while others wait.
+bool Precedes(const Job* a, const Job* b) {
+  if (a->crash_looping != b->crash_looping) return b->crash_looping;
+  return a->submitted_at < b->submitted_at;
+}
+
+}  // namespace
+
+void DeficitQueue::Refresh(const std::vector<Job*>& waiting_jobs) {
+  jobs_.clear();
+  if (!fair_share_.has_deficit()) return;
+  for (Job* job : waiting_jobs) {
+    if (fair_share_.DeficitCpus(*job) > 0) jobs_.push_back(job);
+  }
+  std::stable_sort(jobs_.begin(), jobs_.end(), Precedes);
+}
+
+size_t DeficitQueue::TasksAhead(const Job& job) const {
+  const double deficit_cpus = fair_share_.DeficitCpus(job);
+  if (deficit_cpus <= 0) return 0;
+  // A gang is placed whole, since part of it would only hold machines: the deficit is exceeded by
+  // one gang at most.
+  if (job.spec.kind == wire::JobKind::kGang) return job.spec.tasks;
+  return static_cast<size_t>(std::ceil(deficit_cpus / std::max(job.spec.cpus, kMinTaskCpus)));
+}
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/placement_attempt.cc
@@ -0,0 +1,162 @@
+#include "mosspath/scheduler/placement_attempt.h"
+
+#include <algorithm>
+#include <map>
+
+#include "mosspath/scheduler/array_placement.h"
+#include "mosspath/scheduler/gang_placement.h"
+#include "mosspath/scheduler/image_fetch.h"
+#include "mosspath/scheduler/service_placement.h"
+
+namespace mosspath::scheduler {
+
+using cluster::Machine;
+
+namespace {
+
+constexpr PlacementScope kScopesInOrder[] = {
+    {.in_home_shard = true, .tier = MachineTier::kInService},
+    {.in_home_shard = false, .tier = MachineTier::kInService},
+    {.in_home_shard = false, .tier = MachineTier::kCordoned},
+};
+
+}  // namespace
+
+PlacementAttempt::PlacementAttempt(const PlacementStages& stages, jobs::Job& job,
+                                   const MachinePool& pool, size_t max_tasks, double now)
+    : stages_(stages),
+      job_(job),
+      pool_(pool),
+      now_(now),
+      delegable_(IsDelegable(job)),
+      remaining_(std::min(max_tasks, stages.start_gate.PlaceableTasks(job))) {}
+
+PlacementOutcome PlacementAttempt::Run() {
+  if (remaining_ == 0) return PlacementOutcome::kSettled;
+  if (job_.spec.single_zone && !ChooseSingleZone()) return PlacementOutcome::kNoRoom;
+  if (!job_.home_shard) job_.home_shard = ChooseHomeShard();
+  for (const PlacementScope& scope : kScopesInOrder) {
+    if (scope.tier == MachineTier::kCordoned && !IsUrgent()) break;
+    if (PlaceInScope(scope) == PlacementOutcome::kSettled) return PlacementOutcome::kSettled;
+  }
+  return PlacementOutcome::kNoRoom;
+}
+
+PlacementOutcome PlacementAttempt::PlaceInScope(const PlacementScope& scope) {
+  CandidateSet set = CollectCandidates(scope);
+  switch (job_.spec.kind) {
+    case wire::JobKind::kGang:
+      return PlaceGang(*this, set, scope.tier);
+    case wire::JobKind::kService:
+      return PlaceService(*this, set, scope.tier);
+    case wire::JobKind::kArray:
+      return PlaceArray(*this, set, scope.tier);
+  }
+  return PlacementOutcome::kNoRoom;
+}
+
+bool PlacementAttempt::IsUrgent() const { return job_.spec.priority >= wire::Priority::kHigh; }
+
+bool PlacementAttempt::FitsInTier(const Machine& machine, MachineTier tier) const {
+  return scheduler::FitsInTier(job_.spec, machine, tier);
+}
+
+bool PlacementAttempt::IsZoneFull(const Machine& machine) const {
+  if (!job_.spec.spread_over_zones) return false;
+  const uint32_t max_per_zone = (job_.spec.tasks + 1) / 2;
+  const auto placed = job_.placed_by_zone.find(machine.zone);
+  return placed != job_.placed_by_zone.end() && placed->second >= max_per_zone;
+}
+
+bool PlacementAttempt::ChooseSingleZone() {
+  single_zone_ = ZoneOfPlacedTasks();
+  if (single_zone_.empty()) single_zone_ = WidestZone();
+  return !single_zone_.empty();
+}
+
+std::string PlacementAttempt::ZoneOfPlacedTasks() const {
+  std::string placed_zone;
+  for (const auto& [zone, tasks] : job_.placed_by_zone) {
+    if (tasks > 0) placed_zone = zone;
+  }
+  return placed_zone;
+}
+
+std::string PlacementAttempt::WidestZone() const {
+  std::map<std::string, double> free_cpus;
+  for (const Machine* machine : pool_) {
+    // Such a job isn't delegable.
+    if (machine->shard_lease != 0) continue;
+    const bool fits = FitsInTier(*machine, MachineTier::kInService) ||
+                      (IsUrgent() && FitsInTier(*machine, MachineTier::kCordoned));
+    if (fits && stages_.filter.IsAllowedOn(job_, *machine, now_)) {
+      free_cpus[machine->zone] += machine->cpus - machine->used_cpus;
+    }
+  }
+  const auto widest =
+      std::max_element(free_cpus.begin(), free_cpus.end(),
+                       [](const auto& a, const auto& b) { return a.second < b.second; });
+  return widest == free_cpus.end() ? std::string() : widest->first;
+}
+
+size_t PlacementAttempt::ChooseHomeShard() const {
+  std::vector<double> free_cpus(stages_.shard_map.size());
+  for (const Machine* machine : pool_) {
+    if (machine->shard_lease != 0 && !delegable_) continue;
+    if (!machine->draining && stages_.filter.IsAllowedOn(job_, *machine, now_)) {
+      free_cpus[machine->shard] += machine->cpus - machine->used_cpus;
+    }
+  }
+  const auto widest = std::max_element(free_cpus.begin(), free_cpus.end());
+  return static_cast<size_t>(widest - free_cpus.begin());
+}
+
+bool PlacementAttempt::IsInScope(const Machine& machine, const PlacementScope& scope) const {
+  if (machine.shard_lease != 0 && !delegable_) return false;
+  if (scope.tier == MachineTier::kCordoned) return true;
+  return scope.in_home_shard == (machine.shard == *job_.home_shard);
+}
+
+// The cap of layer locality and the machines' shares are those of the scope.
+CandidateSet PlacementAttempt::CollectCandidates(const PlacementScope& scope) {
+  CandidateSet set;
+  for (size_t i = 0; i < pool_.size(); ++i) {
+    const Machine& machine = *pool_[i];
+    if (!IsInScope(machine, scope)) continue;
+    set.scope_gb += machine.image_cache.size_gb();
+    ++set.scope_size;
+    ++candidates_scored_;
+    if (stages_.filter.Check(job_, machine, scope.tier, now_)) continue;
+    if (!single_zone_.empty() && machine.zone != single_zone_) continue;
+    set.candidates.push_back({i, MissingImageGb(job_, machine, stages_.cluster.machine_types),
+                              machine.image_cache.size_gb(), true});
+  }
+  return set;
+}
+
+bool PlacementAttempt::Bind(Machine& machine) {
+  if (!stages_.binder.Bind(job_, machine, now_)) return false;
+  --remaining_;
+  return true;
+}
+
+PlacementOutcome PlacementAttempt::PlaceOneByOne(const CandidateSet& set, MachineTier tier) {
+  // A gang is whole or not at all, whatever is reserved.
+  const bool respects_reservation = job_.spec.kind != wire::JobKind::kGang;
+  LocalityPicker picker(set.candidates, set.scope_gb, set.scope_size, stages_.policy);
+  while (remaining_ > 0) {
+    const size_t best = picker.Best();
+    if (best == kNoMachine) return PlacementOutcome::kNoRoom;
+    Machine& machine = MachineAt(best);
+    const bool reserved = respects_reservation && !stages_.reservation.MayTake(job_.spec, machine);
+    if (IsZoneFull(machine) || reserved) {
+      picker.DropBest();
+      continue;
+    }
+    if (!Bind(machine)) return PlacementOutcome::kSettled;
+    picker.OnPlaced(machine.image_cache.size_gb(), FitsInTier(machine, tier));
+  }
+  return PlacementOutcome::kSettled;
+}
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/preemption.cc
@@ -0,0 +1,141 @@
+#include "mosspath/scheduler/preemption.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <optional>
+
+namespace mosspath::scheduler {
+
+using cluster::Allocation;
+using cluster::Machine;
+using jobs::Job;
+
+namespace {
+
+// Share of its run time that a task without checkpoints may lose for higher work.
+constexpr double kMaxLossShare = 0.12;
+// Share of an objective for starts after which lower work is stopped.
+constexpr double kStartPatienceShare = 0.3;
+// What a start that has hardly saved anything loses, in checkpoint times.
+constexpr double kSettlingLossCheckpoints = 2;
+// Of losses alike, the lower work's weighs less: by this much for each level of priority.
+constexpr double kLossWeightPerPriority = 2;
+
+double RanS(const Allocation& allocation, double now) {
+  return allocation.running_since > 0 ? now - allocation.running_since : 0;
+}
+
+bool IsStoppable(const Allocation& allocation) {
+  return !allocation.orphaned && !allocation.stop_requested && !allocation.exited() &&
+         allocation.state == Allocation::State::kReported;
+}
+
+// Seconds of work that the task loses when it is stopped now.
+double LossS(const Job& job, double ran_s) {
+  if (job.spec.checkpoint_interval_s <= 0) return ran_s;
+  if (IsSettling(job, ran_s)) return kSettlingLossCheckpoints * job.spec.checkpoint_duration_s;
+  return std::min(ran_s, job.spec.checkpoint_duration_s);
+}
+
+double WeightedLoss(const Job& job, const Allocation& allocation, double now) {
+  const double weight = 1 + kLossWeightPerPriority * static_cast<int>(job.spec.priority);
+  return LossS(job, RanS(allocation, now)) * allocation.cpus * weight;
+}
+
+}  // namespace
+
+Preemption::Preemption(const config::Settings& settings, cluster::ClusterState& cluster,
+                       const ServiceLevelObjectives& objectives, const StartGate& start_gate,
+                       const MachineFilter& filter, FairShare& fair_share)
+    : settings_(settings),
+      cluster_(cluster),
+      objectives_(objectives),
+      start_gate_(start_gate),
+      filter_(filter),
+      fair_share_(fair_share) {}
+
+void Preemption::Run(const std::vector<Job*>& ranked_jobs, double now) {
+  double stopping_cpus = StoppingCpus();
+  std::optional<std::vector<Victim>> victims;
+  for (const Job* job : ranked_jobs) {
+    if (job->spec.priority < wire::Priority::kHigh) continue;
+    if (now - job->submitted_at < PatienceS(*job, now)) continue;
+    double missing_cpus = static_cast<double>(start_gate_.PlaceableTasks(*job)) * job->spec.cpus;
+    const double covered = std::min(missing_cpus, stopping_cpus);
+    stopping_cpus -= covered;
+    missing_cpus -= covered;
+    if (missing_cpus <= 0) continue;
+    if (!victims) victims = CollectVictims(now);
+    StopVictimsFor(*job, missing_cpus, *victims, now);
+  }
+}
+
+double Preemption::StoppingCpus() const {
+  double cpus = 0;
+  for (const auto& [id, machine] : cluster_.machines) {
+    if (!machine.has_pending_commands) continue;
+    for (const auto& [key, allocation] : machine.allocations) {
+      if (allocation.stop_requested && !allocation.exited()) cpus += allocation.cpus;
+    }
+  }
+  return cpus;
+}
+
+// With all machines full, room comes free all the time; by the next heartbeats most of this work
+// has it, and what was stopped for it would have lost its run in vain. Where heartbeats are slow,
+// that would be too late for what should start before the next.
+double Preemption::PatienceS(const Job& job, double now) const {
+  const ServiceLevelObjectives::NextObjective objective = objectives_.Next(job, now);
+  const double start_within_s = objective.within_s - ExpectedRunS(job);
+  const bool starts_soon = objective.for_task_start && start_within_s <= settings_.heartbeat_s;
+  return starts_soon ? kStartPatienceShare * start_within_s : settings_.heartbeat_s;
+}
+
+std::vector<Preemption::Victim> Preemption::CollectVictims(double now) {
+  std::vector<Victim> victims;
+  for (auto& [id, machine] : cluster_.machines) {
+    if (!cluster_.IsSchedulable(machine, now)) continue;
+    for (auto& [key, allocation] : machine.allocations) {
+      if (!IsStoppable(allocation)) continue;
+      const Job* job = cluster_.FindJob(key.first.job);
+      // The stop of one task of a gang stops all.
+      if (job == nullptr || job->spec.kind == wire::JobKind::kGang) continue;
+      victims.push_back({WeightedLoss(*job, allocation, now), &machine, &allocation, job});
+    }
+  }
+  std::stable_sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
+    return a.weighted_loss < b.weighted_loss;
+  });
+  return victims;
+}
+
+bool Preemption::MayStopFor(const Job& job, const Victim& victim, double now) const {
+  if (victim.allocation->stop_requested) return false;
+  const wire::JobSpec& victim_spec = victim.job->spec;
+  if (victim_spec.priority >= job.spec.priority) return false;
+  // Below its fair-share floor it would only be the next to start again.
+  if (!fair_share_.MayPreempt(*victim.job, victim.allocation->cpus)) return false;
+  if (!filter_.IsAllowedOn(job, *victim.machine, now)) return false;
+  // What takes no checkpoints loses all it has done: only worth it while that is little.
+  const bool loses_all = victim_spec.checkpoint_interval_s <= 0;
+  if (!loses_all || job.spec.priority == wire::Priority::kCritical) return true;
+  return RanS(*victim.allocation, now) <= kMaxLossShare * ExpectedRunS(*victim.job);
+}
+
+void Preemption::StopVictimsFor(const Job& job, double missing_cpus, std::vector<Victim>& victims,
+                                double now) {
+  for (Victim& victim : victims) {
+    if (missing_cpus <= 0) return;
+    if (!MayStopFor(job, victim, now)) continue;
+    const double cpus = victim.allocation->cpus;
+    cluster::RequestStop(*victim.machine, *victim.allocation,
+                         victim.job->spec.checkpoint_duration_s);
+    fair_share_.OnPreempted(*victim.job, cpus);
+    missing_cpus -= cpus;
+    spdlog::debug("scheduler: preempting job={} machine={} for_job={}", victim.job->spec.id,
+                  victim.machine->id, job.spec.id);
+  }
+}
+
+}  // namespace mosspath::scheduler
--- /dev/null
+++ b/src/scheduler/start_gate.cc
@@ -0,0 +1,50 @@
+#include "mosspath/scheduler/start_gate.h"
+
+#include <algorithm>
+
+namespace mosspath::scheduler {
+
+using jobs::Job;
+
+StartGate::StartGate(const cluster::QuotaUsage& quota, const Failover& failover,
+                     DurableState& durable_state, uint64_t token)
+    : quota_(quota), failover_(failover), durable_state_(durable_state), token_(token) {}
+
+void StartGate::SetMarkersSince(uint64_t version) {
+  markers_since_ = version;
+  markers_in_use_ = markers_in_use_ || version != kNever;
+}
+
+// Urgent work isn't marked: it would wait for the write each time, and hardly ever waits for room.
+bool StartGate::NeedsStartMarker(const Job& job) const {
+  return job.spec.priority < wire::Priority::kHigh && job.version > markers_since_;
+}
+
+bool StartGate::IsStartable(const Job& job) const {
+  return failover_.recovery_complete() || job.version > token_ ||
+         (NeedsStartMarker(job) && !job.inherited_start_marker);
+}
+
+bool StartGate::HasDurableStartMarker(Job& job) {
+  if (!markers_in_use_ || job.spec.priority >= wire::Priority::kHigh ||
+      job.start_marker == Job::StartMarker::kDurable) {
+    return true;
+  }
+  durable_state_.RequestStartMarker(job);
+  return false;
+}
+
+size_t StartGate::PlaceableTasks(const Job& job) const {
+  const size_t headroom = quota_.Headroom(job, failover_.recovery_complete());
+  const size_t placeable = std::min<size_t>(headroom, job.pending.size());
+  if (!job.crash_looping) return placeable;
+  return std::min<size_t>(placeable, job.placed() == 0 ? 1 : 0);
+}
+
+bool IsDelegable(const Job& job) {
+  const wire::JobSpec& spec = job.spec;
+  return spec.kind == wire::JobKind::kArray && !spec.single_zone && !spec.spread_over_zones &&
+         !job.crash_looping;
+}
+
+}  // namespace mosspath::scheduler
