--- a/simulation/addition.cc
+++ b/simulation/addition.cc
@@ -116,9 +116,9 @@
 }
 
 Outcome AvailabilityScenario::Run() {
-  const double end = std::max(world.rule_checker.quiet_from(), kWorkUntil) + kAfterwards;
+  const double end = std::max(world.rule_checker.faults_until(), kWorkUntil) + kAfterwards;
   world.clock.RunUntil(end);
-  world.rule_checker.DayOver(static_cast<double>(kMachines) * SmallType().cpus);
+  world.rule_checker.CheckEndOfDay(static_cast<double>(kMachines) * SmallType().cpus);
   Outcome out;
   out.breaches = world.rule_checker.breaches();
   out.decisions = world.decisions.number();
--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -79,8 +79,8 @@
                                    size_t controllers_count, uint64_t seed)
     : world(settings, types, seed) {
   for (size_t i = 0; i < controllers_count; ++i) world.nodes.push_back("hut-" + std::to_string(i));
-  world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
-                           const SimulatedEnvironment::ReportAnswer& answer) {
+  world.on_heartbeat = [this](const std::string& node, const wire::Heartbeat& r,
+                              const SimulatedEnvironment::HeartbeatResponder& answer) {
     for (auto& c : controllers) {
       if (c->name() == node) c->OnReport(r, answer);
     }
@@ -97,8 +97,8 @@
 // workers take to find it, a lease for what it can't ask, and a lease for what doesn't hear.
 void SimulatedCluster::Check() {
   const double now = world.clock.now();
-  world.rule_checker.Tick(now);
-  if (now > world.rule_checker.quiet_from() && ++checks_ % 4 == 0) CheckRoom();
+  world.rule_checker.CheckNow(now);
+  if (now > world.rule_checker.faults_until() && ++checks_ % 4 == 0) CheckRoom();
   const config::DerivedSettings derived(world.settings);
   const double most =
       derived.agents_try_all_s + 2 * derived.agent_lease_over_s + world.settings.heartbeat_s;
@@ -110,7 +110,7 @@
     auto [it, added] = unsettled_.try_emplace(c->name(), Unsettled{c->token(), now});
     if (it->second.token != c->token()) it->second = {c->token(), now};
     if (now - it->second.since <= most) continue;
-    world.rule_checker.Breach(fmt::format("unsettled: {} for {:.0f} s", c->name(), most));
+    world.rule_checker.AddBreach(fmt::format("unsettled: {} for {:.0f} s", c->name(), most));
     it->second.since = 1e18;
   }
 }
@@ -120,19 +120,19 @@
     const wire::JobSpec& s = *w.spec;
     std::vector<std::string> machines;
     for (const auto& [id, m] : world.agents) {
-      if (!w.team_has_room || world.broken.contains(s.id)) break;
-      if (!m->alive() || m->sick || (m->spot() && !s.spot_allowed)) continue;
+      if (!w.team_has_room || world.faulty_jobs.contains(s.id)) break;
+      if (!m->alive() || m->fails_all_tasks || (m->spot() && !s.spot_allowed)) continue;
       if (s.zone && *s.zone != m->zone()) continue;
       if (s.types && std::find(s.types->begin(), s.types->end(), m->type()) == s.types->end()) {
         continue;
       }
-      const auto there = w.in_zone.find(m->zone());
-      const size_t in_zone = there == w.in_zone.end() ? 0 : there->second;
-      if (s.single_zone && !w.in_zone.empty() && in_zone == 0) continue;
+      const auto there = w.running_by_zone.find(m->zone());
+      const size_t in_zone = there == w.running_by_zone.end() ? 0 : there->second;
+      if (s.single_zone && !w.running_by_zone.empty() && in_zone == 0) continue;
       if (s.spread_over_zones && in_zone + 1 > (s.tasks + 1) / 2) continue;
       if (m->used_cpus() + s.cpus <= m->cpus() + 1e-6) machines.push_back(id);
     }
-    world.rule_checker.RoomFor(s.id, machines, world.clock.now());
+    world.rule_checker.OnMachinesWithRoom(s.id, machines, world.clock.now());
   }
 }
 
@@ -144,7 +144,7 @@
 void SimulatedCluster::Plan(const std::vector<Fault>& faults) {
   for (const Fault& f : faults) {
     world.clock.At(f.at, [this, f] { Play(f); });
-    world.rule_checker.TroubleUntil(Over(f));
+    world.rule_checker.OnFaultUntil(Over(f));
   }
 }
 
@@ -231,7 +231,7 @@
         if (f.kind == Fault::Kind::kHang) {
           w->Hang(f.for_s);
         } else {
-          w->Die();
+          w->Terminate();
         }
       }
       return;
@@ -247,7 +247,7 @@
       return;
     }
     case Fault::Kind::kDuplicateHeartbeats:
-      world.copies_until = world.clock.now() + f.for_s;
+      world.duplicate_heartbeats_until = world.clock.now() + f.for_s;
       return;
     case Fault::Kind::kLeaderOnlyAgentsReachable:
     case Fault::Kind::kOnlyAgentsReachable: {
@@ -279,7 +279,7 @@
       }
       for (const auto& id : some) {
         if (f.kind == Fault::Kind::kReplaced) {
-          world.Replace(id);
+          world.ReplaceMachine(id);
         } else {
           world.agents.at(id)->Restart(f.pick % 2 == 0);
         }
@@ -290,7 +290,7 @@
       const std::string& zone = world.settings.zones[f.pick % world.settings.zones.size()];
       size_t i = f.pick;
       for (auto& [id, w] : world.agents) {
-        if (w->spot() && w->zone() == zone && w->alive() && i++ % 2 == 0) w->Die();
+        if (w->spot() && w->zone() == zone && w->alive() && i++ % 2 == 0) w->Terminate();
       }
       return;
     }
@@ -306,7 +306,7 @@
       return;
     case Fault::Kind::kRestartConfirmer:
       for (auto& c : controllers) {
-        if (c->name() == world.confirmer) c->Crash(AtOnce(f));
+        if (c->name() == world.observed.last_confirmer) c->Crash(AtOnce(f));
       }
       return;
     case Fault::Kind::kCutAgentsOutbound:
@@ -343,7 +343,7 @@
       return;
     }
     case Fault::Kind::kDelayAnswers:
-      world.held_answers_until = world.clock.now() + f.for_s;
+      world.delayed_answers_until = world.clock.now() + f.for_s;
       return;
     case Fault::Kind::kStopAll:
       for (auto& c : controllers) c->Crash(f.for_s);
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -33,14 +33,16 @@
   for (const auto& node : world_.nodes) {
     if (node != name_) settings_.peers.push_back({node, world_.ZoneOf(node), node});
   }
-  world_.on_presence[name_] = [this](const std::string& text) { return TakePresence(text); };
+  world_.on_peer_heartbeat[name_] = [this](const std::string& text) { return TakePresence(text); };
   if (settings_.lease_shards) {
-    world_.on_frame[name_] = [this](const std::string& frame) -> std::optional<wire::ShardFrame> {
+    world_.on_shard_frame[name_] =
+        [this](const std::string& frame) -> std::optional<wire::ShardFrame> {
       if (!alive_ || StandsStill()) return std::nullopt;
       return TakeFrame(frame);
     };
   }
-  world_.on_vouch[name_] = [this](const std::string& question) -> std::optional<std::string> {
+  world_.on_promise_request[name_] =
+      [this](const std::string& question) -> std::optional<std::string> {
     if (!alive_) return std::nullopt;
     if (StandsStill()) {  // it answers when nobody waits any more
       Running([this, question] { Vouch(question); });
@@ -113,7 +115,7 @@
   world_.clock.After(world_.random.Uniform(2, 12), [this, at_service = std::move(at_service)] {
     if (!world_.store.up()) return;
     at_service();
-    ++world_.late_writes;
+    ++world_.observed.late_writes;
   });
 }
 
@@ -172,7 +174,7 @@
   for (const auto& peer : world_.nodes) {
     if (peer == name_) continue;
     world_.network.Send(name_, peer, [this, life, round = *round, peer, question] {
-      const auto answer = world_.on_vouch[peer](question);
+      const auto answer = world_.on_promise_request[peer](question);
       if (!answer) return;
       world_.network.Send(peer, name_, [this, life, round, peer, text = *answer] {
         if (life != life_) return;
@@ -197,13 +199,13 @@
   });
   const double sent = Now();
   if (lead_->store_lease() == 0) {
-    Ask<uint64_t>([this] { return world_.store.Grant(derived_.store_lease_s); },
+    Ask<uint64_t>([this] { return world_.store.GrantLease(derived_.store_lease_s); },
                   [this, sent](uint64_t grant) {
                     if (lead_->store_lease() == 0) lead_->OnStoreLeaseGranted(grant, sent);
                   });
     return;
   }
-  Ask<bool>([this, grant = lead_->store_lease()] { return world_.store.Renew(grant); },
+  Ask<bool>([this, grant = lead_->store_lease()] { return world_.store.RenewLease(grant); },
             [this, sent, grant = lead_->store_lease()](bool ok) {
               last_contact_ = std::max(last_contact_, sent);
               if (grant != lead_->store_lease()) return;
@@ -238,12 +240,12 @@
 }
 
 void SimulatedController::See(const SimulatedKeyValueStore::View& view, double sent) {
-  const Pairs& pairs = view.pairs;
+  const Pairs& pairs = view.entries;
   if (revision_ == 0) directory_->AssumeReportedUpTo(view.revision);  // the life before this one
   revision_ = std::max(revision_, view.revision);
   election::Leadership::LeaderKey leads;
   if (const auto leader = pairs.find(kLeader); leader != pairs.end()) {
-    leads = {leader->second.value.value("node", ""), leader->second.grant, leader->second.version};
+    leads = {leader->second.value.value("node", ""), leader->second.lease, leader->second.version};
   }
   Told(lead_->OnLeaderKey(leads));
   Told(lead_->OnLoaded(pairs.empty()));
@@ -298,7 +300,7 @@
 void SimulatedController::SeeOwnBlock(const Pairs& pairs) {
   const auto block = pairs.find("block/" + name_);
   const bool ours = lead_->store_lease() != 0 && block != pairs.end() &&
-                    block->second.grant == lead_->store_lease();
+                    block->second.lease == lead_->store_lease();
   if (!ours) return holder_.reset();
   const uint64_t lease = block->second.version;
   if (!holder_ || holder_->lease() != lease) {
@@ -335,7 +337,7 @@
   const auto offer = pairs.find("holder/" + name_);
   const uint64_t grant = lead_->store_lease();
   if (grant == 0 || offering_) return;
-  if (offer != pairs.end() && offer->second.grant == grant) return;
+  if (offer != pairs.end() && offer->second.lease == grant) return;
   offering_ = true;
   const uint64_t life = life_;
   world_.clock.After(0.5, [this, life] {
@@ -418,7 +420,7 @@
     if (life == life_) Running([finish] { finish(std::nullopt); });
   });
   world_.network.Send(name_, to, [this, to, text = wire::Encode(frame), finish] {
-    const auto answer = world_.on_frame[to](text);
+    const auto answer = world_.on_shard_frame[to](text);
     world_.network.Send(to, name_,
                         [this, answer, finish] { Running([answer, finish] { finish(answer); }); });
   });
@@ -453,7 +455,7 @@
 }
 
 void SimulatedController::Elected(uint64_t token, const Pairs& pairs) {
-  world_.elections.push_back(world_.clock.now());
+  world_.observed.elections.push_back(world_.clock.now());
   admission_->OnElected(token, Now());
   // One that leads holds no block: what it held is asked what it has, like all that is inherited.
   holder_.reset();
@@ -484,32 +486,34 @@
 }
 
 void SimulatedController::OnReport(const wire::Heartbeat& r,
-                                   const SimulatedEnvironment::ReportAnswer& answer) {
+                                   const SimulatedEnvironment::HeartbeatResponder& answer) {
   if (!alive_) return;
   if (StandsStill()) return Running([this, r, answer] { OnReport(r, answer); });
   if (holder_ && holder_->dispatcher().Owns(r.machine)) {
-    if (!MayHold()) return answer(503, 0, {}, "");
+    if (!MayHold()) return answer({.http_status = 503});
     scheduler::HeartbeatAnswer a = holder_->OnHeartbeat(r, Now());
-    if (!a.accepted) return answer(503, 0, {}, "");
+    if (!a.accepted) return answer({.http_status = 503});
     for (const auto& c : a.commands) held_starts_ += c.type == wire::CommandType::kStart ? 1 : 0;
-    answer(200, a.token, a.commands, "");
+    answer({200, a.token, a.commands, ""});
     return SendDirect();
   }
   if (settings_.lease_shards) {
     const bool leads = desk_ && leading();
     std::string holder = leads ? desk_->HolderOf(r.machine) : routes_.HolderOf(r.machine);
     if (holder.empty() && !leads && !dispatcher_) holder = lead_->leader();
-    if (!holder.empty() && holder != name_) return answer(421, 0, {}, holder);
+    if (!holder.empty() && holder != name_)
+      return answer({.http_status = 421, .redirect_to = holder});
   }
   if (!leading()) {
     const std::string& leader = lead_->leader();
-    if (dispatcher_ || leader == name_) return answer(503, 0, {}, "");
-    return answer(421, 0, {}, liveness_->IsSuspected(leader, Now()) ? "" : leader);
+    if (dispatcher_ || leader == name_) return answer({.http_status = 503});
+    const bool suspected = liveness_->IsSuspected(leader, Now());
+    return answer({.http_status = 421, .redirect_to = suspected ? "" : leader});
   }
   scheduler::HeartbeatAnswer a = dispatcher_->OnHeartbeat(r, Now());
-  if (!a.accepted) return answer(503, 0, {}, "");
+  if (!a.accepted) return answer({.http_status = 503});
   vouched_ += lead_->StoreLeaseHolds(Now()) ? 0 : 1;
-  answer(200, a.token, a.commands, "");
+  answer({200, a.token, a.commands, ""});
   SendDirect();
 }
 
@@ -536,7 +540,7 @@
   const autoscaler::ScalingPlan plan = dispatcher_->PlanScaling(Now());
   for (const auto& wish : plan.scale_out) {
     for (int i = 0; i < wish.count; ++i) {
-      const std::string id = world_.Rent(wish.type, wish.zone, wish.spot);
+      const std::string id = world_.RentMachine(wish.type, wish.zone, wish.spot);
       if (id.empty()) {
         dispatcher_->OnProvisioningRefused(wish, Now() + world_.settings.heartbeat_s);
       } else {
@@ -547,7 +551,7 @@
   for (const auto& id : plan.scale_in) {
     dispatcher_->OnMachineDeleting(id);
     world_.network.Send(name_, "cloud", [this, id, life] {
-      world_.Delete(id);
+      world_.DeleteMachine(id);
       world_.network.Send("cloud", name_, [this, id, life, token = token()] {
         if (life != life_) return;
         Running([this, id, token] {
@@ -566,7 +570,7 @@
   });
   if (!leading()) return;
   world_.network.Send(name_, "cloud", [this, life, token = lead_->token(), asked = Now()] {
-    world_.network.Send("cloud", name_, [this, life, token, asked, listed = world_.List()] {
+    world_.network.Send("cloud", name_, [this, life, token, asked, listed = world_.ListMachines()] {
       if (life != life_) return;
       Running([this, token, asked, listed] {
         if (token == lead_->token() && dispatcher_)
@@ -582,7 +586,7 @@
   ++resigned_;
   Ask<bool>(
       [this, grant] {
-        world_.store.End(grant);
+        world_.store.RevokeLease(grant);
         return true;
       },
       [](bool) {});
@@ -612,7 +616,7 @@
         [this, id, records, token = token()] {
           const uint64_t revision =
               CommitEnd(id, jobs::JobStatus::kDone, records, {{kLeader, token}});
-          if (revision != 0) world_.rule_checker.ToldDone(id, world_.clock.now());
+          if (revision != 0) world_.rule_checker.OnCompletionConfirmed(id);
           return revision;
         },
         finish);
@@ -621,14 +625,14 @@
 
 uint64_t SimulatedController::CommitEnd(const std::string& id, jobs::JobStatus end,
                                         const std::vector<jobs::RecordChange>& records,
-                                        std::vector<std::pair<std::string, uint64_t>> conditions) {
-  std::vector<std::pair<std::string, std::optional<wire::Json>>> changes;
+                                        std::vector<SimulatedKeyValueStore::Condition> conditions) {
+  std::vector<SimulatedKeyValueStore::Change> changes;
   // One end only, whoever is first.
-  conditions.emplace_back(kFinal + id, 0);
-  changes.emplace_back(kFinal + id, jobs::EncodeFinalRecord(end));
+  conditions.push_back({kFinal + id, 0});
+  changes.push_back({kFinal + id, jobs::EncodeFinalRecord(end)});
   for (const auto& r : records) {
-    conditions.emplace_back(r.key, r.version);
-    changes.emplace_back(r.key, r.value);
+    conditions.push_back({r.key, r.version});
+    changes.push_back({r.key, r.value});
   }
   return world_.store.Commit(conditions, changes);
 }
@@ -636,11 +640,11 @@
 void SimulatedController::Flush() {
   const auto records = dispatcher_->TakeRecords(100, 48u << 10);
   if (records.empty()) return;
-  std::vector<std::pair<std::string, uint64_t>> conditions{{kLeader, token()}};
-  std::vector<std::pair<std::string, std::optional<wire::Json>>> changes;
+  std::vector<SimulatedKeyValueStore::Condition> conditions{{kLeader, token()}};
+  std::vector<SimulatedKeyValueStore::Change> changes;
   const auto put = [&](const std::string& prefix, const kvstore::PackedMap::PackWrite& w) {
-    conditions.emplace_back(prefix + std::to_string(w.pack), w.version);
-    changes.emplace_back(prefix + std::to_string(w.pack), w.value);
+    conditions.push_back({prefix + std::to_string(w.pack), w.version});
+    changes.push_back({prefix + std::to_string(w.pack), w.value});
   };
   for (const auto& w : records.machines) put("machines/", w);
   for (const auto& w : records.progress) put("progress/", w);
@@ -691,20 +695,20 @@
     });
     // A connection is to whoever is there, which need not be the machine that is meant; what is
     // held back on it is never for another one that is up under the address later.
-    SimulatedAgent* const w = world_.At(order.address);
+    SimulatedAgent* const w = world_.FindByAddress(order.address);
     if (w == nullptr) continue;
     const std::function<void()> arrive = [this, order, finish, w, life = w->incarnation(),
                                           sent = world_.clock.now()] {
       if (!w->alive() || w->incarnation() != life) return;
-      world_.late_orders += world_.clock.now() - sent > 2 ? 1 : 0;
+      world_.observed.late_commands += world_.clock.now() - sent > 2 ? 1 : 0;
       const int status = w->OnCommands(order.fencing_token, order.agent_epoch, order.commands);
       const wire::Heartbeat r = w->MakeHeartbeat();
-      const double held = world_.clock.now() < world_.held_answers_until
+      const double held = world_.clock.now() < world_.delayed_answers_until
                               ? world_.random.Uniform(0, 1.2 * world_.settings.heartbeat_s)
                               : 0;
       world_.clock.After(held, [this, w, status, r, finish] {
         world_.network.Send(w->id(), name_, [this, w, status, r, finish] {
-          world_.late_answers += w->heard_seq() > r.sequence ? 1 : 0;
+          world_.observed.late_answers += w->acknowledged_sequence() > r.sequence ? 1 : 0;
           Running([status, r, finish] {
             finish(status == 200 ? scheduler::CommandOutcome::kExecuted
                                  : scheduler::CommandOutcome::kRefused,
@@ -713,7 +717,7 @@
         });
       });
     };
-    world_.network.Send(name_, w->id(), [w, arrive] { w->Running(arrive); });
+    world_.network.Send(name_, w->id(), [w, arrive] { w->RunUnlessHung(arrive); });
   }
 }
 
@@ -791,11 +795,11 @@
       return done(*known);
     }
     if (!seen) return done(jobs::JobStatus::kUndetermined);
-    using Final = std::optional<SimulatedKeyValueStore::Pair>;
+    using Final = std::optional<SimulatedKeyValueStore::Entry>;
     Ask<Final>(
         [this, id]() -> Final {
-          const auto it = world_.store.pairs().find(kFinal + id);
-          return it == world_.store.pairs().end() ? std::nullopt : Final(it->second);
+          const auto it = world_.store.entries().find(kFinal + id);
+          return it == world_.store.entries().end() ? std::nullopt : Final(it->second);
         },
         [this, id, looked = seen_jobs_, done](const Final& final_record) {
           const auto known = directory_->StatusFromFinalRecord(
@@ -814,7 +818,7 @@
 
 wire::JobState SimulatedController::Tells(const std::string& id, jobs::JobStatus known) {
   if (known == jobs::JobStatus::kCancelled) {
-    world_.confirmer = name_;
+    world_.observed.last_confirmer = name_;
     return wire::JobState::kCancelled;
   }
   if (known == jobs::JobStatus::kDone) return wire::JobState::kDone;
@@ -843,7 +847,7 @@
   TryCancel(id, Now() + derived_.user_deadline_s, [this, id, answer](jobs::JobStatus known) {
     // However it came to know of it.
     if (known == jobs::JobStatus::kCancelled)
-      world_.rule_checker.ToldCancelled(id, world_.clock.now());
+      world_.rule_checker.OnCancellationConfirmed(id, world_.clock.now());
     AnswerKnown(id, known, answer);
   });
 }
@@ -928,8 +932,8 @@
     if (peer == name_) continue;
     const double asked = Now();
     world_.network.Send(name_, peer, [this, peer, text, asked, life = life_] {
-      if (!world_.on_presence.contains(peer)) return;
-      const auto answer = world_.on_presence[peer](text);
+      if (!world_.on_peer_heartbeat.contains(peer)) return;
+      const auto answer = world_.on_peer_heartbeat[peer](text);
       if (!answer) return;
       world_.network.Send(peer, name_, [this, answer, asked, life] {
         // What was given up is never read, however late it comes.
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -17,7 +17,7 @@
 #include "mosspath/shard/routing_table.h"
 #include "mosspath/shard/shard_holder.h"
 #include "mosspath/shard/shard_lease_manager.h"
-#include "simulation/world.h"
+#include "simulation/simulated_environment.h"
 
 namespace mosspath::simulation {
 
@@ -43,7 +43,7 @@
   void Freeze(double for_s);
   // It renews its grant but can't read, as when it has no socket left for that.
   void Unread(double for_s) { unread_until_ = world_.clock.now() + for_s; }
-  void OnReport(const wire::Heartbeat& r, const SimulatedEnvironment::ReportAnswer& answer);
+  void OnReport(const wire::Heartbeat& r, const SimulatedEnvironment::HeartbeatResponder& answer);
 
   // --- Users ---
   // It tells a user that a job is cancelled, durable since that revision: so it knows, whatever it
@@ -62,7 +62,7 @@
   uint64_t refused() const { return refused_; }
 
  private:
-  using Pairs = std::map<std::string, SimulatedKeyValueStore::Pair>;
+  using Pairs = std::map<std::string, SimulatedKeyValueStore::Entry>;
 
   double Now() const { return world_.clock.now() * drift_; }
   bool Entitled() const { return lead_->MayAct(Now()); }
@@ -108,7 +108,7 @@
   void EndTasks(const std::string& id);
   uint64_t CommitEnd(const std::string& id, jobs::JobStatus end,
                      const std::vector<jobs::RecordChange>& records,
-                     std::vector<std::pair<std::string, uint64_t>> conditions);
+                     std::vector<SimulatedKeyValueStore::Condition> conditions);
   void TryCancel(const std::string& id, double deadline, std::function<void(jobs::JobStatus)> done);
   void PumpAccepts();
   void AcceptNow(std::vector<Waiting> batch);
--- a/simulation/meetings.cc
+++ b/simulation/meetings.cc
@@ -206,7 +206,8 @@
     Ask(n, world.random.Uniform(2, kFirst + 10), 0, tasks, 20);
     for (uint32_t k = 0; k < tasks; ++k) {
       const double longest = k == 0 ? 8 : 20.0 * k * k + 15;
-      world.run_s[{fmt::format("req-{}", kFirstId + n), k}] = world.random.Uniform(1, longest);
+      world.run_times_s[{fmt::format("req-{}", kFirstId + n), k}] =
+          world.random.Uniform(1, longest);
     }
     ++n;
   }
@@ -219,13 +220,15 @@
     if (whole || f.kind == Kind::kKillMachines || f.kind == Kind::kSpotTaken) {
       // Which it hits is known afterwards.
       world.clock.At(f.at - 0.001, [this] {
-        for (const auto& [id, w] : world.agents) busy_before_[id] = w->running();
+        for (const auto& [id, w] : world.agents) busy_before_[id] = w->running_tasks();
       });
       world.clock.At(f.at + 0.001, [this] {
         for (const auto& [id, busy] : std::exchange(busy_before_, {})) {
           const SimulatedAgent& w = *world.agents.at(id);
           bound_lost_ += busy > 0 && !w.alive() ? 1 : 0;
-          const auto open = [&](const auto& node) { return world.network.Open(node, id); };
+          const auto open = [&](const auto& node) {
+            return world.network.PassesBothWays(node, id);
+          };
           const auto reached = std::count_if(world.nodes.begin(), world.nodes.end(), open);
           const bool some = reached > 0 && reached < std::ssize(world.nodes);
           busy_cut_ += busy > 0 && some ? 1 : 0;
@@ -235,8 +238,8 @@
     if (f.kind != Kind::kCrash && f.kind != Kind::kRestartLeader) continue;
     world.clock.At(f.at - 0.001, [this] {
       for (const auto& [id, w] : world.agents) {
-        const bool reached = world.network.Open(Leader().name(), id);
-        busy_unreached_ += !reached && w->running() > 0 ? 1 : 0;
+        const bool reached = world.network.PassesBothWays(Leader().name(), id);
+        busy_unreached_ += !reached && w->running_tasks() > 0 ? 1 : 0;
       }
     });
   }
@@ -259,12 +262,12 @@
 void CompoundFaultScenario::UsersDo(const Fault& f) {
   switch (f.kind) {
     case Kind::kCancelNow: {
-      const auto runs = [this](const SimulatedUser& u) { return world.Runs(u.spec.id); };
+      const auto runs = [this](const SimulatedUser& u) { return world.RunsJob(u.spec.id); };
       // Up to eight of their machines hang.
       for (const SimulatedUser& u : more_.all()) {
         if (!f.hold || hung_ >= 8 || u.accepted <= 0 || u.called_off || !runs(u)) continue;
         for (auto& [id, w] : world.agents) {
-          if (hung_ >= 8 || w->hung() || !w->Has(u.spec.id)) continue;
+          if (hung_ >= 8 || w->hung() || !w->RunsJob(u.spec.id)) continue;
           w->Hang(f.for_s);
           ++hung_;
         }
@@ -378,7 +381,7 @@
       return a != nullptr && b != nullptr ? CancelledBetween(a->at, b->at) : 0;
     case CompoundFault::kBackAndForth:
       return static_cast<size_t>(
-          std::count_if(world.elections.begin(), world.elections.end(),
+          std::count_if(world.observed.elections.begin(), world.observed.elections.end(),
                         [](double at) { return at > kFirst && at < kFirst + 15; }));
     case CompoundFault::kUnreached:
       return busy_unreached_;
@@ -386,20 +389,20 @@
       a = first(Kind::kSlowState);
       return a != nullptr ? CancelledBetween(a->at, a->at + a->for_s) : 0;
     case CompoundFault::kOldCopies:
-      return world.old_copies;
+      return world.observed.outdated_duplicates;
     case CompoundFault::kLateWrites:
-      return world.late_writes;
+      return world.observed.late_writes;
     case CompoundFault::kHeldCommands:
-      return world.late_orders;
+      return world.observed.late_commands;
     case CompoundFault::kEndsApart: {
       size_t apart = 0;
-      for (const auto& [task, at] : world.done_at) {
-        if (task.index == 0 || !world.run_s.contains(task)) continue;
-        const auto one = world.done_at.find({task.job, 0});
-        if (one == world.done_at.end()) continue;
+      for (const auto& [task, at] : world.completed_at) {
+        if (task.index == 0 || !world.run_times_s.contains(task)) continue;
+        const auto one = world.completed_at.find({task.job, 0});
+        if (one == world.completed_at.end()) continue;
         const auto [from, to] = std::minmax(one->second, at);
         apart += static_cast<size_t>(
-            std::count_if(world.elections.begin(), world.elections.end(),
+            std::count_if(world.observed.elections.begin(), world.observed.elections.end(),
                           [from = from, to = to](double e) { return e > from && e < to; }));
       }
       return apart;
@@ -410,17 +413,17 @@
     case CompoundFault::kZoneWhole:
       return busy_cut_;
     case CompoundFault::kSlowLinks:
-      return world.late_orders;
+      return world.observed.late_commands;
     case CompoundFault::kHeldReports:
     case CompoundFault::kLimit:
       return std::min(busy_unreached_, called_off_);
     case CompoundFault::kJobEnds:
       return called_off_ > 0 && more_.refused() > 0 ? called_off_ : 0;
     case CompoundFault::kMute:
-      return world.mute_orders;
+      return world.observed.outbound_cut_commands;
     case CompoundFault::kTenLeaders: {
       const auto n = static_cast<size_t>(
-          std::count_if(world.elections.begin(), world.elections.end(),
+          std::count_if(world.observed.elections.begin(), world.observed.elections.end(),
                         [](double at) { return at > kFirst && at < kFirst + 125; }));
       return n >= 8 ? n : 0;
     }
@@ -428,7 +431,7 @@
       a = first(Kind::kStopAll);
       return a != nullptr && a->for_s > world.settings.agent_lease_s ? called_off_ : 0;
     case CompoundFault::kHeldAnswers:
-      return world.late_answers;
+      return world.observed.late_answers;
     case CompoundFault::kCancelNow:
       a = first(Kind::kCutState);
       b = first(Kind::kOutage);
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -86,7 +86,7 @@
       u.cancels_after = world.random.Uniform(1, 10);
     }
     if (shape_ == Shape::kMistakes && u.spec.team == kGuest && i % 3 == 0) {
-      world.broken.insert(u.spec.id);
+      world.faulty_jobs.insert(u.spec.id);
     }
   }
   // The balancer sends the guest there.
@@ -125,7 +125,7 @@
 void OverloadScenario::Check() {
   SimulatedCluster::Check();
   double live = 0;
-  const auto& pairs = world.store.pairs();
+  const auto& pairs = world.store.entries();
   for (auto it = pairs.lower_bound("job/"); it != pairs.end() && it->first.starts_with("job/");
        ++it) {
     live += world.specs[it->first.substr(4)].tasks;
@@ -155,7 +155,7 @@
   };
   std::map<Group, Served> groups;
   for (const SimulatedUser& u : users_.all()) {
-    if (u.cancels_after > 0 || world.broken.contains(u.spec.id)) continue;
+    if (u.cancels_after > 0 || world.faulty_jobs.contains(u.spec.id)) continue;
     Served& g = groups[{u.spec.team, u.spec.job_class}];
     ++g.asked;
     g.gave_up += u.gave_up ? 1 : 0;
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -63,7 +63,7 @@
       if (status != 200 && status != 201) return Again(i, std::max(1.0, retry_after_s));
       user.accepted = world_.clock.now();
       if (user.polls) {
-        world_.rule_checker.Accepted(user.spec.id, user.accepted);
+        world_.rule_checker.OnAccepted(user.spec.id, user.accepted);
         Poll(i);
       }
       if (user.cancels_after > 0) {
@@ -75,7 +75,7 @@
 
 void SimulatedUsers::CallOff(size_t i) {
   if (users_[i].accepted <= 0 || std::exchange(users_[i].called_off, true)) return;
-  world_.rule_checker.CancelAsked(users_[i].spec.id);
+  world_.rule_checker.OnCancellationRequested(users_[i].spec.id);
   Cancel(i);
 }
 
@@ -95,7 +95,7 @@
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, i, c] {
     c->OnSubmit(users_[i].spec, [this, i](int status, double) {
-      if (status == 400 || status == 422) world_.rule_checker.Refused(users_[i].spec.id);
+      if (status == 400 || status == 422) world_.rule_checker.OnRefused(users_[i].spec.id);
     });
   });
 }
@@ -105,12 +105,12 @@
   nobody.node = world_.random.Below(cluster_.controllers.size());
   SimulatedController* c = Balance(nobody);
   world_.specs[spec.id] = spec;
-  world_.rule_checker.SubmittedOdd(spec);
+  world_.rule_checker.OnInvalidSubmitted(spec);
   if (c == nullptr) return;
   world_.network.Send("users", c->name(), [this, c, spec] {
     c->OnSubmit(spec, [this, id = spec.id](int status, double) {
       refused_ += status == 400 || status == 422 ? 1 : 0;
-      if (status == 200 || status == 201) world_.rule_checker.Accepted(id, world_.clock.now());
+      if (status == 200 || status == 201) world_.rule_checker.OnAccepted(id, world_.clock.now());
     });
   });
 }
@@ -126,7 +126,8 @@
   world_.network.Send("users", c->name(), [this, i, c, asked = world_.clock.now()] {
     c->OnAsked(users_[i].spec.id, [this, i, asked](int status, wire::JobState stage) {
       if (world_.clock.now() - asked > kAskWaitS) return;
-      world_.rule_checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
+      world_.rule_checker.OnStatusAnswered(users_[i].spec.id, status, stage, asked,
+                                           world_.clock.now());
     });
   });
 }
@@ -141,7 +142,8 @@
   world_.network.Send("users", c->name(), [this, i, c, answered, asked = world_.clock.now()] {
     c->OnCancel(users_[i].spec.id, [this, i, answered, asked](int status, wire::JobState stage) {
       if (std::exchange(*answered, true)) return;
-      world_.rule_checker.Answered(users_[i].spec.id, status, stage, asked, world_.clock.now());
+      world_.rule_checker.OnStatusAnswered(users_[i].spec.id, status, stage, asked,
+                                           world_.clock.now());
       if (status != 200) world_.clock.After(1, [this, i] { Cancel(i); });
     });
   });
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -54,7 +54,7 @@
   }
   std::string Unfinished() {
     std::string out;
-    for (const auto& [key, pair] : world.store.pairs()) {
+    for (const auto& [key, pair] : world.store.entries()) {
       if (key.starts_with("job/")) out += key + "\n";
     }
     return out;
@@ -89,7 +89,7 @@
     if (!world.store.up() || !asked.up()) return;
     if (const uint64_t revision = world.Cancel(id); revision != 0) {
       asked.LearnCancelled(id, revision);
-      world.rule_checker.ToldCancelled(id, world.clock.now());
+      world.rule_checker.OnCancellationConfirmed(id, world.clock.now());
     }
   }
 
@@ -206,13 +206,13 @@
         auto it = world.agents.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(world.random.Below(world.agents.size())));
         const std::string zone = world.random.Below(2) == 0 ? "east" : "west";
-        it->second->Die();
+        it->second->Terminate();
         world.clock.After(5, [this, zone] { world.AddMachine("box", zone, false); });
       });
     }
     if (t.sick) {
       at([this] {
-        world.agents.begin()->second->sick = true;
+        world.agents.begin()->second->fails_all_tasks = true;
         world.clock.After(2, [this] { world.AddMachine("box", "east", false); });
       });
     }
@@ -314,8 +314,8 @@
   OneJob(uint64_t seed, uint32_t tasks, double run_s)
       : world(SmallSettings(), {SmallType()}, seed) {
     for (const char* name : {"hut-0", "hut-1", "hut-2"}) world.nodes.emplace_back(name);
-    world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
-                             const SimulatedEnvironment::ReportAnswer& answer) {
+    world.on_heartbeat = [this](const std::string& node, const wire::Heartbeat& r,
+                                const SimulatedEnvironment::HeartbeatResponder& answer) {
       for (auto& c : controllers) {
         if (c->name() == node) c->OnReport(r, answer);
       }
@@ -337,7 +337,7 @@
 
   void Cancel() {
     ASSERT_NE(world.Cancel("req-1"), 0u);
-    world.rule_checker.ToldCancelled("req-1", world.clock.now());
+    world.rule_checker.OnCancellationConfirmed("req-1", world.clock.now());
   }
 
   SimulatedEnvironment world;
@@ -365,8 +365,8 @@
   LargeDay(uint64_t seed, size_t capacity, int jobs) : world(Size(), {Type()}, seed), jobs_(jobs) {
     world.capacity = capacity;
     for (int i = 0; i < 5; ++i) world.nodes.push_back("hut-" + std::to_string(i));
-    world.on_report = [this](const std::string& node, const wire::Heartbeat& r,
-                             const SimulatedEnvironment::ReportAnswer& answer) {
+    world.on_heartbeat = [this](const std::string& node, const wire::Heartbeat& r,
+                                const SimulatedEnvironment::HeartbeatResponder& answer) {
       controllers.at(node)->OnReport(r, answer);
     };
     for (size_t i = 0; i < world.nodes.size(); ++i) {
@@ -432,7 +432,7 @@
 
  private:
   void Check() {
-    world.rule_checker.Tick(world.clock.now());
+    world.rule_checker.CheckNow(world.clock.now());
     world.clock.After(1, [this] { Check(); });
   }
   const int jobs_;
@@ -448,7 +448,8 @@
   world.clock.At(30, [&] { world.network.Slow("state", 10, 30); });
   world.clock.At(45, [&] { day.Leader().Crash(4); });
   world.clock.At(70, [&] {
-    day.Each(10, 40, kAny, [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
+    day.Each(10, 40, kAny,
+             [](const std::string&, simulation::SimulatedAgent& w) { w.Terminate(); });
   });
   world.clock.At(75, [&] { day.CrashAll(); });
   world.clock.At(105, [&] {
@@ -466,7 +467,8 @@
 TEST(Simulation, AThirdOfTheFleetFallsWithAllControllers) {
   LargeDay day(22, 600, 40);
   day.world.clock.At(60, [&] {
-    day.Each(6, 200, kAny, [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
+    day.Each(6, 200, kAny,
+             [](const std::string&, simulation::SimulatedAgent& w) { w.Terminate(); });
     day.Each(
         6, 200, [](size_t i) { return i % 12 == 0; },
         [&](const std::string& id, simulation::SimulatedAgent&) { day.CutOff(id, 20); });
@@ -496,7 +498,7 @@
   day.world.clock.At(60, [&] {
     day.Each(
         1, 600, [](size_t i) { return i % 5 < 3; },
-        [](const std::string&, simulation::SimulatedAgent& w) { w.Die(); });
+        [](const std::string&, simulation::SimulatedAgent& w) { w.Terminate(); });
     SimulatedController& leader = day.Leader();
     leader.Freeze(25);
     for (auto& [name, c] : day.controllers) {
@@ -548,7 +550,7 @@
     day.world.clock.At(20, [&] { c->Unread(80); });
   }
   std::function<void()> check = [&] {
-    day.world.rule_checker.Tick(day.world.clock.now());
+    day.world.rule_checker.CheckNow(day.world.clock.now());
     day.world.clock.After(0.5, check);
   };
   check();
@@ -594,8 +596,8 @@
  protected:
   Planted() : world(SmallSettings(), {SmallType()}, 1) {
     world.nodes = {"hut-0"};
-    world.on_report = [](const std::string&, const wire::Heartbeat&,
-                         const SimulatedEnvironment::ReportAnswer&) {};
+    world.on_heartbeat = [](const std::string&, const wire::Heartbeat&,
+                            const SimulatedEnvironment::HeartbeatResponder&) {};
     spec_.id = "req-1";
     spec_.team = "tight";
     spec_.tasks = 12;
@@ -646,10 +648,10 @@
   spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
   auto& a = world.AddMachine("box", "east", false);
-  world.rule_checker.ToldCancelled("req-1", 0);
+  world.rule_checker.OnCancellationConfirmed("req-1", 0);
   world.clock.At(25, [&] { a.OnCommands(1, 3, {Start(0)}); });  // its third session by then
   world.clock.RunUntil(27);
-  world.rule_checker.Tick(27);
+  world.rule_checker.CheckNow(27);
   EXPECT_TRUE(Caught("ran_cancelled"));
 }
 
@@ -662,40 +664,41 @@
     a.OnCommands(1, 2, {Start(0)});
     a.Hang(4);
   });
-  world.clock.At(17, [&] { world.rule_checker.ToldCancelled("req-1", -4); });
+  world.clock.At(17, [&] { world.rule_checker.OnCancellationConfirmed("req-1", -4); });
   world.clock.RunUntil(19.5);
-  world.rule_checker.Tick(19.5);
+  world.rule_checker.CheckNow(19.5);
   EXPECT_TRUE(Caught("ran_cancelled"));
 }
 
 TEST_F(Planted, WaitingBesideRoomIsCaught) {
   world.Submit(spec_);
-  world.rule_checker.Accepted("req-1", 0);
+  world.rule_checker.OnAccepted("req-1", 0);
   for (double now = 0; now <= 88; now += 2)
-    world.rule_checker.RoomFor("req-1", {"vm-1", "vm-2"}, now);
+    world.rule_checker.OnMachinesWithRoom("req-1", {"vm-1", "vm-2"}, now);
   EXPECT_FALSE(Caught("waits"));
   // Another machine each time is the holes of a fleet that is full.
-  for (double now = 90; now <= 178; now += 2) world.rule_checker.RoomFor("req-1", {"vm-3"}, now);
+  for (double now = 90; now <= 178; now += 2)
+    world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, now);
   EXPECT_FALSE(Caught("waits"));
-  world.rule_checker.RoomFor("req-1", {"vm-3"}, 182);
+  world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, 182);
   EXPECT_TRUE(Caught("waits"));
 }
 
 TEST_F(Planted, AcceptedThoughItCannotRunIsCaught) {
   spec_.cpus = 1'000;
   world.Submit(spec_);
-  world.rule_checker.Accepted("req-1", 0);
+  world.rule_checker.OnAccepted("req-1", 0);
   EXPECT_TRUE(Caught("accepted"));
 }
 
 TEST_F(Planted, RefusedThoughItWasAcceptedIsCaught) {
-  world.rule_checker.Accepted("req-1", 0);
-  world.rule_checker.Refused("req-1");
+  world.rule_checker.OnAccepted("req-1", 0);
+  world.rule_checker.OnRefused("req-1");
   EXPECT_TRUE(Caught("forgotten"));
 }
 
 TEST_F(Planted, DoneTooEarlyIsCaught) {
-  world.rule_checker.ToldDone("req-1", 0);
+  world.rule_checker.OnCompletionConfirmed("req-1");
   EXPECT_TRUE(Caught("not_done"));
 }
 
