--- a/simulation/cluster.h
+++ b/simulation/cluster.h
@@ -1,109 +1,74 @@
-// Several controllers and their machines in simulated time, and what goes wrong with them. A
-// schedule of faults is drawn once from a seed, so that it can be played again with some left out.
+// Several controllers and their machines in simulated time.
 #pragma once
 
+#include <cstdint>
 #include <functional>
+#include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "simulation/controller.h"
+#include "simulation/faults.h"
 
 namespace mosspath::simulation {
 
-// Three controllers, teams without and with limits, quick reports: what days are made of.
+// The deployment that scenarios start from: three controllers in two zones, a team without and one
+// with a quota, short heartbeat intervals.
 config::Settings SmallSettings();
 wire::MachineType SmallType();
 
-struct Fault {
-  enum class Kind {
-    kCrash,                 // the leader
-    kCrashAll,              // all controllers at once
-    kFreeze,                // the leader stands still
-    kFreezeAny,             // any one
-    kCutState,              // the leader from the state service
-    kCutAgents,             // the leader from all workers
-    kCutPeers,              // any one from the others
-    kCutZone,               // half of the machines from all controllers
-    kOutage,                // of the state service
-    kSlowState,             // it answers slowly
-    kLeaderReadsFail,       // the leader renews but can't read
-    kKillMachines,          // machines end, with all that is on them
-    kHang,                  // machines stand still and go on
-    kCutAgentsInbound,      // machines' reports arrive, but nothing reaches them
-    kDuplicateHeartbeats,   // reports are delivered again, up to three leases late
-    kOnlyAgentsReachable,   // one has its workers and users, but no state service and no peers
-    kRestartLeader,         // the leader is back at once
-    kRestartAll,            // all are
-    kRestartAfterMessages,  // whoever is about to lead, or leads, after its n-th message
-    kRestartMachines,       // machines come back at once under their names, with nothing on them
-    kReplaced,              // a machine ends, and another is up at its address
-    kSpotTaken,             // half of a zone's cheap machines, without notice
-    kCapacity,              // the cloud has half as many machines to give
-    kDrawn,                 // all before it are drawn; the others come in meetings only
-    kLateWrites = kDrawn,   // changes get no answer and are carried out later
-    kLeaderOnlyAgentsReachable,  // as kOnlyWorkers, the leader
-    kRestartConfirmer,           // who last confirmed a cancellation is back at once
-    kCutAgentsOutbound,          // machines reach no controller, while direct orders reach them
-    kCutZoneWhole,     // a zone's machines and controllers from the others and the outside
-    kSlowLinks,        // messages to and from machines take seconds
-    kDelayHeartbeats,  // what machines send is held back, and arrives at whoever leads then
-    kDelayAnswers,     // answers to orders are held up for seconds
-    kStopAll,          // all controllers, for longer than the others are
-    kCancelNow,        // users call off many jobs at once; `hold`: some of their machines hang
-    kCancelAtEnd,      // users call off jobs as they end
-    kOddRequests,      // repeated submissions, cancellations of what is done, what can't run
-    kKinds
-  };
-  Kind kind = Kind::kCrash;
-  double at = 0;
-  double for_s = 0;
-  bool hold = false;  // what is cut is delivered late
-  uint64_t pick = 0;  // which one
-};
-std::string ToText(const Fault& f);
-// `n` faults of any kind between the two times.
-std::vector<Fault> Draw(uint64_t seed, size_t n, double from, double to);
-
+// Owns the controllers and the world around them, plays faults, and checks the rules every half
+// second of simulated time.
 class SimulatedCluster {
  public:
-  // Named hut-0, hut-1, ...; their clocks drift apart as far as the protocol allows.
+  // The controllers are named hut-0, hut-1, ...; their clocks drift apart as far as the protocol
+  // allows.
   SimulatedCluster(const config::Settings& settings, const std::vector<wire::MachineType>& types,
-                   size_t controllers, uint64_t seed);
+                   size_t controller_count, uint64_t seed);
   virtual ~SimulatedCluster() = default;
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  void Plan(const std::vector<Fault>& faults);
-  // When the last of what it does is over.
-  double Over(const Fault& f) const;
-  void Play(const Fault& f);
-  // What users do at such a time is theirs.
-  std::function<void(const Fault&)> on_users;
-  SimulatedController& Leader(uint64_t otherwise = 0);
+  // Schedules the faults; called before the day begins.
+  void ScheduleFaults(const std::vector<Fault>& faults);
+  // Called for the faults that consist in what users do.
+  std::function<void(const Fault&)> on_user_fault;
+  // Whoever campaigns or leads when that many more messages were sent by such controllers crashes
+  // right after the last of them, for that long.
+  void RestartAfterMessages(uint64_t messages, double downtime_s);
+
+  // The first controller that leads; if none does, the one of that number, modulo their count.
+  SimulatedController& Leader(uint64_t fallback = 0);
 
   SimulatedEnvironment world;
   std::vector<std::unique_ptr<SimulatedController>> controllers;
 
  protected:
-  // Checked every half second.
+  // Called every half second; an override calls this one too.
   virtual void Check();
 
  private:
-  void CheckLoop();
-  // The users' rule on what waits beside room, by the state of the machines themselves.
-  void CheckRoom();
-  void Sent(const std::string& from);
-
-  // What each is finding out as a new leader: under which token, and since when without a pause.
-  struct Unsettled {
+  // Since when, without a pause, a new leader has been finding out what runs where.
+  struct Recovery {
     uint64_t token = 0;
     double since = 0;
+    bool reported = false;  // as a breach
   };
-  std::map<std::string, Unsettled> unsettled_;
+
+  void AddControllers(size_t count);
+  void CheckLoop();
+  // Checks that leaders know where all tasks are after a bounded time.
+  void CheckRecovery();
+  // Checks the users' rule on tasks that wait beside room, by the state of the machines themselves.
+  void CheckRoom();
+  std::vector<std::string> MachinesWithRoom(const RuleChecker::WaitingJob& waiting) const;
+  void OnMessageSent(const std::string& from);
+
+  std::map<std::string, Recovery> recoveries_;  // by the leader's name
   uint64_t checks_ = 0;
-  uint64_t steps_left_ = 0;  // messages until whoever campaigns or leads is back at once; 0: none
-  double back_after_s_ = 0;
+  uint64_t messages_until_restart_ = 0;  // 0: no restart is due
+  double restart_downtime_s_ = 0;
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -1,11 +1,25 @@
-// A controller's decision code in simulated time: the dispatcher, the grant's clock and the fenced
-// writes, wired as in service/ but over the stand-in network.
+// A controller in simulated time: the decision code of the real one, wired as in service/ but over
+// the simulated network and the simulated store.
+//
+// The class is implemented by duty:
+//   controller.cc           the process: start, crash, freeze, loops
+//   controller_election.cc  store lease, campaigns, promises of peers, taking and giving up the
+//   lead controller_watch.cc     reading the store and telling each part what has changed
+//   controller_jobs.cc      submissions, status questions and cancellations of users
+//   controller_commands.cc  heartbeats, direct commands, records, completions and scaling
+//   controller_peers.cc     heartbeats among controllers, which carry the admission plan
+//   controller_shards.cc    holding a shard of the machines, and leasing shards as the leader
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "mosspath/admission/fair_queue.h"
 #include "mosspath/election/failure_detector.h"
@@ -21,145 +35,300 @@
 
 namespace mosspath::simulation {
 
+// Runs from its construction to the end of the day, through crashes and restarts. Times inside are
+// those of its own clock, which drifts; delays of its timers are simulated time.
 class SimulatedController {
  public:
-  SimulatedController(SimulatedEnvironment& world, std::string name, double drift);
+  using SubmitResponder = std::function<void(int http_status, double retry_after_s)>;
+  // The state counts with status 200.
+  using StatusResponder = std::function<void(int http_status, wire::JobState state)>;
+
+  // The environment must outlive the controller and know the names of all controllers. `drift`: how
+  // fast its clock runs, 1 for a right one.
+  SimulatedController(SimulatedEnvironment& environment, std::string name, double drift);
+
+  // --- State ---
 
   const std::string& name() const { return name_; }
-  bool leading() const { return dispatcher_ != nullptr && Entitled(); }
-  scheduler::Scheduler* dispatcher() { return dispatcher_.get(); }
-  uint64_t token() const { return lead_->token(); }
-  shard::ShardHolder* holder() { return holder_.get(); }
-  bool up() const { return alive_ && !StandsStill(); }
-  // It leads, or tries to.
-  bool electing() const { return alive_ && (lead_->campaigning() || token() != 0); }
-  bool holding() const { return alive_ && holder_ && MayHold(); }
-  uint64_t held_starts() const { return held_starts_; }  // starts told as a holder
-  bool reluctant = false;  // never resigns, as one that has just done so in vain
-  int resigned() const { return resigned_; }
-  int vouched() const { return vouched_; }  // reports answered when only the peers' word allowed it
-  void Crash(double back_after_s);
-  // It doesn't run for a while though its clock does.
-  void Freeze(double for_s);
-  // It renews its grant but can't read, as when it has no socket left for that.
-  void Unread(double for_s) { unread_until_ = world_.clock.now() + for_s; }
-  void OnReport(const wire::Heartbeat& r, const SimulatedEnvironment::HeartbeatResponder& answer);
+  bool up() const { return alive_ && !frozen(); }
+  bool leading() const { return scheduler_ != nullptr && leadership_->MayAct(Now()); }
+  // Whether it leads or campaigns.
+  bool electing() const { return alive_ && (leadership_->campaigning() || token() != 0); }
+  // Its fencing token; 0 unless it was elected and has not lost the lead.
+  uint64_t token() const { return leadership_->token(); }
+  // As the leader; null if it does not lead.
+  scheduler::Scheduler* leader_scheduler() { return scheduler_.get(); }
+
+  // --- Counts over the whole day ---
+
+  // Starts of tasks that it commanded as the holder of a shard.
+  uint64_t holder_starts() const { return holder_starts_; }
+  int resignations() const { return resignations_; }
+  // Heartbeats that it answered when only its peers' promises allowed that.
+  int heartbeats_on_promise() const { return heartbeats_on_promise_; }
+  // Cancellations that it first learned from peers.
+  int cancellations_learned() const { return cancellations_learned_; }
+  // Submissions that its admission refused.
+  uint64_t refused() const { return refused_; }
+
+  // --- Faults and adjustments ---
+
+  // The process ends, and a new one starts after that time.
+  void Crash(double downtime_s);
+  // The process does not run for that time, though the clock does.
+  void Freeze(double duration_s);
+  // It renews its store lease but can't read, as when it has no socket left for that.
+  void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
+  // Never resigns, as one that has just done so in vain.
+  bool never_resigns = false;
+  // How many changes a second it may make for acceptances.
+  void SetAcceptanceRate(double changes_per_s) { acceptance_rate_ = changes_per_s; }
+
+  // --- Agents ---
+
+  void OnHeartbeat(const wire::Heartbeat& heartbeat,
+                   const SimulatedEnvironment::HeartbeatResponder& respond);
 
   // --- Users ---
-  // It tells a user that a job is cancelled, durable since that revision: so it knows, whatever it
-  // has read. Told by nobody that would know, peers vouched for a leader that had not heard of it.
+
+  void OnSubmit(const wire::JobSpec& spec, const SubmitResponder& respond);
+  void OnStatusQuery(const std::string& id, const StatusResponder& respond);
+  void OnCancel(const std::string& id, const StatusResponder& respond);
+  // It confirms a cancellation to a user, or learns of it from a peer: the job is cancelled,
+  // durable since that revision of the store, whatever this controller has read.
   void LearnCancelled(const std::string& id, uint64_t revision);
-  int learned() const { return learned_; }  // cancellations that peers told it of
-  using SubmitAnswer = std::function<void(int status, double retry_after_s)>;
-  void OnSubmit(const wire::JobSpec& spec, const SubmitAnswer& answer);
-  using JobAnswer = std::function<void(int status, wire::JobState stage)>;
-  void OnAsked(const std::string& id, const JobAnswer& answer);
-  void OnCancel(const std::string& id, const JobAnswer& answer);
-  // How many changes it may make for acceptances.
-  void ChangesASecond(double rate) { accept_rate_ = rate; }
-  double part() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
+
+  // --- Admission ---
+
+  // The share of the budget that it may fill now; 0 before its first start.
+  double budget_share() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
+  // Live tasks that all controllers together may accept.
   double budget() const { return admission_->controller().budget(); }
-  uint64_t refused() const { return refused_; }
 
  private:
-  using Pairs = std::map<std::string, SimulatedKeyValueStore::Entry>;
+  using Entries = std::map<std::string, SimulatedKeyValueStore::Entry>;
+  using Condition = SimulatedKeyValueStore::Condition;
+  using Change = SimulatedKeyValueStore::Change;
+  using OnRevision = std::function<void(uint64_t revision)>;  // 0: the change was not made
+  using OnStatus = std::function<void(jobs::JobStatus)>;
 
-  double Now() const { return world_.clock.now() * drift_; }
-  bool Entitled() const { return lead_->MayAct(Now()); }
-  void Resign();
-  bool StandsStill() const { return world_.clock.now() < frozen_until_; }
-  // Now, or when it runs again.
-  void Running(std::function<void()> f);
-  std::optional<std::string> Vouch(const std::string& question);
-  void AskToVouch();
-  void Told(const election::Leadership::MaybeLoss& lost);
-  // Runs at the state service, then back here unless this life has ended.
-  template <typename R>
-  void Ask(std::function<R()> at_service, std::function<void(R)> back);
-  // So does a change; on some days its answer is lost, and it is carried out much later.
-  template <typename R>
-  void AskChange(std::function<R()> at_service, std::function<void(R)> back);
-  void Boot();
-  void Renew();
-  void Poll();
-  // Reads all that is there; `seen` tells whether it holds what was written before this call.
-  void Look(std::function<void(bool seen)> seen);
-  void See(const SimulatedKeyValueStore::View& view, double sent);
+  // --- The process ---
+
+  double Now() const { return environment_.clock.now() * drift_; }
+  bool frozen() const { return environment_.clock.now() < frozen_until_; }
+  bool IsProcess(uint64_t process) const { return alive_ && process == process_; }
+  void RegisterHandlers();
+  void Start();
+  void ResetState();
+  // Runs the action now, or when the process runs again; not at all if the process ends before.
+  void RunUnlessFrozen(std::function<void()> action);
+  // Runs the action after that time as a timer of this process does.
+  void After(double delay_s, std::function<void()> action);
+  // As After(), but once this process has ended the next one still wakes up for it. The action must
+  // look after that itself.
+  void AfterInAnyProcess(double delay_s, std::function<void()> action);
+  void ReportStall(double from);
+  void TickLoop();
+  void TickLeader();
+
+  // Runs `at_store` at the store, and then `on_result` here. Nothing is called when the store is
+  // down or a message is lost, nor once this process has ended.
+  template <typename Result>
+  void CallStore(std::function<Result()> at_store, std::function<void(Result)> on_result);
+  // The same for a change. While writes are late, some get no answer and are carried out seconds
+  // later, whatever has become of this process.
+  template <typename Result>
+  void CallStoreForChange(std::function<Result()> at_store, std::function<void(Result)> on_result);
+
+  // --- Election ---
+
+  void PromiseLoop();
+  void RequestPromise(const std::string& peer, uint64_t round, const std::string& request);
+  void OnPromiseResponse(const std::string& peer, uint64_t round, const std::string& response);
+  std::optional<std::string> OnPromiseRequest(const std::string& text);
+  std::optional<std::string> AnswerPromiseRequest(const std::string& text);
+  void RenewLoop();
+  void GrantStoreLease(double sent_at);
   void Campaign(uint64_t version);
-  void Elected(uint64_t token, const Pairs& pairs);
-  void Tick();
-  void ListMachines();
-  void Flush();
-  void WriteCompletions();
-  void SendDirect();
-  void SendOrders(scheduler::Scheduler& dispatcher, uint64_t lease);
+  void OnElected(const Entries& entries);
+  void OnLeadershipChange(const election::Leadership::MaybeLoss& loss);
+  void Resign();
 
-  // --- Users ---
-  struct Waiting {
+  // --- Watch ---
+
+  void WatchLoop();
+  // Reads all of the store. Calls back with whether this knows now what was written before the
+  // call.
+  void ReadStore(std::function<void(bool read)> done);
+  void ApplyView(const SimulatedKeyValueStore::View& view, double sent_at);
+  void ApplyLeader(const Entries& entries);
+  void ApplyJobs(const Entries& entries);
+  void ApplyFinalRecords(const Entries& entries);
+  void ApplyJobChange(const jobs::JobRecords::Change& change);
+  void UpdateScheduler(const Entries& entries);
+
+  // --- Jobs ---
+
+  // An admitted job that waits to be made durable.
+  struct PendingJob {
     wire::JobSpec spec;
     double deadline = 0;
-    SubmitAnswer answer;
+    SubmitResponder respond;
   };
-  void SeeJobs(const Pairs& pairs);
-  void Lookup(const std::string& id, std::function<void(jobs::JobStatus)> done);
-  void AnswerKnown(const std::string& id, jobs::JobStatus known, const JobAnswer& answer);
-  // What its user is told of a job of which this is known.
-  wire::JobState Tells(const std::string& id, jobs::JobStatus known);
-  void EndTasks(const std::string& id);
+  using Revisions = std::vector<uint64_t>;  // of each job of a batch; 0: it was there already
+
+  void AnswerKnownSubmission(const std::string& id, const SubmitResponder& respond);
+  void AnswerInvalidSubmission(const std::string& id, const SubmitResponder& respond);
+  void Admit(const wire::JobSpec& spec, const SubmitResponder& respond);
+  void FindStatus(const std::string& id, OnStatus done);
+  void FindStatusInFinalRecord(const std::string& id, const OnStatus& done);
+  void AnswerStatus(const std::string& id, jobs::JobStatus status, const StatusResponder& respond);
+  // What a user is told of a job with this status.
+  wire::JobState StateToTell(const std::string& id, jobs::JobStatus status);
+  void StopTasksOf(const std::string& id);
+  void TryCancel(const std::string& id, double deadline, OnStatus done);
+  // Runs at the store. `end` is written only if the job has no end yet.
   uint64_t CommitEnd(const std::string& id, jobs::JobStatus end,
                      const std::vector<jobs::RecordChange>& records,
-                     std::vector<SimulatedKeyValueStore::Condition> conditions);
-  void TryCancel(const std::string& id, double deadline, std::function<void(jobs::JobStatus)> done);
-  void PumpAccepts();
-  void AcceptNow(std::vector<Waiting> batch);
-  void SendPresence();
-  std::optional<std::string> TakePresence(const std::string& text);
-
-  // --- Blocks ---
-  bool MayHold() const { return lead_->ViewIsFresh(Now()); }
-  void SeeBlocks(const Pairs& pairs);
-  void SeeOwnBlock(const Pairs& pairs);
-  void Offer(const Pairs& pairs);
-  void ChangeLeases();
-  std::optional<wire::ShardFrame> TakeFrame(const std::string& text);
-  void SendFrame(const std::string& to, wire::ShardFrame frame, bool as_leader);
-  void SendFrames();
-
-  SimulatedEnvironment& world_;
+                     std::vector<Condition> conditions);
+  void AcceptanceLoop();
+  void DropOverdue();
+  void AcceptBatch(std::vector<PendingJob> batch);
+  Revisions CommitAcceptances(const std::vector<PendingJob>& batch);
+  // Without revisions the store did not answer in time.
+  void OnBatchAnswered(const std::vector<PendingJob>& batch,
+                       const std::optional<Revisions>& revisions);
+
+  // --- Commands ---
+
+  void AnswerAsHolder(const wire::Heartbeat& heartbeat,
+                      const SimulatedEnvironment::HeartbeatResponder& respond);
+  void AnswerAsLeader(const wire::Heartbeat& heartbeat,
+                      const SimulatedEnvironment::HeartbeatResponder& respond);
+  // The other controller that holds the machine's shard, or may know who does; empty if there is
+  // none.
+  std::string HolderOf(const std::string& machine) const;
+  void SendCommands();
+  // `shard_lease`: under which the commands are given; 0: they are the leader's.
+  void SendCommandsOf(scheduler::Scheduler& source, uint64_t shard_lease);
+  void SendOrder(const scheduler::CommandBatch& order, uint64_t shard_lease);
+  using OnOutcome = std::function<void(scheduler::CommandOutcome, const wire::Heartbeat*)>;
+  OnOutcome MakeOutcomeHandler(const scheduler::CommandBatch& order, uint64_t shard_lease);
+  // Runs at the machine.
+  void DeliverOrder(SimulatedAgent& agent, const scheduler::CommandBatch& order, double sent_at,
+                    const OnOutcome& on_outcome);
+  void WriteCompletions();
+  void WriteCompletion(const std::string& id, const std::vector<jobs::RecordChange>& records);
+  void WriteRecords();
+  OnRevision MakeRecordsHandler();
+  void ListMachinesLoop();
+  void Scale();
+  void DeleteMachine(const std::string& id);
+
+  // --- Peers ---
+
+  void PeerHeartbeatLoop();
+  void SendPeerHeartbeat(const std::string& peer, const std::string& text);
+  std::optional<std::string> OnPeerHeartbeat(const std::string& text);
+
+  // --- Shards ---
+
+  bool MayHold() const { return leadership_->ViewIsFresh(Now()); }
+  void ApplyShards(const Entries& entries);
+  void ApplyOwnShard(const Entries& entries);
+  void StartHolding(uint64_t shard_lease);
+  void OfferToHold(const Entries& entries);
+  void InheritShardLeases();
+  void UpdateShardLeases(const Entries& entries);
+  void WriteLeaseChanges();
+  uint64_t CommitLeaseChange(const shard::ShardLeaseManager::LeaseChange& change, uint64_t token);
+  std::optional<wire::ShardFrame> OnShardFrame(const std::string& text);
+  std::optional<wire::ShardFrame> AnswerFrameAsHolder(const wire::ShardFrame& frame);
+  std::optional<wire::ShardFrame> AnswerFrameAsLeader(const wire::ShardFrame& frame);
+  void SendShardFrames();
+  void SendShardFrame(const std::string& peer, wire::ShardFrame frame, bool as_leader);
+  void OnShardFrameAnswered(const std::string& peer, bool as_leader, double sent_at,
+                            const std::optional<wire::ShardFrame>& answer);
+
+  SimulatedEnvironment& environment_;
   const std::string name_;
   const double drift_;
   const config::DerivedSettings derived_;
-  uint64_t life_ = 0;
+  config::Settings settings_;  // with this controller's name and its peers
+
+  // The process.
+  uint64_t process_ = 0;  // one more with each start and each crash
   bool alive_ = false;
-  std::optional<election::Leadership> lead_;  // of this life
-  double unread_until_ = 0;
-  net::LoopClock turns_;
   double frozen_until_ = 0;
-  double last_contact_ = -1e18;
-  uint64_t polls_ = 0;
-  uint64_t seen_poll_ = 0;
-  int resigned_ = 0;
-  int vouched_ = 0;
-  int learned_ = 0;
-  std::unique_ptr<scheduler::Scheduler> dispatcher_;
-  config::Settings settings_;  // with this controller's name and its peers
-  std::unique_ptr<shard::ShardLeaseManager> desk_;
+  net::LoopClock loop_clock_;
+
+  // Election.
+  std::optional<election::Leadership> leadership_;
+  std::optional<election::FailureDetector> failure_detector_;
+  double last_store_contact_;
+
+  // Watch.
+  double reads_fail_until_ = 0;
+  uint64_t reads_begun_ = 0;
+  uint64_t newest_read_ = 0;    // by the order of their beginnings; 0: none has ended
+  uint64_t revision_ = 0;       // of the store, as last read
+  uint64_t jobs_revision_ = 0;  // up to which the job index knows all records
+  std::optional<jobs::JobIndex> job_index_;
+  std::map<std::string, uint64_t> job_record_versions_;  // of the records that it has read
+  std::set<std::string> final_records_;                  // that it has read
+
+  // The leader's; null unless it leads.
+  std::unique_ptr<scheduler::Scheduler> scheduler_;
+  std::unique_ptr<shard::ShardLeaseManager> shard_leases_;
+
+  // Shards.
   std::unique_ptr<shard::ShardHolder> holder_;
-  shard::RoutingTable routes_;
-  std::map<std::string, uint64_t> seen_packs_;
-  uint64_t revision_ = 0;  // of the state service, as last read
-  std::optional<jobs::JobIndex> directory_;
-  std::optional<election::FailureDetector> liveness_;
-  bool offering_ = false;
-  std::set<std::string> framing_;  // a frame to them is under way
-  uint64_t held_starts_ = 0;
+  shard::RoutingTable routing_table_;
+  std::map<std::string, uint64_t> machine_pack_versions_;
+  bool offer_under_way_ = false;
+  std::set<std::string> frames_under_way_;  // by the peer that they were sent to
+
+  // Jobs.
   std::unique_ptr<service::AdmissionService> admission_;
-  admission::FairQueue<Waiting> accepting_;
-  std::map<std::string, uint64_t> shown_;  // records of jobs that it has read, with their versions
-  std::set<std::string> shown_finals_;
-  uint64_t seen_jobs_ = 0;  // up to when
-  double accept_rate_;
+  admission::FairQueue<PendingJob> acceptance_queue_;
+  double acceptance_rate_;
+
+  // Counts.
+  uint64_t holder_starts_ = 0;
+  int resignations_ = 0;
+  int heartbeats_on_promise_ = 0;
+  int cancellations_learned_ = 0;
   uint64_t refused_ = 0;
 };
 
+template <typename Result>
+void SimulatedController::CallStore(std::function<Result()> at_store,
+                                    std::function<void(Result)> on_result) {
+  environment_.network.Send(name_, kStoreHost, [this, process = process_, at_store, on_result] {
+    if (!environment_.store.up()) return;
+    Result result = at_store();
+    environment_.network.Send(kStoreHost, name_, [this, process, on_result, result] {
+      if (!IsProcess(process)) return;
+      RunUnlessFrozen([on_result, result] { on_result(result); });
+    });
+  });
+}
+
+template <typename Result>
+void SimulatedController::CallStoreForChange(std::function<Result()> at_store,
+                                             std::function<void(Result)> on_result) {
+  constexpr double kLeastLatenessS = 2;
+  constexpr double kMostLatenessS = 12;
+  Random& random = environment_.random;
+  const bool late = environment_.clock.now() < environment_.late_writes_until &&
+                    random.Uniform(0, 1) < environment_.late_writes_share;
+  if (!late) return CallStore(std::move(at_store), std::move(on_result));
+  environment_.clock.After(random.Uniform(kLeastLatenessS, kMostLatenessS),
+                           [this, at_store = std::move(at_store)] {
+                             if (!environment_.store.up()) return;
+                             at_store();
+                             ++environment_.observed.late_writes;
+                           });
+}
+
 }  // namespace mosspath::simulation
--- a/simulation/decisions.cc
+++ b/simulation/decisions.cc
@@ -5,44 +5,46 @@
 
 namespace mosspath::simulation {
 
-void Decisions::Answered(double now, const std::string& machine, int status, uint64_t token,
-                         const std::vector<wire::Command>& commands, const std::string& to) {
-  Begin(Event::kAnswered, now);
+void Decisions::Answered(double now, const std::string& machine, int http_status,
+                         uint64_t fencing_token, const std::vector<wire::Command>& commands,
+                         const std::string& redirect_to) {
+  Begin(Kind::kAnswered, now);
   Add(machine);
-  Add(static_cast<uint64_t>(status));
-  Add(wire::HeartbeatAnswer(token, commands).dump());
-  Add(to);
+  Add(static_cast<uint64_t>(http_status));
+  Add(wire::HeartbeatAnswer(fencing_token, commands).dump());
+  Add(redirect_to);
 }
 
 void Decisions::Ordered(double now, const std::string& machine, const std::string& address,
-                        uint64_t token, uint64_t session,
+                        uint64_t fencing_token, uint64_t agent_epoch,
                         const std::vector<wire::Command>& commands) {
-  Begin(Event::kOrdered, now);
+  Begin(Kind::kOrdered, now);
   Add(machine);
   Add(address);
-  Add(wire::DirectCommands(token, session, commands).dump());
+  Add(wire::DirectCommands(fencing_token, agent_epoch, commands).dump());
 }
 
-void Decisions::Reached(double now, const std::string& machine, uint64_t token, uint64_t session,
-                        const std::vector<wire::Command>& commands, int status) {
-  Begin(Event::kReached, now);
+void Decisions::Reached(double now, const std::string& machine, uint64_t fencing_token,
+                        uint64_t agent_epoch, const std::vector<wire::Command>& commands,
+                        int http_status) {
+  Begin(Kind::kReached, now);
   Add(machine);
-  Add(wire::DirectCommands(token, session, commands).dump());
-  Add(static_cast<uint64_t>(status));
+  Add(wire::DirectCommands(fencing_token, agent_epoch, commands).dump());
+  Add(static_cast<uint64_t>(http_status));
 }
 
 void Decisions::Written(double now, const std::string& key, const std::optional<wire::Json>& value,
-                        uint64_t grant) {
-  Begin(Event::kWritten, now);
+                        uint64_t lease) {
+  Begin(Kind::kWritten, now);
   Add(key);
   Add(uint64_t{value.has_value()});
   if (value) Add(value->dump());
-  Add(grant);
+  Add(lease);
 }
 
 void Decisions::Rented(double now, const std::string& type, const std::string& zone, bool spot,
                        const std::string& machine) {
-  Begin(Event::kRented, now);
+  Begin(Kind::kRented, now);
   Add(type);
   Add(zone);
   Add(uint64_t{spot});
@@ -50,12 +52,12 @@
 }
 
 void Decisions::Returned(double now, const std::string& machine) {
-  Begin(Event::kReturned, now);
+  Begin(Kind::kReturned, now);
   Add(machine);
 }
 
-void Decisions::Begin(Event event, double now) {
-  Add(static_cast<uint64_t>(event));
+void Decisions::Begin(Kind kind, double now) {
+  Add(static_cast<uint64_t>(kind));
   Add(std::bit_cast<uint64_t>(now));
 }
 
--- /dev/null
+++ b/simulation/faults.cc
@@ -0,0 +1,415 @@
+#include "simulation/faults.h"
+
+#include <spdlog/fmt/fmt.h>
+
+#include <algorithm>
+#include <iterator>
+
+#include "simulation/cluster.h"
+
+namespace mosspath::simulation {
+namespace {
+
+using Kind = Fault::Kind;
+
+constexpr double kLongestCrashS = 8;
+constexpr double kCrashAllS = 3;
+constexpr double kSlowStoreFactor = 10;
+constexpr double kSlowLinkFactor = 150;
+constexpr size_t kOneMachineIn = 10;
+// A machine that receives nothing for less than a few leases looks like a slow one.
+constexpr double kInboundCutFactor = 6;
+constexpr double kLatestWriteS = 12;  // after the change was sent
+constexpr double kDuplicatesAfterLeases = 3;
+constexpr double kDeliveredLateS = 30;  // what slow links deliver, and what comes of it
+
+// ---------------------------------------------------------------------------- who is hit
+
+SimulatedController& SelectedController(SimulatedCluster& cluster, const Fault& fault) {
+  return *cluster.controllers[fault.selector % cluster.controllers.size()];
+}
+
+const std::string& SelectedZone(const SimulatedCluster& cluster, const Fault& fault) {
+  const auto& zones = cluster.world.settings.zones;
+  return zones[fault.selector % zones.size()];
+}
+
+// Every n-th machine, terminated ones counted; the selector says with which it begins.
+std::vector<SimulatedAgent*> EveryNthAgent(SimulatedCluster& cluster, const Fault& fault,
+                                           size_t n) {
+  std::vector<SimulatedAgent*> selected;
+  size_t index = fault.selector;
+  for (auto& [id, agent] : cluster.world.agents) {
+    if (index++ % n == 0) selected.push_back(agent.get());
+  }
+  return selected;
+}
+
+std::vector<SimulatedAgent*> OneAliveAgentInTen(SimulatedCluster& cluster, const Fault& fault) {
+  std::vector<SimulatedAgent*> selected = EveryNthAgent(cluster, fault, kOneMachineIn);
+  std::erase_if(selected, [](const SimulatedAgent* agent) { return !agent->alive(); });
+  return selected;
+}
+
+// A zone's, one in three, or all.
+std::vector<SimulatedAgent*> AgentsOfGroup(SimulatedCluster& cluster, const Fault& fault) {
+  constexpr size_t kGroups = 3;
+  std::vector<SimulatedAgent*> selected;
+  const uint64_t group = fault.selector % kGroups;
+  const std::string& zone = SelectedZone(cluster, fault);
+  size_t index = fault.selector;
+  for (auto& [id, agent] : cluster.world.agents) {
+    ++index;
+    if (group == 0 && agent->zone() != zone) continue;
+    if (group == 1 && index % kGroups != 0) continue;
+    selected.push_back(agent.get());
+  }
+  return selected;
+}
+
+// From 10 to 500 ms.
+double RestartTime(const Fault& fault) {
+  return 0.01 + 0.49 * static_cast<double>(fault.selector % 97) / 96;
+}
+
+// ---------------------------------------------------------------------------- controllers
+
+void Crash(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.Leader(fault.selector).Crash(std::min(fault.duration_s, kLongestCrashS));
+}
+
+void CrashAll(SimulatedCluster& cluster, const Fault&) {
+  for (auto& controller : cluster.controllers) controller->Crash(kCrashAllS);
+}
+
+void Freeze(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.Leader(fault.selector).Freeze(fault.duration_s);
+}
+
+void FreezeAny(SimulatedCluster& cluster, const Fault& fault) {
+  SelectedController(cluster, fault).Freeze(fault.duration_s);
+}
+
+void LeaderReadsFail(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.Leader(fault.selector).FailReads(fault.duration_s);
+}
+
+void RestartLeader(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.Leader(fault.selector).Crash(RestartTime(fault));
+}
+
+void RestartAll(SimulatedCluster& cluster, const Fault& fault) {
+  for (auto& controller : cluster.controllers) controller->Crash(RestartTime(fault));
+}
+
+void RestartAfterMessages(SimulatedCluster& cluster, const Fault& fault) {
+  constexpr uint64_t kMostMessages = 200;
+  SimulatedController& leader = cluster.Leader(fault.selector);
+  cluster.RestartAfterMessages(1 + fault.selector / 500 % kMostMessages, RestartTime(fault));
+  // Mostly so that it happens in the middle of an election.
+  if (fault.selector % 3 != 0) leader.Crash(RestartTime(fault));
+}
+
+void RestartConfirmer(SimulatedCluster& cluster, const Fault& fault) {
+  for (auto& controller : cluster.controllers) {
+    if (controller->name() != cluster.world.observed.last_confirmer) continue;
+    controller->Crash(RestartTime(fault));
+  }
+}
+
+void StopAll(SimulatedCluster& cluster, const Fault& fault) {
+  for (auto& controller : cluster.controllers) controller->Crash(fault.duration_s);
+}
+
+// ---------------------------------------------------------------------------- network
+
+void CutFromPeers(SimulatedCluster& cluster, const Fault& fault, const std::string& node) {
+  for (const auto& other : cluster.world.nodes) {
+    if (other != node) cluster.world.network.Cut(node, other, fault.duration_s, fault.hold);
+  }
+}
+
+void CutFromStore(SimulatedCluster& cluster, const Fault& fault, const std::string& node) {
+  cluster.world.network.Cut(node, kStoreHost, fault.duration_s, fault.hold);
+}
+
+void CutStore(SimulatedCluster& cluster, const Fault& fault) {
+  CutFromStore(cluster, fault, cluster.Leader(fault.selector).name());
+}
+
+void CutAgents(SimulatedCluster& cluster, const Fault& fault) {
+  const std::string& leader = cluster.Leader(fault.selector).name();
+  for (const auto& [id, agent] : cluster.world.agents) {
+    cluster.world.network.Cut(leader, id, fault.duration_s, fault.hold);
+  }
+}
+
+void CutPeers(SimulatedCluster& cluster, const Fault& fault) {
+  CutFromPeers(cluster, fault, SelectedController(cluster, fault).name());
+}
+
+void CutZoneAgents(SimulatedCluster& cluster, const Fault& fault) {
+  const std::string& zone = SelectedZone(cluster, fault);
+  for (const auto& [id, agent] : cluster.world.agents) {
+    if (agent->zone() != zone) continue;
+    for (const auto& node : cluster.world.nodes) {
+      cluster.world.network.Cut(node, id, fault.duration_s, true);
+    }
+  }
+}
+
+void LeaderOnlyAgentsReachable(SimulatedCluster& cluster, const Fault& fault) {
+  const std::string& leader = cluster.Leader(fault.selector).name();
+  CutFromStore(cluster, fault, leader);
+  CutFromPeers(cluster, fault, leader);
+}
+
+void OnlyAgentsReachable(SimulatedCluster& cluster, const Fault& fault) {
+  if (fault.selector % 2 == 0) return LeaderOnlyAgentsReachable(cluster, fault);
+  const std::string& node = SelectedController(cluster, fault).name();
+  CutFromStore(cluster, fault, node);
+  CutFromPeers(cluster, fault, node);
+}
+
+void CutAgentsInbound(SimulatedCluster& cluster, const Fault& fault) {
+  // One machine in eight, one in two now and then.
+  const size_t one_in = fault.selector % 5 == 0 ? 2 : 8;
+  const double duration_s = kInboundCutFactor * fault.duration_s;
+  for (const SimulatedAgent* agent : EveryNthAgent(cluster, fault, one_in)) {
+    for (const auto& node : cluster.world.nodes) {
+      cluster.world.network.CutOneWay(node, agent->id(), duration_s, fault.hold);
+    }
+  }
+}
+
+void CutAgentsOutbound(SimulatedCluster& cluster, const Fault& fault) {
+  for (SimulatedAgent* agent : AgentsOfGroup(cluster, fault)) {
+    agent->CutOutbound(fault.duration_s);
+  }
+}
+
+void DelayHeartbeats(SimulatedCluster& cluster, const Fault& fault) {
+  for (const SimulatedAgent* agent : AgentsOfGroup(cluster, fault)) {
+    for (const auto& node : cluster.world.nodes) {
+      cluster.world.network.CutOneWay(agent->id(), node, fault.duration_s, true);
+    }
+  }
+}
+
+void SlowLinks(SimulatedCluster& cluster, const Fault& fault) {
+  for (const SimulatedAgent* agent : AgentsOfGroup(cluster, fault)) {
+    cluster.world.network.Slow(agent->id(), kSlowLinkFactor, fault.duration_s);
+  }
+}
+
+// The store, the cloud and the users are regional: the zone's controllers are cut from them too, or
+// are not.
+void PartitionZone(SimulatedCluster& cluster, const Fault& fault) {
+  SimulatedEnvironment& world = cluster.world;
+  const std::string& zone = SelectedZone(cluster, fault);
+  const bool cut_from_region = fault.selector / 2 % 3 != 0;
+  const auto inside = [&](const std::string& node) { return world.ZoneOf(node) == zone; };
+  const auto cut = [&](const std::string& node, const std::string& host) {
+    world.network.Cut(node, host, fault.duration_s, fault.hold);
+  };
+  for (const auto& node : world.nodes) {
+    for (const auto& other : world.nodes) {
+      if (inside(node) && !inside(other)) cut(node, other);
+    }
+    for (const auto& [id, agent] : world.agents) {
+      if (inside(node) != (agent->zone() == zone)) cut(node, id);
+    }
+    if (!inside(node) || !cut_from_region) continue;
+    for (const char* host : {kStoreHost, kCloudHost, kUsersHost}) cut(node, host);
+  }
+}
+
+void DuplicateHeartbeats(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.world.duplicate_heartbeats_until = cluster.world.clock.now() + fault.duration_s;
+}
+
+void DelayAnswers(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.world.delayed_answers_until = cluster.world.clock.now() + fault.duration_s;
+}
+
+// ---------------------------------------------------------------------------- store
+
+void StoreOutage(SimulatedCluster& cluster, const Fault& fault) {
+  if (cluster.world.store.up()) cluster.world.store.Outage(fault.duration_s);
+}
+
+void SlowStore(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.world.network.Slow(kStoreHost, kSlowStoreFactor, fault.duration_s);
+}
+
+void LateWrites(SimulatedCluster& cluster, const Fault& fault) {
+  cluster.world.late_writes_until = cluster.world.clock.now() + fault.duration_s;
+  cluster.world.late_writes_share = 0.2 + 0.1 * static_cast<double>(fault.selector % 6);
+}
+
+// ---------------------------------------------------------------------------- machines
+
+void TerminateMachines(SimulatedCluster& cluster, const Fault& fault) {
+  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Terminate();
+}
+
+void HangMachines(SimulatedCluster& cluster, const Fault& fault) {
+  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Hang(fault.duration_s);
+}
+
+void RestartMachines(SimulatedCluster& cluster, const Fault& fault) {
+  const bool next_epoch = fault.selector % 2 == 0;
+  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Restart(next_epoch);
+}
+
+void ReplaceMachines(SimulatedCluster& cluster, const Fault& fault) {
+  for (const SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) {
+    cluster.world.ReplaceMachine(agent->id());
+  }
+}
+
+void ReclaimSpot(SimulatedCluster& cluster, const Fault& fault) {
+  const std::string& zone = SelectedZone(cluster, fault);
+  size_t index = fault.selector;
+  for (auto& [id, agent] : cluster.world.agents) {
+    if (!agent->spot() || agent->zone() != zone || !agent->alive()) continue;
+    if (index++ % 2 == 0) agent->Terminate();
+  }
+}
+
+void HalveCapacity(SimulatedCluster& cluster, const Fault& fault) {
+  SimulatedEnvironment& world = cluster.world;
+  const size_t taken = world.capacity / 2;
+  world.capacity -= taken;
+  world.clock.After(fault.duration_s, [&world, taken] { world.capacity += taken; });
+}
+
+// ---------------------------------------------------------------------------- users
+
+void AskUsers(SimulatedCluster& cluster, const Fault& fault) {
+  if (cluster.on_user_fault) cluster.on_user_fault(fault);
+}
+
+// ---------------------------------------------------------------------------- ends
+
+double AfterDuration(const Fault& fault, const config::Settings&) {
+  return fault.at + fault.duration_s;
+}
+
+double AfterCrashAll(const Fault& fault, const config::Settings&) { return fault.at + kCrashAllS; }
+
+double AfterInboundCut(const Fault& fault, const config::Settings&) {
+  return fault.at + kInboundCutFactor * fault.duration_s;
+}
+
+double AfterDuplicates(const Fault& fault, const config::Settings& settings) {
+  return fault.at + fault.duration_s + kDuplicatesAfterLeases * settings.agent_lease_s;
+}
+
+double AfterLateWrites(const Fault& fault, const config::Settings&) {
+  return fault.at + fault.duration_s + kLatestWriteS;
+}
+
+// Answers are held for up to a lease.
+double AfterLateDelivery(const Fault& fault, const config::Settings& settings) {
+  return fault.at + fault.duration_s + std::max(kDeliveredLateS, settings.agent_lease_s);
+}
+
+// ---------------------------------------------------------------------------- table
+
+struct FaultType {
+  Kind kind;
+  const char* name;
+  void (*apply)(SimulatedCluster& cluster, const Fault& fault);
+  double (*end)(const Fault& fault, const config::Settings& settings) = AfterDuration;
+};
+
+constexpr FaultType kFaultTypes[] = {
+    {Kind::kCrash, "crash", Crash},
+    {Kind::kCrashAll, "crash-all", CrashAll, AfterCrashAll},
+    {Kind::kFreeze, "freeze", Freeze},
+    {Kind::kFreezeAny, "freeze-any", FreezeAny},
+    {Kind::kCutStore, "cut-store", CutStore},
+    {Kind::kCutAgents, "cut-agents", CutAgents},
+    {Kind::kCutPeers, "cut-peers", CutPeers},
+    {Kind::kCutZoneAgents, "cut-zone-agents", CutZoneAgents},
+    {Kind::kStoreOutage, "store-outage", StoreOutage},
+    {Kind::kSlowStore, "slow-store", SlowStore},
+    {Kind::kLeaderReadsFail, "leader-reads-fail", LeaderReadsFail},
+    {Kind::kTerminateMachines, "terminate-machines", TerminateMachines},
+    {Kind::kHangMachines, "hang-machines", HangMachines},
+    {Kind::kCutAgentsInbound, "cut-agents-inbound", CutAgentsInbound, AfterInboundCut},
+    {Kind::kDuplicateHeartbeats, "duplicate-heartbeats", DuplicateHeartbeats, AfterDuplicates},
+    {Kind::kOnlyAgentsReachable, "only-agents-reachable", OnlyAgentsReachable},
+    {Kind::kRestartLeader, "restart-leader", RestartLeader},
+    {Kind::kRestartAll, "restart-all", RestartAll},
+    {Kind::kRestartAfterMessages, "restart-after-messages", RestartAfterMessages},
+    {Kind::kRestartMachines, "restart-machines", RestartMachines},
+    {Kind::kReplaceMachines, "replace-machines", ReplaceMachines},
+    {Kind::kReclaimSpot, "reclaim-spot", ReclaimSpot},
+    {Kind::kHalveCapacity, "halve-capacity", HalveCapacity},
+    {Kind::kLateWrites, "late-writes", LateWrites, AfterLateWrites},
+    {Kind::kLeaderOnlyAgentsReachable, "leader-only-agents-reachable", LeaderOnlyAgentsReachable},
+    {Kind::kRestartConfirmer, "restart-confirmer", RestartConfirmer},
+    {Kind::kCutAgentsOutbound, "cut-agents-outbound", CutAgentsOutbound},
+    {Kind::kPartitionZone, "partition-zone", PartitionZone},
+    {Kind::kSlowLinks, "slow-links", SlowLinks, AfterLateDelivery},
+    {Kind::kDelayHeartbeats, "delay-heartbeats", DelayHeartbeats},
+    {Kind::kDelayAnswers, "delay-answers", DelayAnswers, AfterLateDelivery},
+    {Kind::kStopAll, "stop-all", StopAll},
+    {Kind::kCancelNow, "cancel-now", AskUsers},
+    {Kind::kCancelAtEnd, "cancel-at-end", AskUsers},
+    {Kind::kUnusualRequests, "unusual-requests", AskUsers},
+};
+
+constexpr bool InOrderOfKinds() {
+  for (size_t i = 0; i < std::size(kFaultTypes); ++i) {
+    if (kFaultTypes[i].kind != static_cast<Kind>(i)) return false;
+  }
+  return std::size(kFaultTypes) == static_cast<size_t>(Kind::kKinds);
+}
+static_assert(InOrderOfKinds());
+
+const FaultType& TypeOf(const Fault& fault) { return kFaultTypes[static_cast<size_t>(fault.kind)]; }
+
+}  // namespace
+
+std::string ToText(const Fault& fault) {
+  return fmt::format("{:.1f} s: {} for {:.1f} s{} (pick {})", fault.at, TypeOf(fault).name,
+                     fault.duration_s, fault.hold ? ", held back" : "", fault.selector);
+}
+
+std::vector<Fault> DrawFaults(uint64_t seed, size_t count, double from, double to) {
+  constexpr double kShortestS = 0.5;
+  constexpr double kLongestS = 25;
+  constexpr uint64_t kSelectors = 1'000'000;
+  Random random(seed);
+  std::vector<Fault> faults;
+  for (size_t i = 0; i < count; ++i) {
+    // One draw a line: their order is what a seed stands for.
+    Fault fault;
+    fault.kind = static_cast<Kind>(random.Below(kDrawnKinds));
+    fault.at = random.Uniform(from, to);
+    fault.duration_s = random.Uniform(kShortestS, kLongestS);
+    fault.hold = random.Below(2) == 0;
+    fault.selector = random.Below(kSelectors);
+    faults.push_back(fault);
+  }
+  SortByTime(faults);
+  return faults;
+}
+
+void SortByTime(std::vector<Fault>& faults) {
+  std::sort(faults.begin(), faults.end(),
+            [](const Fault& a, const Fault& b) { return a.at < b.at; });
+}
+
+double EndOfFault(const Fault& fault, const config::Settings& settings) {
+  return TypeOf(fault).end(fault, settings);
+}
+
+void ApplyFault(SimulatedCluster& cluster, const Fault& fault) {
+  TypeOf(fault).apply(cluster, fault);
+}
+
+}  // namespace mosspath::simulation
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -1,4 +1,5 @@
-// simulate WHAT: many days of several controllers under seeds, in simulated time, each in a thread.
+// simulate SCENARIO: plays many simulated days of several controllers, one for each seed, several
+// at a time. The exit code is 0 if no rule was broken and every compound fault really came about.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -11,36 +12,57 @@
 #include <mutex>
 #include <thread>
 
-#include "simulation/meetings.h"
+#include "simulation/availability.h"
+#include "simulation/compound_fault_scenario.h"
+#include "simulation/overload.h"
 
 namespace {
 
 using mosspath::simulation::AvailabilityScenario;
+using mosspath::simulation::CompoundFault;
+using mosspath::simulation::CompoundFaultName;
 using mosspath::simulation::CompoundFaultScenario;
 using mosspath::simulation::Fault;
+using mosspath::simulation::Figure;
+using mosspath::simulation::kCompoundFaultKinds;
 using mosspath::simulation::Outcome;
 using mosspath::simulation::OverloadScenario;
 
-// What is simulated.
-struct Matter {
+// The first figures tell the days apart; they are not summed up.
+constexpr size_t kIdentifyingFigures = 3;
+constexpr int kMostSeeds = 1'000'000;
+constexpr int kMostJobs = 256;
+
+struct Options {
+  uint64_t seeds = 20;
+  uint64_t first_seed = 1;
+  unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
+  std::string csv;
+  bool lease_shards = false;
+  bool decisions = false;
+  bool log = false;
+};
+
+// How to play the days of one kind.
+struct Scenario {
   std::function<std::vector<Fault>(uint64_t seed)> faults;
   std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> play;
 };
 
 template <typename Day>
-Matter Of(bool blocks) {
+Scenario ScenarioOf(const Options& options) {
   return {[](uint64_t seed) { return Day::Faults(seed); },
-          [blocks](uint64_t seed, const std::vector<Fault>& faults) {
-            return Day(seed, faults, blocks).Run();
+          [lease_shards = options.lease_shards](uint64_t seed, const std::vector<Fault>& faults) {
+            return Day(seed, faults, lease_shards).Run();
           }};
 }
 
-// No event of what is left can be left out without the breach going away.
-std::vector<Fault> Shorten(const Matter& matter, uint64_t seed, std::vector<Fault> faults) {
+// Leaves faults out as long as the day is still broken; each of those that are left is needed.
+std::vector<Fault> Shorten(const Scenario& scenario, uint64_t seed, std::vector<Fault> faults) {
   for (size_t i = 0; i < faults.size();) {
     std::vector<Fault> fewer = faults;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
-    if (matter.play(seed, fewer).breaches.empty()) {
+    if (scenario.play(seed, fewer).breaches.empty()) {
       ++i;
     } else {
       faults = std::move(fewer);
@@ -50,13 +72,36 @@
   return faults;
 }
 
-struct Totals {
-  std::mutex mutex;
-  size_t broken = 0;
-  std::vector<Outcome> outcomes;  // in the order of the seeds
-};
+void PrintBroken(uint64_t seed, const Outcome& outcome, const std::vector<Fault>& faults) {
+  std::cout << "broken seed " << seed << '\n';
+  for (const auto& breach : outcome.breaches) std::cout << "  " << breach << '\n';
+  for (const Fault& fault : faults) std::cout << "  with " << ToText(fault) << '\n';
+}
+
+// Plays all days and prints the broken ones as they end. Returns the outcomes in the order of the
+// seeds.
+std::vector<Outcome> PlayDays(const Scenario& scenario, const Options& options) {
+  std::vector<Outcome> outcomes(options.seeds);
+  std::atomic<uint64_t> next{0};
+  std::mutex printing;
+  const auto work = [&] {
+    for (uint64_t i = next++; i < options.seeds; i = next++) {
+      const uint64_t seed = options.first_seed + i;
+      const std::vector<Fault> faults = scenario.faults(seed);
+      outcomes[i] = scenario.play(seed, faults);
+      if (outcomes[i].breaches.empty()) continue;
+      const std::vector<Fault> needed = Shorten(scenario, seed, faults);
+      const std::lock_guard lock(printing);
+      PrintBroken(seed, outcomes[i], needed);
+    }
+  };
+  std::vector<std::thread> threads;
+  for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(work);
+  for (auto& thread : threads) thread.join();
+  return outcomes;
+}
 
-// Prints what the controllers decided on each day, as one number: the same as long as every
+// Prints what the controllers decided on each day as one number, which is the same as long as every
 // decision is.
 void PrintDecisions(uint64_t first_seed, const std::vector<Outcome>& outcomes) {
   for (size_t i = 0; i < outcomes.size(); ++i) {
@@ -64,28 +109,77 @@
   }
 }
 
-// Prints how often each meeting came about; false if one was played and never did.
-bool AllMet(const std::vector<Outcome>& outcomes) {
-  bool met = true;
-  for (size_t m = 0; m < static_cast<size_t>(CompoundFaultScenario::CompoundFault::kMeetings);
-       ++m) {
+// Without a path nothing is written.
+void WriteCsv(const std::string& path, const std::vector<Outcome>& outcomes) {
+  if (path.empty()) return;
+  std::ofstream file(path);
+  const auto& columns = outcomes.front().figures;
+  for (size_t i = 0; i < columns.size(); ++i) file << (i > 0 ? "," : "") << columns[i].name;
+  for (const auto& outcome : outcomes) {
+    for (size_t i = 0; i < outcome.figures.size(); ++i) {
+      file << (i > 0 ? "," : "\n") << outcome.figures[i].value;
+    }
+  }
+  file << '\n';
+}
+
+// Prints the least, mean and most of each figure.
+void PrintSummary(const std::vector<Outcome>& outcomes, size_t broken) {
+  std::cout << "days " << outcomes.size() << "\nbroken " << broken << '\n';
+  const auto& columns = outcomes.front().figures;
+  for (size_t i = kIdentifyingFigures; i < columns.size(); ++i) {
+    double least = columns[i].value;
+    double most = columns[i].value;
+    double sum = 0;
+    for (const auto& outcome : outcomes) {
+      const double value = outcome.figures[i].value;
+      least = std::min(least, value);
+      most = std::max(most, value);
+      sum += value;
+    }
+    const std::string& name = columns[i].name;
+    std::cout << name << "_least " << least << '\n'
+              << name << "_mean " << sum / static_cast<double>(outcomes.size()) << '\n'
+              << name << "_most " << most << '\n';
+  }
+}
+
+double FigureOf(const Outcome& outcome, const std::string& name) {
+  const auto found = std::find_if(outcome.figures.begin(), outcome.figures.end(),
+                                  [&](const Figure& figure) { return figure.name == name; });
+  return found == outcome.figures.end() ? 0 : found->value;
+}
+
+// Prints how often each compound fault came about; false if one was played and never did.
+bool PrintCompoundFaults(const std::vector<Outcome>& outcomes) {
+  bool all_came_about = true;
+  for (uint64_t kind = 0; kind < kCompoundFaultKinds; ++kind) {
     size_t days = 0;
     size_t reached = 0;
     double times = 0;
-    for (const auto& o : outcomes) {
-      const auto meeting = o.figures.end() - 2;  // and then how often
-      if (meeting->second != static_cast<double>(m)) continue;
+    for (const auto& outcome : outcomes) {
+      if (FigureOf(outcome, "meeting") != static_cast<double>(kind)) continue;
+      const double occurrences = FigureOf(outcome, "reached");
       ++days;
-      reached += o.figures.back().second > 0 ? 1 : 0;
-      times += o.figures.back().second;
+      reached += occurrences > 0 ? 1 : 0;
+      times += occurrences;
     }
     if (days == 0) continue;
-    std::cout << "meeting "
-              << CompoundFaultScenario::Name(static_cast<CompoundFaultScenario::CompoundFault>(m))
-              << " days " << days << " reached " << reached << " times " << times << '\n';
-    met = met && reached > 0;
+    std::cout << "meeting " << CompoundFaultName(static_cast<CompoundFault>(kind)) << " days "
+              << days << " reached " << reached << " times " << times << '\n';
+    all_came_about = all_came_about && reached > 0;
   }
-  return met;
+  return all_came_about;
+}
+
+void AddOptions(CLI::App& scenario, Options& options) {
+  scenario.add_option("--seeds", options.seeds, "days to play")->check(CLI::Range(1, kMostSeeds));
+  scenario.add_option("--first-seed", options.first_seed, "of the first day");
+  scenario.add_option("--jobs", options.jobs, "days at once")->check(CLI::Range(1, kMostJobs));
+  scenario.add_option("--csv", options.csv, "writes each day's figures there");
+  scenario.add_flag("--blocks", options.lease_shards, "controllers hold blocks");
+  scenario.add_flag("--decisions", options.decisions, "prints each day's decisions as one number");
+  scenario.add_flag("--log", options.log, "prints what the controllers log; for one day");
 }
 
 }  // namespace
@@ -93,82 +187,25 @@
 int main(int argc, char** argv) {
   CLI::App app{"Rehearses failures of several controllers in simulated time."};
   app.require_subcommand(1);
-  uint64_t seeds = 20;
-  uint64_t first = 1;
-  unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
-  std::string csv;
+  Options options;
   auto* overload = app.add_subcommand("overload", "Floods beside what others ask for");
-  bool blocks = false;
-  bool log = false;
-  bool decisions = false;
-  auto* addition =
+  auto* availability =
       app.add_subcommand("addition", "Troubles of every kind: who is forgotten, starved, late");
-  auto* meetings = app.add_subcommand("meetings", "Two or three troubles that meet");
-  for (auto* what : {overload, addition, meetings}) {
-    what->add_option("--seeds", seeds, "days to play")->check(CLI::Range(1, 1'000'000));
-    what->add_option("--first-seed", first, "of the first day");
-    what->add_option("--jobs", jobs, "days at once")->check(CLI::Range(1, 256));
-    what->add_option("--csv", csv, "writes each day's figures there");
-    what->add_flag("--blocks", blocks, "controllers hold blocks");
-    what->add_flag("--decisions", decisions, "prints each day's decisions as one number");
-    what->add_flag("--log", log, "prints what the controllers log; for one day");
-  }
+  auto* compound = app.add_subcommand("meetings", "Two or three troubles that meet");
+  for (auto* scenario : {overload, availability, compound}) AddOptions(*scenario, options);
   CLI11_PARSE(app, argc, argv);
-  const Matter matter = addition->parsed()   ? Of<AvailabilityScenario>(blocks)
-                        : meetings->parsed() ? Of<CompoundFaultScenario>(blocks)
-                                             : Of<OverloadScenario>(blocks);
-  spdlog::set_level(log ? spdlog::level::debug : spdlog::level::off);
+  const Scenario scenario = availability->parsed() ? ScenarioOf<AvailabilityScenario>(options)
+                            : compound->parsed()   ? ScenarioOf<CompoundFaultScenario>(options)
+                                                   : ScenarioOf<OverloadScenario>(options);
+  spdlog::set_level(options.log ? spdlog::level::debug : spdlog::level::off);
 
-  Totals totals;
-  totals.outcomes.resize(seeds);
-  std::atomic<uint64_t> next{0};
-  const auto work = [&] {
-    for (uint64_t i = next++; i < seeds; i = next++) {
-      const uint64_t seed = first + i;
-      const std::vector<Fault> faults = matter.faults(seed);
-      Outcome outcome = matter.play(seed, faults);
-      std::vector<Fault> least;
-      if (!outcome.breaches.empty()) least = Shorten(matter, seed, faults);
-      const std::lock_guard lock(totals.mutex);
-      if (!outcome.breaches.empty()) {
-        ++totals.broken;
-        std::cout << "broken seed " << seed << '\n';
-        for (const auto& b : outcome.breaches) std::cout << "  " << b << '\n';
-        for (const Fault& f : least) std::cout << "  with " << ToText(f) << '\n';
-      }
-      totals.outcomes[i] = std::move(outcome);
-    }
-  };
-  std::vector<std::thread> threads;
-  for (unsigned i = 0; i < jobs; ++i) threads.emplace_back(work);
-  for (auto& t : threads) t.join();
-
-  if (decisions) PrintDecisions(first, totals.outcomes);
-  std::ofstream file;
-  if (!csv.empty()) file.open(csv);
-  for (size_t i = 0; i < totals.outcomes.size(); ++i) {
-    const auto& figures = totals.outcomes[i].figures;
-    for (size_t k = 0; i == 0 && k < figures.size(); ++k) {
-      file << (k > 0 ? "," : "") << figures[k].first;
-    }
-    for (size_t k = 0; k < figures.size(); ++k) file << (k > 0 ? "," : "\n") << figures[k].second;
-  }
-  file << '\n';
-  std::cout << "days " << totals.outcomes.size() << "\nbroken " << totals.broken << '\n';
-  for (size_t k = 3; k < totals.outcomes.front().figures.size(); ++k) {
-    double least = 1e18;
-    double most = -1e18;
-    double sum = 0;
-    for (const auto& o : totals.outcomes) {
-      least = std::min(least, o.figures[k].second);
-      most = std::max(most, o.figures[k].second);
-      sum += o.figures[k].second;
-    }
-    const std::string& name = totals.outcomes.front().figures[k].first;
-    std::cout << name << "_least " << least << '\n'
-              << name << "_mean " << sum / static_cast<double>(totals.outcomes.size()) << '\n'
-              << name << "_most " << most << '\n';
-  }
-  const bool met = !meetings->parsed() || AllMet(totals.outcomes);
-  return totals.broken == 0 && met ? 0 : 1;
+  const std::vector<Outcome> outcomes = PlayDays(scenario, options);
+  if (options.decisions) PrintDecisions(options.first_seed, outcomes);
+  WriteCsv(options.csv, outcomes);
+  const auto broken = static_cast<size_t>(
+      std::count_if(outcomes.begin(), outcomes.end(),
+                    [](const Outcome& outcome) { return !outcome.breaches.empty(); }));
+  PrintSummary(outcomes, broken);
+  const bool all_came_about = !compound->parsed() || PrintCompoundFaults(outcomes);
+  return broken == 0 && all_came_about ? 0 : 1;
 }
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -6,219 +6,287 @@
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/stats.hpp>
 #include <boost/accumulators/statistics/tail_quantile.hpp>
+#include <utility>
 
 namespace mosspath::simulation {
 namespace {
 
 constexpr double kFloodFrom = 10;
 constexpr double kFloodTo = 90;
-constexpr double kEnd = 420;
+constexpr double kSubmissionsUntil = 100;  // of the other teams
+constexpr double kEndOfDay = 420;
 constexpr size_t kMachines = 40;
-const std::string kDesk = "desk";    // whose work is the deployment's
-const std::string kGuest = "guest";  // who floods
-const std::string kSmall = "small";  // within its means, beside them
+constexpr int kManyTeams = 200;
+constexpr double kSharesTolerance = 1e-9;
+const std::string kRegularTeam = "desk";  // whose work the deployment is for
+const std::string kFloodTeam = "guest";
+const std::string kSmallTeam = "small";  // asks for little, beside them
 
-double Quantile(const std::vector<double>& values, double q) {
+double Quantile(const std::vector<double>& values, double probability) {
   namespace acc = boost::accumulators;
   if (values.empty()) return 0;
   using Tail = acc::stats<acc::tag::tail_quantile<acc::right>>;
   acc::accumulator_set<double, Tail> set(acc::tag::tail<acc::right>::cache_size = values.size());
-  for (const double v : values) set(v);
-  return acc::quantile(set, acc::quantile_probability = q);
+  for (const double value : values) set(value);
+  return acc::quantile(set, acc::quantile_probability = probability);
+}
+
+std::string NameOfTeam(int number) { return fmt::format("team-{}", number); }
+
+OverloadScenario::Shape ShapeOf(uint64_t seed) {
+  constexpr auto kShapes = static_cast<uint64_t>(OverloadScenario::Shape::kShapes);
+  return static_cast<OverloadScenario::Shape>(seed % kShapes);
+}
+
+size_t ControllersFor(uint64_t seed) {
+  return 3 + seed / static_cast<uint64_t>(OverloadScenario::Shape::kShapes) % 5;
 }
 
 }  // namespace
 
-config::Settings OverloadScenario::Of(uint64_t seed, bool blocks) {
-  config::Settings s = SmallSettings();
-  s.lease_shards = blocks;
-  s.teams = {{kDesk, 0, 0, 0, 0}, {kGuest, 0, 0, 0, 0}, {kSmall, 0, 0, 0, 0}};
-  if (static_cast<Shape>(seed % static_cast<uint64_t>(Shape::kShapes)) == Shape::kManyTeams) {
-    for (int i = 0; i < 200; ++i) s.teams.push_back({fmt::format("team-{}", i), 0, 0, 0, 0});
+config::Settings OverloadScenario::SettingsFor(uint64_t seed, bool lease_shards) {
+  config::Settings settings = SmallSettings();
+  settings.lease_shards = lease_shards;
+  settings.teams = {{kRegularTeam, 0, 0, 0, 0}, {kFloodTeam, 0, 0, 0, 0}, {kSmallTeam, 0, 0, 0, 0}};
+  if (ShapeOf(seed) == Shape::kManyTeams) {
+    for (int i = 0; i < kManyTeams; ++i) settings.teams.push_back({NameOfTeam(i), 0, 0, 0, 0});
   }
-  s.objectives = {{"wait", "urgent", 10, 0.9, 1}, {"finished", "nightly", 120, 0.9, 1}};
-  s.memory_mb = 0.3;  // 6,000 tasks
-  return s;
+  settings.objectives = {{"wait", "urgent", 10, 0.9, 1}, {"finished", "nightly", 120, 0.9, 1}};
+  settings.memory_mb = 0.3;  // 6,000 tasks
+  return settings;
 }
 
-OverloadScenario::OverloadScenario(uint64_t seed, const std::vector<Fault>& faults, bool blocks)
-    : SimulatedCluster(Of(seed, blocks), {SmallType()},
-                       3 + seed / static_cast<uint64_t>(Shape::kShapes) % 5, seed),
+OverloadScenario::OverloadScenario(uint64_t seed, const std::vector<Fault>& faults,
+                                   bool lease_shards)
+    : SimulatedCluster(SettingsFor(seed, lease_shards), {SmallType()}, ControllersFor(seed), seed),
       seed_(seed),
-      shape_(static_cast<Shape>(seed % static_cast<uint64_t>(Shape::kShapes))),
+      shape_(ShapeOf(seed)),
       users_(*this) {
+  AddMachines();
+  if (shape_ == Shape::kFewWrites) {
+    for (auto& controller : controllers) controller->SetAcceptanceRate(1);
+  }
+  AddRegularUsers();
+  AddFlood();
+  AdjustFloodingUsers();
+  users_.pinned = [this](const SimulatedUser& user) {
+    return shape_ == Shape::kOneController && user.spec.team == kFloodTeam;
+  };
+  users_.Begin();
+  ScheduleFaults(faults);
+}
+
+// ---------------------------------------------------------------------------- the day
+
+void OverloadScenario::AddMachines() {
   world.capacity = kMachines;
-  for (size_t i = 0; i < kMachines; ++i)
+  for (size_t i = 0; i < kMachines; ++i) {
     world.AddMachine("box", i % 2 == 0 ? "east" : "west", false);
-  if (shape_ == Shape::kFewChanges) {
-    for (auto& c : controllers) c->ChangesASecond(1);
   }
-  capacity_ = kEnd * static_cast<double>(kMachines) * SmallType().cpus;
-  Stream({kDesk, "urgent"}, wire::Priority::kHigh, 30, 20, 4, 1, 100);
-  Stream({kDesk, "nightly"}, wire::Priority::kNormal, 40, 60, 8, 1, 100);
-  Stream({kDesk, "refill"}, wire::Priority::kLow, 12, 30, 10, 1, 100);
-  Stream({kSmall, "odd"}, wire::Priority::kLow, 40, 5, 5, 5, 100);
-  const Group flood{kGuest, "flood"};
+  capacity_cpu_s_ = kEndOfDay * static_cast<double>(kMachines) * SmallType().cpus;
+}
+
+void OverloadScenario::AddRegularUsers() {
+  const double until = kSubmissionsUntil;
+  AddUsers({{kRegularTeam, "urgent"}, wire::Priority::kHigh, 30, 20, 4, 1, until});
+  AddUsers({{kRegularTeam, "nightly"}, wire::Priority::kNormal, 40, 60, 8, 1, until});
+  AddUsers({{kRegularTeam, "refill"}, wire::Priority::kLow, 12, 30, 10, 1, until});
+  AddUsers({{kSmallTeam, "odd"}, wire::Priority::kLow, 40, 5, 5, 5, until});
+}
+
+void OverloadScenario::AddFlood() {
+  const Group flood{kFloodTeam, "flood"};
+  const auto low = wire::Priority::kLow;
+  const auto normal = wire::Priority::kNormal;
   switch (shape_) {
     case Shape::kTinyJobs:
-      Stream(flood, wire::Priority::kLow, 500, 1, 5, kFloodFrom, kFloodTo);
-      Stream({kGuest, "huge"}, wire::Priority::kLow, 3, 2000, 2, kFloodFrom, kFloodTo);
+      AddUsers({flood, low, 500, 1, 5, kFloodFrom, kFloodTo});
+      AddUsers({{kFloodTeam, "huge"}, low, 3, 2000, 2, kFloodFrom, kFloodTo});
       break;
     case Shape::kManyTeams:
-      Stream(flood, wire::Priority::kLow, 60, 150, 5, kFloodFrom, kFloodTo);
-      for (int i = 0; i < 200; ++i) {
-        Stream({fmt::format("team-{}", i), "little"}, wire::Priority::kLow, 1, 4, 5, 5, 100);
+      AddUsers({flood, low, 60, 150, 5, kFloodFrom, kFloodTo});
+      for (int i = 0; i < kManyTeams; ++i) {
+        AddUsers({{NameOfTeam(i), "little"}, low, 1, 4, 5, 5, kSubmissionsUntil});
       }
       break;
     case Shape::kServices:
-      Stream(flood, wire::Priority::kNormal, 60, 150, 5, kFloodFrom, kFloodTo);
-      for (size_t i = 0; i < 3; ++i)
-        Stream({kGuest, "service"}, wire::Priority::kLow, 1, 40, 0, 5, 10);
+      AddUsers({flood, normal, 60, 150, 5, kFloodFrom, kFloodTo});
+      for (int i = 0; i < 3; ++i) AddUsers({{kFloodTeam, "service"}, low, 1, 40, 0, 5, 10});
+      break;
+    case Shape::kFaultyJobs:
+      AddUsers({flood, low, 60, 150, 5, kFloodFrom, kFloodTo});
       break;
     default:
-      Stream(flood, shape_ == Shape::kMistakes ? wire::Priority::kLow : wire::Priority::kNormal, 60,
-             150, 5, kFloodFrom, kFloodTo);
+      AddUsers({flood, normal, 60, 150, 5, kFloodFrom, kFloodTo});
       break;
   }
+}
+
+void OverloadScenario::AddUsers(const JobStream& stream) {
+  const bool service = stream.run_s <= 0;
+  for (size_t i = 0; i < stream.jobs; ++i) {
+    SimulatedUser user;
+    wire::JobSpec& spec = user.spec;
+    spec.id = fmt::format("req-{:06}", users_.all().size());
+    spec.team = stream.group.team;
+    spec.job_class = stream.group.job_class;
+    spec.kind = service ? wire::JobKind::kService : wire::JobKind::kArray;
+    spec.priority = stream.priority;
+    spec.tasks = stream.tasks;
+    spec.cpus = 1;
+    spec.memory_gb = 1;
+    spec.spot_allowed = true;
+    spec.image = "img-" + stream.group.job_class;
+    spec.image_gb = 0.5;
+    spec.estimated_run_s = stream.run_s;
+    user.submits_at = world.random.Uniform(stream.from, stream.to);
+    user.polls = spec.team != kFloodTeam;
+    Demand& demand = demand_by_team_[spec.team];
+    demand.tasks += stream.tasks;
+    demand.cpu_s += stream.tasks * (service ? kEndOfDay : stream.run_s);
+    users_.Add(std::move(user));
+  }
+}
+
+void OverloadScenario::AdjustFloodingUsers() {
   for (size_t i = 0; i < users_.all().size(); ++i) {
-    SimulatedUser& u = users_.all()[i];
-    if (shape_ == Shape::kFloodsAndCancels && u.spec.team == kGuest && i % 2 == 0) {
-      u.cancels_after = world.random.Uniform(1, 10);
-    }
-    if (shape_ == Shape::kMistakes && u.spec.team == kGuest && i % 3 == 0) {
-      world.faulty_jobs.insert(u.spec.id);
+    SimulatedUser& user = users_.all()[i];
+    if (user.spec.team != kFloodTeam) continue;
+    if (shape_ == Shape::kFloodsAndCancels && i % 2 == 0) {
+      user.cancels_after_s = world.random.Uniform(1, 10);
     }
+    if (shape_ == Shape::kFaultyJobs && i % 3 == 0) world.faulty_jobs.insert(user.spec.id);
   }
-  // The balancer sends the guest there.
-  users_.pinned = [this](const SimulatedUser& u) {
-    return shape_ == Shape::kOneController && u.spec.team == kGuest;
-  };
-  users_.Begin();
-  Plan(faults);
-}
-
-void OverloadScenario::Stream(const Group& group, wire::Priority rank, size_t jobs, uint32_t tasks,
-                              double run_s, double from, double to) {
-  for (size_t i = 0; i < jobs; ++i) {
-    SimulatedUser u;
-    wire::JobSpec& s = u.spec;
-    s.id = fmt::format("req-{:06}", users_.all().size());
-    s.team = group.first;
-    s.job_class = group.second;
-    s.kind = run_s > 0 ? wire::JobKind::kArray : wire::JobKind::kService;
-    s.priority = rank;
-    s.tasks = tasks;
-    s.cpus = 1;
-    s.memory_gb = 1;
-    s.spot_allowed = true;
-    s.image = "img-" + group.second;
-    s.image_gb = 0.5;
-    s.estimated_run_s = run_s;
-    u.asked = world.random.Uniform(from, to);
-    u.polls = s.team != kGuest;
-    tasks_[s.team] += tasks;
-    cpu_s_[s.team] += tasks * (run_s > 0 ? run_s : kEnd);
-    users_.Add(std::move(u));
+}
+
+double OverloadScenario::LiveTasks() {
+  const std::string prefix = "job/";
+  double tasks = 0;
+  const auto& entries = world.store.entries();
+  for (auto entry = entries.lower_bound(prefix);
+       entry != entries.end() && entry->first.starts_with(prefix); ++entry) {
+    tasks += world.specs[entry->first.substr(prefix.size())].tasks;
   }
+  return tasks;
 }
 
 void OverloadScenario::Check() {
   SimulatedCluster::Check();
-  double live = 0;
-  const auto& pairs = world.store.entries();
-  for (auto it = pairs.lower_bound("job/"); it != pairs.end() && it->first.starts_with("job/");
-       ++it) {
-    live += world.specs[it->first.substr(4)].tasks;
+  most_live_tasks_ = std::max(most_live_tasks_, LiveTasks());
+  double shares = 0;
+  for (const auto& controller : controllers) {
+    shares += controller->up() ? controller->budget_share() : 0;
   }
-  most_live_ = std::max(most_live_, live);
-  double parts = 0;
-  for (const auto& c : controllers) parts += c->up() ? c->part() : 0;
-  if (parts > admission::kPlannedFraction + 1e-9) {
-    breaches_.push_back(fmt::format("plan: all may fill {:.4f} of the room", parts));
+  if (shares > admission::kPlannedFraction + kSharesTolerance) {
+    breaches_.push_back(fmt::format("plan: all may fill {:.4f} of the room", shares));
   }
 }
 
+// ---------------------------------------------------------------------------- its result
+
 Outcome OverloadScenario::Run() {
-  world.clock.RunUntil(kEnd);
-  Outcome out;
-  out.breaches = world.rule_checker.breaches();
-  out.decisions = world.decisions.number();
-  out.breaches.insert(out.breaches.end(), breaches_.begin(), breaches_.end());
+  world.clock.RunUntil(kEndOfDay);
   const double budget = controllers.front()->budget();
-  // What is under way counts against what is seen free, so views that lag cost half at the most.
-  if (most_live_ > budget * (1 + admission::kPlannedFraction)) {
-    out.breaches.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_, budget));
-  }
-  struct Served {
-    size_t asked = 0, accepted = 0, done = 0, gave_up = 0;
-    std::vector<double> took;
-  };
-  std::map<Group, Served> groups;
-  for (const SimulatedUser& u : users_.all()) {
-    if (u.cancels_after > 0 || world.faulty_jobs.contains(u.spec.id)) continue;
-    Served& g = groups[{u.spec.team, u.spec.job_class}];
-    ++g.asked;
-    g.gave_up += u.gave_up ? 1 : 0;
-    const bool service = u.spec.kind == wire::JobKind::kService;
-    if (u.accepted > 0) {
-      ++g.accepted;
-      g.took.push_back(u.accepted - u.asked);
+  CheckBudget(budget);
+  const Services services = MeasureServices();
+  const Totals totals = CheckServices(services, budget);
+  Outcome outcome;
+  outcome.breaches = world.rule_checker.breaches();
+  outcome.breaches.insert(outcome.breaches.end(), breaches_.begin(), breaches_.end());
+  outcome.figures = MakeFigures(services, totals, budget);
+  outcome.decisions = world.decisions.number();
+  return outcome;
+}
+
+// What is under way counts against what is seen free, so views that lag cost half at the most.
+void OverloadScenario::CheckBudget(double budget) {
+  if (most_live_tasks_ <= budget * (1 + admission::kPlannedFraction)) return;
+  breaches_.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_tasks_, budget));
+}
+
+OverloadScenario::Services OverloadScenario::MeasureServices() const {
+  Services services;
+  for (const SimulatedUser& user : users_.all()) {
+    const wire::JobSpec& spec = user.spec;
+    if (user.cancels_after_s || world.faulty_jobs.contains(spec.id)) continue;
+    Service& service = services[{spec.team, spec.job_class}];
+    ++service.submitted;
+    service.gave_up += user.gave_up ? 1 : 0;
+    if (user.accepted_at) {
+      ++service.accepted;
+      service.accepted_after_s.push_back(*user.accepted_at - user.submits_at);
     }
-    if (service ? u.accepted > 0 : world.rule_checker.IsDone(u.spec.id)) ++g.done;
+    const bool done = spec.kind == wire::JobKind::kService ? user.accepted_at.has_value()
+                                                           : world.rule_checker.IsDone(spec.id);
+    service.done += done ? 1 : 0;
   }
-  double all = 0;
-  for (const auto& [team, cpu_s] : cpu_s_) all += cpu_s;
-  double least = 1;
-  double flood = 1;
-  std::vector<double> within;
-  size_t gave_up_within = 0;
-  for (const auto& [group, g] : groups) {
-    const double share = static_cast<double>(g.done) / static_cast<double>(g.asked);
-    const bool floods = group.first == kGuest;
-    // A flood is beyond what the budget and all machines can take for as long as its users retry:
-    // of it, what was accepted counts.
-    const double served =
-        floods ? static_cast<double>(g.done) / static_cast<double>(std::max<size_t>(1, g.accepted))
-               : share;
-    if (served < 0.5 && all < capacity_ / 2 && (g.accepted > 0 || !floods)) {
-      out.breaches.push_back(fmt::format("starved: {} of {}: {} of {} jobs done, {} accepted",
-                                         group.second, group.first, g.done, g.asked, g.accepted));
-    }
-    if (floods) {
-      flood = std::min(flood, share);
+  return services;
+}
+
+OverloadScenario::Totals OverloadScenario::CheckServices(const Services& services, double budget) {
+  Totals totals;
+  // A team is within its means if all it asks for fits into what every team can have when all press
+  // at once.
+  const double means = budget / static_cast<double>(1 + demand_by_team_.size());
+  for (const auto& [group, service] : services) {
+    CheckStarvation(group, service);
+    const double share = static_cast<double>(service.done) / static_cast<double>(service.submitted);
+    if (group.team == kFloodTeam) {
+      totals.flood_served = std::min(totals.flood_served, share);
       continue;
     }
-    least = std::min(least, share);
-    // Within its means: all it asks for fits into what every team can have when all press at once.
-    const double means = budget / static_cast<double>(1 + cpu_s_.size());
-    if (tasks_[group.first] > means) continue;
-    gave_up_within += g.gave_up;
-    within.insert(within.end(), g.took.begin(), g.took.end());
-    if (g.gave_up > 0) {
-      out.breaches.push_back(fmt::format("refused within its means: {} of {}: {} users gave up",
-                                         group.second, group.first, g.gave_up));
-    }
+    totals.least_served = std::min(totals.least_served, share);
+    if (demand_by_team_[group.team].tasks > means) continue;
+    totals.gave_up_within_means += service.gave_up;
+    totals.accepted_within_means_after_s.insert(totals.accepted_within_means_after_s.end(),
+                                                service.accepted_after_s.begin(),
+                                                service.accepted_after_s.end());
+    if (service.gave_up == 0) continue;
+    breaches_.push_back(fmt::format("refused within its means: {} of {}: {} users gave up",
+                                    group.job_class, group.team, service.gave_up));
   }
-  std::vector<double> all_took;
+  return totals;
+}
+
+// A flood is beyond what the budget and all machines can take for as long as its users retry: of
+// it, what was accepted counts.
+void OverloadScenario::CheckStarvation(const Group& group, const Service& service) {
+  const bool floods = group.team == kFloodTeam;
+  if (floods && service.accepted == 0) return;
+  double demanded_cpu_s = 0;
+  for (const auto& [team, demand] : demand_by_team_) demanded_cpu_s += demand.cpu_s;
+  if (demanded_cpu_s >= capacity_cpu_s_ / 2) return;
+  const size_t of = floods ? service.accepted : service.submitted;
+  if (static_cast<double>(service.done) / static_cast<double>(of) >= 0.5) return;
+  breaches_.push_back(fmt::format("starved: {} of {}: {} of {} jobs done, {} accepted",
+                                  group.job_class, group.team, service.done, service.submitted,
+                                  service.accepted));
+}
+
+std::vector<Figure> OverloadScenario::MakeFigures(const Services& services, const Totals& totals,
+                                                  double budget) const {
   size_t refused = 0;
-  for (const auto& c : controllers) refused += c->refused();
-  for (const auto& [group, g] : groups) {
-    if (group.first != kGuest) all_took.insert(all_took.end(), g.took.begin(), g.took.end());
+  for (const auto& controller : controllers) refused += controller->refused();
+  std::vector<double> accepted_after_s;
+  for (const auto& [group, service] : services) {
+    if (group.team == kFloodTeam) continue;
+    accepted_after_s.insert(accepted_after_s.end(), service.accepted_after_s.begin(),
+                            service.accepted_after_s.end());
   }
-  out.figures = {{"seed", static_cast<double>(seed_)},
-                 {"shape", static_cast<double>(shape_)},
-                 {"controllers", static_cast<double>(controllers.size())},
-                 {"starts", static_cast<double>(world.rule_checker.starts())},
-                 {"least_served", least},
-                 {"flood_served", flood},
-                 {"most_live_of_budget", most_live_ / budget},
-                 {"refused", static_cast<double>(refused)},
-                 {"gave_up_within_means", static_cast<double>(gave_up_within)},
-                 {"accepted_p50_s", Quantile(all_took, 0.5)},
-                 {"accepted_p99_s", Quantile(all_took, 0.99)},
-                 {"accepted_within_means_p50_s", Quantile(within, 0.5)},
-                 {"accepted_within_means_p99_s", Quantile(within, 0.99)}};
-  return out;
+  const auto& within_means = totals.accepted_within_means_after_s;
+  return {{"seed", static_cast<double>(seed_)},
+          {"shape", static_cast<double>(shape_)},
+          {"controllers", static_cast<double>(controllers.size())},
+          {"starts", static_cast<double>(world.rule_checker.starts())},
+          {"least_served", totals.least_served},
+          {"flood_served", totals.flood_served},
+          {"most_live_of_budget", most_live_tasks_ / budget},
+          {"refused", static_cast<double>(refused)},
+          {"gave_up_within_means", static_cast<double>(totals.gave_up_within_means)},
+          {"accepted_p50_s", Quantile(accepted_after_s, 0.5)},
+          {"accepted_p99_s", Quantile(accepted_after_s, 0.99)},
+          {"accepted_within_means_p50_s", Quantile(within_means, 0.5)},
+          {"accepted_within_means_p99_s", Quantile(within_means, 0.99)}};
 }
 
 }  // namespace mosspath::simulation
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -7,145 +7,167 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kGiveUpS = 60;       // after the first attempt to submit
-constexpr double kSubmitWaitS = 5;    // for an answer
-constexpr double kAskWaitS = 2;       // for an answer about a job
-constexpr double kPollS = 5;          // between two questions
-constexpr size_t kBalancerTries = 3;  // nodes, one after the other
+constexpr double kGiveUpAfterS = 60;   // since the first attempt to submit
+constexpr double kAnswerTimeoutS = 5;  // of submissions and cancellations
+constexpr double kStatusTimeoutS = 2;
+constexpr double kRetryAfterS = 1;  // and at least that, whatever the answer says
+constexpr double kPollIntervalS = 5;
+constexpr double kPollSpread = 0.1;  // of the interval, to both sides
+constexpr size_t kBalancerTries = 3;
+
+bool IsAccepted(int http_status) { return http_status == 200 || http_status == 201; }
+
+bool IsRefusedForGood(int http_status) { return http_status == 400 || http_status == 422; }
 
 }  // namespace
 
 SimulatedUser& SimulatedUsers::Add(SimulatedUser user) {
-  user.node = world_.random.Below(cluster_.controllers.size());
+  user.balancer_position = world_.random.Below(cluster_.controllers.size());
   return users_.emplace_back(std::move(user));
 }
 
 void SimulatedUsers::Begin() {
   for (size_t i = 0; i < users_.size(); ++i) {
-    world_.clock.At(users_[i].asked, [this, i] { Submit(i); });
+    world_.clock.At(users_[i].submits_at, [this, i] { Submit(i); });
   }
 }
 
-SimulatedController* SimulatedUsers::Balance(SimulatedUser& user) {
-  if (pinned(user)) {
-    SimulatedController& first = *cluster_.controllers.front();
-    return first.up() ? &first : nullptr;
-  }
+SimulatedController* SimulatedUsers::Connect(SimulatedUser& user) {
+  const auto& controllers = cluster_.controllers;
+  if (pinned(user)) return controllers.front()->up() ? controllers.front().get() : nullptr;
   for (size_t tries = 0; tries < kBalancerTries; ++tries) {
-    SimulatedController& c = *cluster_.controllers[++user.node % cluster_.controllers.size()];
-    if (c.up()) return &c;
+    SimulatedController& next = *controllers[++user.balancer_position % controllers.size()];
+    if (next.up()) return &next;
   }
   return nullptr;
 }
 
-void SimulatedUsers::Again(size_t i, double after) {
-  SimulatedUser& u = users_[i];
-  if (world_.clock.now() + after - u.asked > kGiveUpS) {
-    u.gave_up = true;
+// ---------------------------------------------------------------------------- submissions
+
+void SimulatedUsers::RetrySubmit(size_t user, double after_s) {
+  if (world_.clock.now() + after_s - users_[user].submits_at > kGiveUpAfterS) {
+    users_[user].gave_up = true;
     return;
   }
-  world_.clock.After(after, [this, i] { Submit(i); });
+  world_.clock.After(after_s, [this, user] { Submit(user); });
 }
 
-void SimulatedUsers::Submit(size_t i) {
-  SimulatedUser& u = users_[i];
-  SimulatedController* c = Balance(u);
-  world_.Submit(u.spec);
-  if (c == nullptr) return Again(i, 1);
+void SimulatedUsers::Submit(size_t user) {
+  SimulatedController* controller = Connect(users_[user]);
+  world_.Submit(users_[user].spec);
+  if (controller == nullptr) return RetrySubmit(user, kRetryAfterS);
   const auto answered = std::make_shared<bool>(false);
-  world_.clock.After(kSubmitWaitS, [this, i, answered] {
-    if (!std::exchange(*answered, true)) Again(i, 1);
+  world_.clock.After(kAnswerTimeoutS, [this, user, answered] {
+    if (!std::exchange(*answered, true)) RetrySubmit(user, kRetryAfterS);
   });
-  world_.network.Send("users", c->name(), [this, i, c, answered] {
-    c->OnSubmit(users_[i].spec, [this, i, answered](int status, double retry_after_s) {
-      if (std::exchange(*answered, true)) return;
-      SimulatedUser& user = users_[i];
-      if (status != 200 && status != 201) return Again(i, std::max(1.0, retry_after_s));
-      user.accepted = world_.clock.now();
-      if (user.polls) {
-        world_.rule_checker.OnAccepted(user.spec.id, user.accepted);
-        Poll(i);
-      }
-      if (user.cancels_after > 0) {
-        world_.clock.After(user.cancels_after, [this, i] { CallOff(i); });
-      }
-    });
+  const auto on_answer = [this, user, answered](int http_status, double retry_after_s) {
+    if (!std::exchange(*answered, true)) OnSubmitAnswered(user, http_status, retry_after_s);
+  };
+  world_.network.Send(kUsersHost, controller->name(), [this, user, controller, on_answer] {
+    controller->OnSubmit(users_[user].spec, on_answer);
   });
 }
 
-void SimulatedUsers::CallOff(size_t i) {
-  if (users_[i].accepted <= 0 || std::exchange(users_[i].called_off, true)) return;
-  world_.rule_checker.OnCancellationRequested(users_[i].spec.id);
-  Cancel(i);
-}
-
-size_t SimulatedUsers::CallOffSome(size_t most, double within_s,
-                                   const std::function<bool(const SimulatedUser&)>& which) {
-  size_t n = 0;
-  for (size_t i = 0; i < users_.size() && n < most; ++i) {
-    if (users_[i].accepted <= 0 || users_[i].called_off || !which(users_[i])) continue;
-    ++n;
-    world_.clock.After(world_.random.Uniform(0, within_s), [this, i] { CallOff(i); });
+void SimulatedUsers::OnSubmitAnswered(size_t index, int http_status, double retry_after_s) {
+  if (!IsAccepted(http_status)) {
+    return RetrySubmit(index, std::max(kRetryAfterS, retry_after_s));
+  }
+  SimulatedUser& user = users_[index];
+  user.accepted_at = world_.clock.now();
+  if (user.polls) {
+    world_.rule_checker.OnAccepted(user.spec.id, *user.accepted_at);
+    Poll(index);
+  }
+  if (user.cancels_after_s) {
+    world_.clock.After(*user.cancels_after_s, [this, index] { Cancel(index); });
   }
-  return n;
 }
 
-void SimulatedUsers::Repeat(size_t i) {
-  SimulatedController* c = Balance(users_[i]);
-  if (c == nullptr) return;
-  world_.network.Send("users", c->name(), [this, i, c] {
-    c->OnSubmit(users_[i].spec, [this, i](int status, double) {
-      if (status == 400 || status == 422) world_.rule_checker.OnRefused(users_[i].spec.id);
-    });
+void SimulatedUsers::SubmitAgain(size_t user) {
+  SimulatedController* controller = Connect(users_[user]);
+  if (controller == nullptr) return;
+  const auto on_answer = [this, user](int http_status, double) {
+    if (IsRefusedForGood(http_status)) world_.rule_checker.OnRefused(users_[user].spec.id);
+  };
+  world_.network.Send(kUsersHost, controller->name(), [this, user, controller, on_answer] {
+    controller->OnSubmit(users_[user].spec, on_answer);
   });
 }
 
-void SimulatedUsers::SubmitOdd(const wire::JobSpec& spec) {
+void SimulatedUsers::SubmitInvalid(const wire::JobSpec& spec) {
   SimulatedUser nobody;
-  nobody.node = world_.random.Below(cluster_.controllers.size());
-  SimulatedController* c = Balance(nobody);
+  nobody.balancer_position = world_.random.Below(cluster_.controllers.size());
+  SimulatedController* controller = Connect(nobody);
   world_.specs[spec.id] = spec;
   world_.rule_checker.OnInvalidSubmitted(spec);
-  if (c == nullptr) return;
-  world_.network.Send("users", c->name(), [this, c, spec] {
-    c->OnSubmit(spec, [this, id = spec.id](int status, double) {
-      refused_ += status == 400 || status == 422 ? 1 : 0;
-      if (status == 200 || status == 201) world_.rule_checker.OnAccepted(id, world_.clock.now());
-    });
-  });
+  if (controller == nullptr) return;
+  const auto on_answer = [this, id = spec.id](int http_status, double) {
+    invalid_refused_ += IsRefusedForGood(http_status) ? 1 : 0;
+    if (IsAccepted(http_status)) world_.rule_checker.OnAccepted(id, world_.clock.now());
+  };
+  world_.network.Send(kUsersHost, controller->name(),
+                      [controller, spec, on_answer] { controller->OnSubmit(spec, on_answer); });
 }
 
-void SimulatedUsers::Poll(size_t i) {
-  world_.clock.After(kPollS * world_.random.Uniform(0.9, 1.1), [this, i] { Poll(i); });
-  AskNow(i);
+// ---------------------------------------------------------------------------- status
+
+void SimulatedUsers::Poll(size_t user) {
+  const double spread = world_.random.Uniform(1 - kPollSpread, 1 + kPollSpread);
+  world_.clock.After(kPollIntervalS * spread, [this, user] { Poll(user); });
+  QueryStatus(user);
 }
 
-void SimulatedUsers::AskNow(size_t i) {
-  SimulatedController* c = Balance(users_[i]);
-  if (c == nullptr) return;
-  world_.network.Send("users", c->name(), [this, i, c, asked = world_.clock.now()] {
-    c->OnAsked(users_[i].spec.id, [this, i, asked](int status, wire::JobState stage) {
-      if (world_.clock.now() - asked > kAskWaitS) return;
-      world_.rule_checker.OnStatusAnswered(users_[i].spec.id, status, stage, asked,
-                                           world_.clock.now());
-    });
+void SimulatedUsers::QueryStatus(size_t user) {
+  SimulatedController* controller = Connect(users_[user]);
+  if (controller == nullptr) return;
+  const double asked_at = world_.clock.now();
+  const auto on_answer = [this, user, asked_at](int http_status, wire::JobState state) {
+    const double now = world_.clock.now();
+    if (now - asked_at > kStatusTimeoutS) return;
+    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, asked_at, now);
+  };
+  world_.network.Send(kUsersHost, controller->name(), [this, user, controller, on_answer] {
+    controller->OnStatusQuery(users_[user].spec.id, on_answer);
   });
 }
 
-void SimulatedUsers::Cancel(size_t i) {
+// ---------------------------------------------------------------------------- cancellations
+
+void SimulatedUsers::Cancel(size_t user) {
+  if (!users_[user].accepted_at || std::exchange(users_[user].cancelled, true)) return;
+  world_.rule_checker.OnCancellationRequested(users_[user].spec.id);
+  SendCancellation(user);
+}
+
+size_t SimulatedUsers::CancelSome(size_t most, double within_s,
+                                  const std::function<bool(const SimulatedUser&)>& filter) {
+  size_t count = 0;
+  for (size_t i = 0; i < users_.size() && count < most; ++i) {
+    const SimulatedUser& user = users_[i];
+    if (!user.accepted_at || user.cancelled || !filter(user)) continue;
+    ++count;
+    world_.clock.After(world_.random.Uniform(0, within_s), [this, i] { Cancel(i); });
+  }
+  return count;
+}
+
+void SimulatedUsers::SendCancellation(size_t user) {
   const auto answered = std::make_shared<bool>(false);
-  world_.clock.After(kSubmitWaitS, [this, i, answered] {
-    if (!std::exchange(*answered, true)) Cancel(i);
+  world_.clock.After(kAnswerTimeoutS, [this, user, answered] {
+    if (!std::exchange(*answered, true)) SendCancellation(user);
   });
-  SimulatedController* c = Balance(users_[i]);
-  if (c == nullptr) return;
-  world_.network.Send("users", c->name(), [this, i, c, answered, asked = world_.clock.now()] {
-    c->OnCancel(users_[i].spec.id, [this, i, answered, asked](int status, wire::JobState stage) {
-      if (std::exchange(*answered, true)) return;
-      world_.rule_checker.OnStatusAnswered(users_[i].spec.id, status, stage, asked,
-                                           world_.clock.now());
-      if (status != 200) world_.clock.After(1, [this, i] { Cancel(i); });
-    });
+  SimulatedController* controller = Connect(users_[user]);
+  if (controller == nullptr) return;
+  const double asked_at = world_.clock.now();
+  const auto on_answer = [this, user, answered, asked_at](int http_status, wire::JobState state) {
+    if (std::exchange(*answered, true)) return;
+    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, asked_at,
+                                         world_.clock.now());
+    if (http_status == 200) return;
+    world_.clock.After(kRetryAfterS, [this, user] { SendCancellation(user); });
+  };
+  world_.network.Send(kUsersHost, controller->name(), [this, user, controller, on_answer] {
+    controller->OnCancel(users_[user].spec.id, on_answer);
   });
 }
 
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -49,7 +49,7 @@
 
   uint64_t held_starts() const {
     uint64_t n = 0;
-    for (const auto& c : controllers) n += c->held_starts();
+    for (const auto& c : controllers) n += c->holder_starts();
     return n;
   }
   std::string Unfinished() {
@@ -141,10 +141,10 @@
       });
     }
     if (t.unread) {
-      at([this] { Leader().Unread(world.random.Uniform(3, 40)); });
+      at([this] { Leader().FailReads(world.random.Uniform(3, 40)); });
       at([this] {
         const double s = world.random.Uniform(3, 30);
-        for (auto& c : controllers) c->Unread(s);
+        for (auto& c : controllers) c->FailReads(s);
       });
     }
     if (t.cuts) {
@@ -317,7 +317,7 @@
     world.on_heartbeat = [this](const std::string& node, const wire::Heartbeat& r,
                                 const SimulatedEnvironment::HeartbeatResponder& answer) {
       for (auto& c : controllers) {
-        if (c->name() == node) c->OnReport(r, answer);
+        if (c->name() == node) c->OnHeartbeat(r, answer);
       }
     };
     for (const auto& n : world.nodes) {
@@ -367,7 +367,7 @@
     for (int i = 0; i < 5; ++i) world.nodes.push_back("hut-" + std::to_string(i));
     world.on_heartbeat = [this](const std::string& node, const wire::Heartbeat& r,
                                 const SimulatedEnvironment::HeartbeatResponder& answer) {
-      controllers.at(node)->OnReport(r, answer);
+      controllers.at(node)->OnHeartbeat(r, answer);
     };
     for (size_t i = 0; i < world.nodes.size(); ++i) {
       const double drift = 1.0 + 0.00025 * (static_cast<double>(i) - 2);
@@ -538,7 +538,7 @@
   EXPECT_TRUE(world.rule_checker.breaches().empty()) << All(world.rule_checker.breaches());
   EXPECT_EQ(world.rule_checker.starts(), 30u);  // every task ran once: none was lost
   EXPECT_EQ(world.rule_checker.done_jobs(), 1u);
-  for (auto& c : controllers) EXPECT_EQ(c->resigned() > 0, c->name() == old_leader);
+  for (auto& c : controllers) EXPECT_EQ(c->resignations() > 0, c->name() == old_leader);
 }
 
 // A leader without a socket for reads kept its grant over the connection that it had, and went on
@@ -546,8 +546,8 @@
 TEST(Simulation, ALeaderThatCannotReadLetsLeasesEnd) {
   OneJob day(13, 30, 400);
   for (auto& c : day.controllers) {
-    c->reluctant = true;
-    day.world.clock.At(20, [&] { c->Unread(80); });
+    c->never_resigns = true;
+    day.world.clock.At(20, [&] { c->FailReads(80); });
   }
   std::function<void()> check = [&] {
     day.world.rule_checker.CheckNow(day.world.clock.now());
@@ -565,7 +565,7 @@
   OneJob day(14, 30, 60);
   day.world.clock.At(20, [&] {
     for (auto& c : day.controllers) {
-      if (c->leading()) c->Unread(100);
+      if (c->leading()) c->FailReads(100);
     }
   });
   day.world.clock.RunUntil(200);
