--- a/include/mosspath/scheduler/holder_sharding.h
+++ b/include/mosspath/scheduler/holder_sharding.h
@@ -1,5 +1,5 @@
-// A holder's side of sharding (docs/blocks.md): the messages of the leader, and what the leader is
-// told, claimed to have, and given back. Pure.
+// A holder's side of sharding (docs/sharding.md): the messages of the leader; claims, returns and
+// status for the leader. Pure.
 #pragma once
 
 #include <cstdint>
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -1,4 +1,4 @@
-// The leader's side of sharding (docs/blocks.md): the leases of shards, and the messages of their
+// The leader's side of sharding (docs/sharding.md): the leases of shards, and the messages of their
 // holders. Pure.
 #pragma once
 
--- a/include/mosspath/scheduler/machine_handover.h
+++ b/include/mosspath/scheduler/machine_handover.h
@@ -1,5 +1,5 @@
-// Machines that change hands between the leader and the holders of shards (docs/blocks.md), on the
-// leader's side. Pure.
+// Machines that change hands between the leader and the holders of shards (docs/sharding.md), on
+// the leader's side. Pure.
 //
 // Invariant: at any time the record names the one controller that may command a machine, and that
 // controller's fencing token for it is the revision of that record or a later one.
--- a/include/mosspath/scheduler/scheduler.h
+++ b/include/mosspath/scheduler/scheduler.h
@@ -140,7 +140,7 @@
     state_.durable_state.OnMachinesVersion(pack, version);
   }
 
-  // --- Shards, as the leader (docs/blocks.md): see LeaderSharding ---
+  // --- Shards, as the leader (docs/sharding.md): see LeaderSharding ---
 
   // From now on machines are handed over to the holders of shards. `own_shard`: the leader's.
   void LeadShards(size_t own_shard);
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -182,7 +182,7 @@
 }
 
 void MachineLifecycle::EndAllocations(Machine& machine, double now) {
-  // A holder receives no machine lists; docs/blocks.md describes what that leaves open.
+  // A holder receives no machine lists; docs/sharding.md describes what that leaves open.
   if (state_.role->ReceivesMachineLists()) WithholdUnconfirmedStarts(machine);
   state_.cluster.RemoveAllAllocations(machine, now);
   ReleaseRuledOutStarts();
