--- /dev/null
+++ b/tests/fakes/fake_agent.h
@@ -0,0 +1,57 @@
+// A machine's agent that talks HTTP on loopback, for runs of the real program.
+#pragma once
+
+#include <asio/io_context.hpp>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "mosspath/net/http_client.h"
+#include "mosspath/net/http_server.h"
+#include "mosspath/net/timer.h"
+
+namespace mosspath::fakes {
+
+// Runs every task for a moment and reports each change soon. Speaks the protocol's JSON itself.
+class FakeAgent {
+ public:
+  // `nodes`: addresses of the controllers. Tasks of `long_jobs`, which must outlive the agent, run
+  // until they are stopped; all others for `run_s`.
+  FakeAgent(asio::io_context& io, std::string id, std::vector<std::string> nodes,
+            double heartbeat_s, double run_s, const std::set<std::string>& long_jobs);
+
+  // How many tasks of the job run here.
+  size_t running(const std::string& job) const;
+
+ private:
+  void OnRequest(const net::HttpRequest& request, const net::HttpServer::Responder& respond);
+  void SendHeartbeat();
+  void SendHeartbeatSoon();
+  void OnHeartbeatAnswered(const net::HttpResult& result);
+  nlohmann::json MakeHeartbeat();
+  void Execute(const nlohmann::json& commands);
+  void Start(const std::string& attempt, const nlohmann::json& command);
+  void Stop(const std::string& attempt);
+
+  asio::io_context& io_;
+  const std::string id_;
+  const std::vector<std::string> nodes_;
+  const double heartbeat_s_;
+  const double run_s_;
+  const std::set<std::string>& long_jobs_;
+  size_t node_index_ = 0;
+  uint64_t fencing_token_ = 0;
+  uint64_t sequence_ = 0;
+  bool awaiting_answer_ = false;
+  std::map<std::string, nlohmann::json> tasks_;  // "task attempt" -> entry of the heartbeat
+  std::vector<std::unique_ptr<net::Timer>> run_timers_;
+  net::Timer heartbeat_timer_;
+  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by index of the node
+  std::unique_ptr<net::HttpServer> server_;
+};
+
+}  // namespace mosspath::fakes
--- /dev/null
+++ b/tests/fakes/fake_cloud.cc
@@ -0,0 +1,93 @@
+#include "fakes/fake_cloud.h"
+
+#include <utility>
+
+#include "fakes/loopback.h"
+
+namespace mosspath::fakes {
+namespace {
+
+using nlohmann::json;
+
+constexpr size_t kMostMachines = 3;
+constexpr size_t kFirstNumber = 100000;
+constexpr size_t kNumbersPerRequest = 50;
+
+void Respond(const net::HttpServer::Responder& respond, int status, const json& body) {
+  respond({status, body.dump()});
+}
+
+}  // namespace
+
+FakeCloud::FakeCloud(asio::io_context& io, std::vector<std::string> nodes, double heartbeat_s,
+                     double run_s)
+    : io_(io), nodes_(std::move(nodes)), heartbeat_s_(heartbeat_s), run_s_(run_s) {
+  server_ = std::make_unique<net::HttpServer>(
+      io, kAnyLoopbackPort, net::HttpServer::Options{},
+      [this](const net::HttpRequest& request, const Responder& respond) {
+        Handle(request, respond);
+      });
+}
+
+std::string FakeCloud::address() const { return LoopbackAddress(*server_); }
+
+size_t FakeCloud::running(const std::string& job) const {
+  size_t tasks = 0;
+  for (const auto& [id, agent] : agents_) tasks += agent->running(job);
+  return tasks;
+}
+
+void FakeCloud::Handle(const net::HttpRequest& request, const Responder& respond) {
+  if (request.path == "/flavors") return HandleTypes(respond);
+  if (request.path == "/hosts" && request.method == "GET") return HandleList(respond);
+  if (request.path == "/hosts") return HandleRent(request, respond);
+  Respond(respond, 200, json::object());
+}
+
+void FakeCloud::HandleTypes(const Responder& respond) {
+  Respond(respond, 200,
+          {{"builds",
+            {{{"name", "box"},
+              {"vcpus", 8.0},
+              {"cards", 0.0},
+              {"mem_gb", 32.0},
+              {"local_gb", 20.0},
+              {"pull_gb_per_s", 1.0},
+              {"hourly", 1.0},
+              {"low_price", 0.0},
+              {"startup_s", 1.0},
+              {"shores", {"a"}}}}}});
+}
+
+void FakeCloud::HandleList(const Responder& respond) {
+  json machines = json::array();
+  for (const auto& [id, agent] : agents_) {
+    machines.push_back({{"id", id},
+                        {"endpoint", "127.0.0.1:1"},
+                        {"build", "box"},
+                        {"shore", "a"},
+                        {"loaners", false},
+                        {"stage", "running"},
+                        {"age_s", 1.0}});
+  }
+  Respond(respond, 200, {{"rigs", machines}, {"truncated", false}});
+}
+
+void FakeCloud::HandleRent(const net::HttpRequest& request, const Responder& respond) {
+  const json body = json::parse(request.body);
+  const std::string name = body.at("hire");
+  if (rent_answers_.contains(name)) return Respond(respond, 200, rent_answers_[name]);
+  json machines = json::array();
+  const size_t first_number = kFirstNumber + rent_answers_.size() * kNumbersPerRequest;
+  const auto count = body.at("count").get<size_t>();
+  for (size_t i = 0; i < count && agents_.size() < kMostMachines; ++i) {
+    const std::string id = "vm-" + std::to_string(first_number + i);
+    machines.push_back(id);
+    agents_[id] = std::make_unique<FakeAgent>(io_, id, nodes_, heartbeat_s_, run_s_, long_jobs);
+  }
+  if (machines.empty()) return Respond(respond, 503, {{"error", "no capacity"}});
+  rent_answers_[name] = {{"rigs", machines}};
+  Respond(respond, 200, rent_answers_[name]);
+}
+
+}  // namespace mosspath::fakes
--- a/tests/fakes/one_controller.h
+++ b/tests/fakes/one_controller.h
@@ -1,4 +1,4 @@
-// One controller beside the stand-in of the state service, and a job: what tests of its parts need.
+// Settings and jobs for tests of a single controller's parts beside the fake key-value store.
 #pragma once
 
 #include <string>
@@ -8,32 +8,34 @@
 
 namespace mosspath::fakes {
 
-inline config::Settings OneControllerSettings(const std::string& state_address) {
-  config::Settings s;
-  s.name = "hut-0";
-  s.controller_count = 1;
-  s.store_address = state_address;
-  s.heartbeat_s = 1;
-  s.agent_lease_s = 24;
-  s.cancel_within_s = 50;
-  s.store_requests_per_s = 400;
-  s.store_writes_per_s = 30;
-  s.store_value_kb = 8;
-  s.store_transaction_changes = 8;
-  s.cloud_requests_per_s = 5;
-  return s;
+// A deployment of one controller whose key-value store is at that address.
+inline config::Settings OneControllerSettings(const std::string& store_address) {
+  config::Settings settings;
+  settings.name = "hut-0";
+  settings.controller_count = 1;
+  settings.store_address = store_address;
+  settings.heartbeat_s = 1;
+  settings.agent_lease_s = 24;
+  settings.cancel_within_s = 50;
+  settings.store_requests_per_s = 400;
+  settings.store_writes_per_s = 30;
+  settings.store_value_kb = 8;
+  settings.store_transaction_changes = 8;
+  settings.cloud_requests_per_s = 5;
+  return settings;
 }
 
+// A job of tasks of 1 CPU and 1 GB each.
 inline wire::JobSpec SmallJob(const std::string& id, uint32_t tasks) {
-  wire::JobSpec s;
-  s.id = id;
-  s.job_class = "work";
-  s.team = "t";
-  s.tasks = tasks;
-  s.cpus = 1;
-  s.memory_gb = 1;
-  s.image = "img";
-  return s;
+  wire::JobSpec spec;
+  spec.id = id;
+  spec.job_class = "work";
+  spec.team = "t";
+  spec.tasks = tasks;
+  spec.cpus = 1;
+  spec.memory_gb = 1;
+  spec.image = "img";
+  return spec;
 }
 
 }  // namespace mosspath::fakes
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "fakes/plain_worker.h"
+#include "fakes/plain_agent.h"
 #include "mosspath/jobs/job.h"
 #include "mosspath/scheduler/scheduler.h"
 #include "simulation/cluster.h"
--- a/tests/report_model_test.cc
+++ b/tests/report_model_test.cc
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "fakes/plain_worker.h"
+#include "fakes/plain_agent.h"
 #include "mosspath/scheduler/scheduler.h"
 #include "simulation/cluster.h"
 
