--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "simulation/store_keys.h"
+
 namespace mosspath::simulation {
 namespace {
 
@@ -60,15 +62,15 @@
 
 // Nothing that the process had read or been told outlives it.
 void SimulatedController::ResetState() {
-  leadership_.emplace(settings_, derived_, Now());
-  failure_detector_.emplace(settings_);
+  leadership_ = std::make_unique<election::Leadership>(settings_, derived_, Now());
+  failure_detector_ = std::make_unique<election::FailureDetector>(settings_);
   last_store_contact_ = kNeverContacted;
 
   reads_begun_ = 0;
   newest_read_ = 0;
   revision_ = 0;
   jobs_revision_ = 0;
-  job_index_.emplace("job/", "batch/", kRemembered);
+  job_index_ = std::make_unique<jobs::JobIndex>(kJobPrefix, kBatchPrefix, kRemembered);
   job_record_versions_.clear();
   final_records_.clear();
 
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -263,8 +263,8 @@
   net::LoopClock loop_clock_;
 
   // Election.
-  std::optional<election::Leadership> leadership_;
-  std::optional<election::FailureDetector> failure_detector_;
+  std::unique_ptr<election::Leadership> leadership_;
+  std::unique_ptr<election::FailureDetector> failure_detector_;
   double last_store_contact_;
 
   // Watch.
@@ -273,7 +273,7 @@
   uint64_t newest_read_ = 0;    // by the order of their beginnings; 0: none has ended
   uint64_t revision_ = 0;       // of the store, as last read
   uint64_t jobs_revision_ = 0;  // up to which the job index knows all records
-  std::optional<jobs::JobIndex> job_index_;
+  std::unique_ptr<jobs::JobIndex> job_index_;
   std::map<std::string, uint64_t> job_record_versions_;  // of the records that it has read
   std::set<std::string> final_records_;                  // that it has read
 
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -8,6 +8,8 @@
 #include <boost/accumulators/statistics/tail_quantile.hpp>
 #include <utility>
 
+#include "simulation/store_keys.h"
+
 namespace mosspath::simulation {
 namespace {
 
@@ -160,12 +162,11 @@
 }
 
 double OverloadScenario::LiveTasks() {
-  const std::string prefix = "job/";
   double tasks = 0;
   const auto& entries = world.store.entries();
-  for (auto entry = entries.lower_bound(prefix);
-       entry != entries.end() && entry->first.starts_with(prefix); ++entry) {
-    tasks += world.specs[entry->first.substr(prefix.size())].tasks;
+  for (auto entry = entries.lower_bound(kJobPrefix);
+       entry != entries.end() && entry->first.starts_with(kJobPrefix); ++entry) {
+    tasks += world.specs[entry->first.substr(kJobPrefix.size())].tasks;
   }
   return tasks;
 }
--- a/simulation/simulated_environment.cc
+++ b/simulation/simulated_environment.cc
@@ -4,12 +4,11 @@
 #include <utility>
 
 #include "mosspath/jobs/job_index.h"
+#include "simulation/store_keys.h"
 
 namespace mosspath::simulation {
 namespace {
 
-const std::string kJobPrefix = "job/";
-const std::string kFinalPrefix = "final/";
 constexpr size_t kNameDigits = 6;
 // A machine boots in so much of its type's boot time.
 constexpr double kFastestBoot = 0.6;
--- a/simulation/store_keys.h
+++ b/simulation/store_keys.h
@@ -7,6 +7,7 @@
 
 inline const std::string kLeaderKey = "leader";
 inline const std::string kJobPrefix = "job/";            // accepted jobs
+inline const std::string kBatchPrefix = "batch/";        // several accepted jobs in one record
 inline const std::string kFinalPrefix = "final/";        // how jobs ended
 inline const std::string kProgressPrefix = "progress/";  // packs of tasks' progress
 inline const std::string kMachinesPrefix = "machines/";  // packs of machines
