--- a/include/mosspath/service/controller.h
+++ b/include/mosspath/service/controller.h
@@ -70,7 +70,7 @@
   JobService jobs_;
   election::Elector elector_;
   net::StallDetector stalls_;
-  std::shared_ptr<LeaderService> leader_;
+  std::unique_ptr<LeaderService> leader_;
   std::shared_ptr<ShardHolderService> shard_holder_;
   MachineTypeCache machine_types_;
   OperatorSettingsApi operator_settings_;
--- /dev/null
+++ b/include/mosspath/service/leader_command_sender.h
@@ -0,0 +1,44 @@
+// Sends the leader's commands straight to the agents of machines.
+#pragma once
+
+#include <cstddef>
+#include <functional>
+#include <memory>
+
+#include "mosspath/net/malformed_message.h"
+#include "mosspath/net/socket_budget.h"
+#include "mosspath/scheduler/command_batch.h"
+#include "mosspath/service/command_client.h"
+#include "mosspath/service/leader_context.h"
+#include "mosspath/wire/messages.h"
+
+namespace mosspath::service {
+
+class LeaderCommandSender {
+ public:
+  // `on_heartbeat` is called after a heartbeat that came with an answer was taken.
+  LeaderCommandSender(const LeaderContext& context, std::shared_ptr<net::SocketBudget> sockets,
+                      net::OnMalformed on_malformed, std::function<void()> on_heartbeat);
+
+  // How late the event loop runs, in seconds: a loop that is behind sends few commands.
+  void set_loop_delay(double seconds) { loop_delay_s_ = seconds; }
+  // Sends what the scheduler has for agents, as many as may leave now.
+  void SendCommands();
+  // Closes the connections to machines that are gone.
+  void CloseUnusedConnections();
+  void Stop() { client_.Clear(); }
+
+ private:
+  [[nodiscard]] size_t Capacity() const;
+  void SendBatch(scheduler::CommandBatch batch);
+  void OnOutcome(const scheduler::CommandBatch& batch, scheduler::CommandOutcome outcome,
+                 const wire::Heartbeat* heartbeat);
+
+  const LeaderContext context_;
+  const net::OnMalformed on_malformed_;
+  const std::function<void()> on_heartbeat_;
+  CommandClient client_;
+  double loop_delay_s_ = 0;
+};
+
+}  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/leader_context.h
@@ -0,0 +1,30 @@
+// What the duties of a leader share.
+#pragma once
+
+#include <asio/io_context.hpp>
+
+#include "mosspath/config/settings.h"
+#include "mosspath/kvstore/client.h"
+#include "mosspath/scheduler/scheduler.h"
+#include "mosspath/service/cloud_client.h"
+#include "mosspath/service/job_service.h"
+#include "mosspath/service/leadership_term.h"
+
+namespace mosspath::service {
+
+// Nothing is owned: all that it refers to outlives the duties.
+struct LeaderContext {
+  asio::io_context& io;
+  const config::Settings& settings;
+  const config::DerivedSettings& derived;
+  kvstore::Client& store;
+  CloudClient& cloud;
+  const JobService& jobs;
+  LeadershipTerm& term;
+  scheduler::Scheduler& scheduler;
+};
+
+// A transaction that commits only while the term's leader key is in place.
+[[nodiscard]] kvstore::Transaction LeaderTransaction(const LeadershipTerm& term);
+
+}  // namespace mosspath::service
--- a/include/mosspath/service/leader_service.h
+++ b/include/mosspath/service/leader_service.h
@@ -1,117 +1,108 @@
-// The leader's duties while it holds the leader key: it feeds the dispatcher, writes its records
-// and carries out its wishes. Ends with the leadership; answers that come later are dropped.
+// The duties of a controller while it holds the leader key: runs the scheduler and the services
+// that write its records and carry out its decisions. Ends with the leadership; answers that come
+// later are dropped.
 #pragma once
 
+#include <asio/io_context.hpp>
 #include <functional>
-#include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include "mosspath/election/elector.h"
 #include "mosspath/kvstore/client.h"
 #include "mosspath/net/stall_detector.h"
+#include "mosspath/net/timer.h"
 #include "mosspath/scheduler/scheduler.h"
 #include "mosspath/service/cloud_client.h"
-#include "mosspath/service/command_client.h"
+#include "mosspath/service/completion_writer.h"
 #include "mosspath/service/job_service.h"
-#include "mosspath/service/keys.h"
+#include "mosspath/service/leader_command_sender.h"
+#include "mosspath/service/leader_context.h"
+#include "mosspath/service/leadership_term.h"
+#include "mosspath/service/machine_list_poller.h"
+#include "mosspath/service/machine_type_poller.h"
 #include "mosspath/service/peer_frame_sender.h"
-#include "mosspath/shard/shard_lease_manager.h"
+#include "mosspath/service/record_flusher.h"
+#include "mosspath/service/scaling_service.h"
+#include "mosspath/service/shard_lease_service.h"
 
 namespace mosspath::service {
 
-class LeaderService : public std::enable_shared_from_this<LeaderService> {
+class LeaderService {
  public:
-  LeaderService(asio::io_context& io, const config::Settings& settings,
-                const config::DerivedSettings& derived, kvstore::Client& state, CloudClient& cloud,
-                election::Elector& elector, net::StallDetector& stalls, const JobService& jobs,
-                PeerFrameSender& frames, std::shared_ptr<net::SocketBudget> sockets,
-                uint64_t token);
+  // All that these refer to outlives the service.
+  struct Dependencies {
+    asio::io_context& io;
+    const config::Settings& settings;
+    const config::DerivedSettings& derived;
+    kvstore::Client& store;
+    CloudClient& cloud;
+    election::Elector& elector;
+    net::StallDetector& stalls;
+    const JobService& jobs;
+    PeerFrameSender& frames;
+    std::shared_ptr<net::SocketBudget> sockets;
+  };
+  struct Handlers {
+    // A job's completion has become durable.
+    std::function<void(const std::string& id)> completed;
+    // The cloud has answered with its machine types.
+    std::function<void(const std::vector<wire::MachineType>&)> machine_types;
+    net::OnMalformed malformed;
+  };
+
+  // `token`: the fencing token of the term, the version of the leader key.
+  LeaderService(const Dependencies& dependencies, Handlers handlers, uint64_t token);
+  LeaderService(const LeaderService&) = delete;
+  LeaderService& operator=(const LeaderService&) = delete;
 
-  scheduler::Scheduler& scheduler() { return scheduler_; }
-  // Null where blocks are not leased.
-  shard::ShardLeaseManager* shard_leases() { return shard_leases_.get(); }
-  // A frame of a holder; none: refused.
-  std::optional<wire::ShardFrame> OnFrame(const wire::ShardFrame& frame);
+  [[nodiscard]] scheduler::Scheduler& scheduler() { return scheduler_; }
+  // Null where shards are not leased.
+  [[nodiscard]] shard::ShardLeaseManager* shard_leases();
+  // Takes a frame of a shard's holder and returns the answer; none if the frame is refused.
+  [[nodiscard]] std::optional<wire::ShardFrame> OnFrame(const wire::ShardFrame& frame);
+  // Begins the duties with the next turn of the event loop: the caller may be in the middle of a
+  // batch of events.
   void Start();
+  // Ends the term; no handler is called afterwards. It may be reached from a callback of this
+  // object, which must therefore be destroyed in a later turn of the event loop.
   void Stop();
-  // Something changed that may let tasks start or stop: acts on it soon.
+  // Something changed that may let tasks start or stop: runs a placement pass soon.
   void ScheduleTick();
 
-  // Called with the ids of jobs whose completion is durable.
-  std::function<void(const std::string& id)> on_completed;
-  std::function<void(const std::vector<wire::MachineType>&)> on_types;
-  net::OnMalformed on_malformed;
-
  private:
-  struct PendingScaleOut {
-    wire::RentRequest request;
-    net::Backoff backoff{1.0, 8.0};
-    double not_before = 0;
-    bool in_flight = false;
-  };
-
-  bool MayAct() const;
-  net::HttpClient::StillWanted StillMayAct();
+  void BeginDuties();
   void Tick();
-  void SendCommands();
-  void ChangeLeases();
-  void SendFrames();
-  // Orders that may leave now.
-  size_t CommandCapacity() const;
-  void CloseUnusedConnections();
-  void Flush();
-  void FlushSoon();
-  void WriteCompletions();
-  void WriteEnds(const std::vector<std::string>& ids,
-                 const std::vector<jobs::RecordChange>& records);
-  // A write of it is under way, or not in our view yet.
-  bool IsEnding(const jobs::RecordChange& record) const;
-  void CleanUpRecords();
-  void PlanScaling();
-  void PlanScalingSoon();
-  void SendScaleOutRequests();
-  // Nothing more of this offer is asked for after a refusal.
-  void DropScaleOutRequests(const autoscaler::ScaleOutRequest& offer);
-  void RefreshMachineTypes();
-  void ListMachines();
-  void ListMachinesPage(const std::string& after);
+  void MeasureLoopDelay(double tick_s);
+  // Gives up the leadership if another controller could do better. True: it is being given up.
+  [[nodiscard]] bool ResignIfUnfit();
+  void RunDuties();
+  void PlacementPass();
 
   asio::io_context& io_;
   const config::Settings& settings_;
-  const config::DerivedSettings derived_;
-  kvstore::Client& state_;
-  CloudClient& cloud_;
+  const config::DerivedSettings& derived_;
   election::Elector& elector_;
   net::StallDetector& stalls_;
   const JobService& jobs_;
-  const uint64_t token_;
+  LeadershipTerm term_;
   scheduler::Scheduler scheduler_;
-  std::unique_ptr<shard::ShardLeaseManager> shard_leases_;
-  PeerFrameSender& frames_;
+  const LeaderContext context_;
+  RecordFlusher record_flusher_;
+  CompletionWriter completion_writer_;
+  ScalingService scaling_;
+  MachineListPoller machine_list_poller_;
+  MachineTypePoller machine_type_poller_;
+  LeaderCommandSender command_sender_;
+  std::optional<ShardLeaseService> shard_lease_service_;
   net::Timer tick_timer_;
-  net::Timer kick_timer_;
-  net::Timer scale_out_timer_;
-  net::Timer flush_timer_;
-  net::Timer fleet_timer_;
-  net::Timer list_timer_;
-  net::Timer types_timer_;
-  bool stopped_ = false;
-  std::vector<wire::ListedMachine> listed_;  // pages so far
-  double list_requested_at_ = 0;
-  double flush_not_before_ = 0;
-  double last_flush_ = 0;
-  uint64_t scale_out_count_ = 0;
-  bool kicked_ = false;
-  double next_place_ = 0;
-  double next_plan_ = 0;
-  double next_tidy_ = 0;
-  double tick_due_ = 0;
-  double late_ = 0;  // the last tick was, by so much
-  CommandClient commands_;
-  std::map<std::string, uint64_t> ending_;  // records being written: the version they replace
-  std::vector<PendingScaleOut> scale_out_requests_;
+  net::Timer placement_timer_;
+  bool placement_scheduled_ = false;
+  std::optional<double> next_placement_at_;  // none: no pass was made yet
+  std::optional<double> next_cleanup_at_;    // none: no clean-up was made yet
+  std::optional<double> tick_due_at_;        // none: no tick was scheduled yet
 };
 
 }  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/leadership_term.h
@@ -0,0 +1,40 @@
+// One term of leadership: its fencing token, whether this process may still act as the leader, and
+// callbacks that end with the term.
+#pragma once
+
+#include <cstdint>
+#include <utility>
+
+#include "mosspath/election/elector.h"
+#include "mosspath/net/http_client.h"
+#include "mosspath/service/callback_scope.h"
+
+namespace mosspath::service {
+
+class LeadershipTerm {
+ public:
+  // The elector outlives the term.
+  LeadershipTerm(const election::Elector& elector, uint64_t token)
+      : elector_(elector), token_(token) {}
+
+  [[nodiscard]] uint64_t token() const { return token_; }
+  [[nodiscard]] bool ended() const { return callbacks_.closed(); }
+  // Whether this process is entitled to act as the leader of this term at this moment.
+  [[nodiscard]] bool MayAct() const;
+  // MayAct(), to be asked again right before a request leaves: what was decided before the process
+  // stalled must not be done by a leader of the past. It may outlive the term.
+  [[nodiscard]] net::HttpClient::StillWanted MayStillAct() const;
+  // Drops the calls to `callback` once the term has ended; see CallbackScope.
+  template <typename Callback>
+  [[nodiscard]] auto Guard(Callback callback) const {
+    return callbacks_.Guard(std::move(callback));
+  }
+  void End() { callbacks_.Close(); }
+
+ private:
+  const election::Elector& elector_;
+  const uint64_t token_;
+  CallbackScope callbacks_;
+};
+
+}  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/record_flusher.h
@@ -0,0 +1,36 @@
+// Writes the leader's machine and progress records to the state service: at a regular interval, and
+// sooner for machines that have no durable entry yet.
+#pragma once
+
+#include <functional>
+#include <optional>
+
+#include "mosspath/kvstore/client.h"
+#include "mosspath/net/timer.h"
+#include "mosspath/service/leader_context.h"
+
+namespace mosspath::service {
+
+class RecordFlusher {
+ public:
+  // `on_written` is called after each transaction that committed, while the term lasts.
+  RecordFlusher(const LeaderContext& context, std::function<void()> on_written);
+
+  void Start() { Flush(); }
+  void Stop() { timer_.Cancel(); }
+  // Brings the next flush forward: a new machine takes no tasks before its entry is durable.
+  void FlushSoon();
+
+ private:
+  void Flush();
+  void OnCommitted(const kvstore::TransactionResult& result);
+  [[nodiscard]] bool IsBackingOff() const;
+
+  const LeaderContext context_;
+  const std::function<void()> on_written_;
+  net::Timer timer_;
+  std::optional<double> last_flush_at_;  // none: nothing was flushed yet
+  std::optional<double> not_before_;     // after a failure
+};
+
+}  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/record_limits.h
@@ -0,0 +1,11 @@
+// Limits of the records that a leader writes in one transaction.
+#pragma once
+
+#include <cstddef>
+
+namespace mosspath::service {
+
+// Bytes of values in one transaction: a request may hold 64 KiB.
+inline constexpr size_t kMaxRecordBytes = 48u << 10;
+
+}  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/scale_out_requester.h
@@ -0,0 +1,52 @@
+// Sends the planned scale-out requests to the cloud and retries those whose outcome is unknown.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "mosspath/autoscaler/scaling_planner.h"
+#include "mosspath/net/rate_limit.h"
+#include "mosspath/net/timer.h"
+#include "mosspath/service/cloud_client.h"
+#include "mosspath/service/leader_context.h"
+#include "mosspath/wire/json.h"
+
+namespace mosspath::service {
+
+class ScaleOutRequester {
+ public:
+  explicit ScaleOutRequester(const LeaderContext& context);
+
+  // No request is in flight or waits.
+  [[nodiscard]] bool idle() const { return requests_.empty(); }
+  // Queues the requests, cut to what the cloud takes at once. Each gets a name of its own.
+  void Enqueue(const std::vector<autoscaler::ScaleOutRequest>& planned);
+  // Sends what may leave now within the cloud's rate, and comes back for the rest.
+  void Send();
+  void Stop() { timer_.Cancel(); }
+
+ private:
+  struct PendingRequest {
+    wire::RentRequest request;
+    net::Backoff backoff;
+    std::optional<double> retry_at;  // none: its outcome was never unknown
+    bool in_flight = false;
+  };
+
+  void SendOne(PendingRequest& pending);
+  void OnOutcome(const wire::RentRequest& request, CloudClient::Outcome outcome,
+                 const std::vector<std::string>& machines);
+  void OnProvisioned(const wire::RentRequest& request, const std::vector<std::string>& machines);
+  // The offer is sold out: it is closed for a while, and not asked for any more.
+  void CloseOffer(const autoscaler::ScaleOutRequest& offer);
+  void DropUnsent(const autoscaler::ScaleOutRequest& offer);
+
+  const LeaderContext context_;
+  net::Timer timer_;
+  std::vector<PendingRequest> requests_;
+  uint64_t request_count_ = 0;  // of this term, for the names
+};
+
+}  // namespace mosspath::service
--- a/src/service/controller.cc
+++ b/src/service/controller.cc
@@ -350,15 +350,23 @@
   const double now = net::Now();
   // Who leads holds no block: what it held is asked what it has, like all that is inherited.
   StopHolding();
-  leader_ = std::make_shared<LeaderService>(io_, settings_, derived_, state_, cloud_, elector_,
-                                            stalls_, jobs_, frames_, sockets_, token);
-  leader_->on_completed = [this](const std::string& id) {
-    jobs_.OnEnded(id, JobService::JobStatus::kDone);
-  };
-  leader_->on_malformed = on_malformed_;
-  leader_->on_types = [this](const std::vector<wire::MachineType>& types) {
-    machine_types_.OnCloudTypes(types);
-  };
+  leader_ = std::make_unique<LeaderService>(
+      LeaderService::Dependencies{.io = io_,
+                                  .settings = settings_,
+                                  .derived = derived_,
+                                  .store = state_,
+                                  .cloud = cloud_,
+                                  .elector = elector_,
+                                  .stalls = stalls_,
+                                  .jobs = jobs_,
+                                  .frames = frames_,
+                                  .sockets = sockets_},
+      LeaderService::Handlers{
+          .completed =
+              [this](const std::string& id) { jobs_.OnEnded(id, JobService::JobStatus::kDone); },
+          .machine_types = [this](const auto& types) { machine_types_.OnCloudTypes(types); },
+          .malformed = on_malformed_},
+      token);
   admission_.OnElected(token, now);
   scheduler::Scheduler& d = leader_->scheduler();
   d.Apply(operator_settings_.settings());
@@ -391,14 +399,14 @@
   });
   spdlog::info("takeover: token={} jobs={} settled={}", token, d.jobs().size(),
                d.recovery_complete());
-  // Started from the loop: the mirror may be in the middle of a batch.
-  asio::post(io_, [leader = leader_] { leader->Start(); });
+  leader_->Start();
 }
 
 void Controller::OnLost() {
   if (!leader_) return;
   leader_->Stop();
-  leader_.reset();
+  // Destroyed with a later turn of the loop: this may be reached from one of its callbacks.
+  asio::post(io_, [ended = std::move(leader_)] {});
   admission_.OnDeposed();
 }
 
