--- a/include/mosspath/service/controller.h
+++ b/include/mosspath/service/controller.h
@@ -1,17 +1,20 @@
-// One controller: the user, worker and peer interfaces wired to the duties.
+// One controller: wires the interfaces for users, agents, peers and operators
+// to the services, and hands the state service's events to them.
 #pragma once
 
 #include <asio/io_context.hpp>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "mosspath/config/operator_settings.h"
 #include "mosspath/election/elector.h"
 #include "mosspath/kvstore/watch_cache.h"
 #include "mosspath/net/http_server.h"
+#include "mosspath/net/stall_detector.h"
+#include "mosspath/service/agent_heartbeat_handler.h"
 #include "mosspath/service/cloud_client.h"
 #include "mosspath/service/job_service.h"
 #include "mosspath/service/leader_service.h"
@@ -19,81 +22,100 @@
 #include "mosspath/service/metrics.h"
 #include "mosspath/service/operator_settings_api.h"
 #include "mosspath/service/peer_frame_sender.h"
+#include "mosspath/service/peer_routes.h"
 #include "mosspath/service/peer_service.h"
+#include "mosspath/service/public_routes.h"
 #include "mosspath/service/record_format_support.h"
-#include "mosspath/service/shard_holder_service.h"
+#include "mosspath/service/shard_membership.h"
 #include "mosspath/service/user_api.h"
-#include "mosspath/shard/routing_table.h"
 
 namespace mosspath::service {
 
 class Controller {
  public:
+  // The event loop outlives the controller.
   Controller(asio::io_context& io, const config::Settings& settings);
   ~Controller();
+  Controller(const Controller&) = delete;
+  Controller& operator=(const Controller&) = delete;
+
+  // Opens the servers and begins to take part in the cluster. Throws if an
+  // address can't be used.
   void Start();
 
  private:
-  using Responder = net::HttpServer::Responder;
+  using Types = MachineTypeCache::Types;
+
+  // A pack of machine or progress records as the watch cache shows it.
+  struct RecordPack {
+    wire::Json value;
+    uint64_t version = 0;
+  };
+
+  [[nodiscard]] kvstore::WatchCache::Handlers CacheHandlers();
+  void StartServers();
+
+  // --- What the watch cache shows ---
+  void OnCacheReset();
+  void OnKey(const kvstore::Event& event);
+  void OnLeaderKey(const kvstore::Event& event);
+  void OnRecordFormatsKey(const kvstore::Event& event);
+  void OnJobRecordKey(const kvstore::Event& event);
+  void OnProgressKey(const kvstore::Event& event);
+  void OnMachinesKey(const kvstore::Event& event);
+  void KeepPack(const kvstore::Event& event);
+  void OnCacheLoaded();
+  void RemoveEndedJobs();
+  void DeclareRecordFormats();
 
-  void OnKey(const kvstore::Event& e);
-  void OnMirrorLoaded();
+  // --- Leadership ---
   void OnElected(uint64_t token);
   void OnLost();
-  bool Healthy() const;
+  [[nodiscard]] std::unique_ptr<LeaderService> MakeLeader(uint64_t token);
+  void LoadRecords(scheduler::Scheduler& scheduler) const;
+  void LoadJobs(scheduler::Scheduler& scheduler, double now) const;
+  [[nodiscard]] bool IsEntitledLeader() const;
 
-  void OnPublicRequest(net::HttpRequest r, Responder respond);
-  void OnPeerRequest(net::HttpRequest r, Responder respond);
-  void OnHeartbeat(const net::HttpRequest& r, const Responder& respond);
+  // --- What the services tell each other ---
+  void OnProcessStall(double from, double now);
+  void OnMachineTypes(const Types& types);
+  void OnOperatorSettings();
+  void OnCancelledAhead(const std::string& job);
   void UpdateBatching();
-  // --- Blocks (docs/blocks.md) ---
-  bool OnShardKey(const kvstore::Event& e);
-  void UpdateOwnShard();
-  void StopHolding();
-  void OfferToHold();
-  void ReleaseShard();
-  void OnFrame(const net::HttpRequest& r, const Responder& respond);
-  // Answers the report if another controller, or this one as a holder, commands the machine.
-  bool AnswerForShard(const wire::Heartbeat& report, const Responder& respond);
-  std::optional<wire::StatusSnapshot> OwnSnapshot() const;
-  wire::PeerHeartbeat OwnHeartbeat() const;
-  scheduler::JobCounts CountsOf(const std::string& id) const;
+  [[nodiscard]] std::optional<wire::ShardFrame> OnShardFrame(const wire::ShardFrame& frame);
+  [[nodiscard]] bool IsHealthy() const;
+  [[nodiscard]] std::optional<wire::StatusSnapshot> OwnSnapshot() const;
+  [[nodiscard]] wire::PeerHeartbeat OwnHeartbeat() const;
+  [[nodiscard]] scheduler::JobCounts CountsOf(const std::string& job) const;
 
   asio::io_context& io_;
   const config::Settings settings_;
   const config::DerivedSettings derived_;
   const std::shared_ptr<net::SocketBudget> sockets_;
-  kvstore::Client state_;
+  Metrics metrics_;
+  const net::OnMalformed on_malformed_;
+  kvstore::Client store_;
   CloudClient cloud_;
-  kvstore::WatchCache mirror_;
+  kvstore::WatchCache cache_;
   AdmissionService admission_;
   JobService jobs_;
   election::Elector elector_;
   net::StallDetector stalls_;
-  std::unique_ptr<LeaderService> leader_;
-  std::shared_ptr<ShardHolderService> shard_holder_;
+  std::unique_ptr<LeaderService> leader_;  // null while this controller does not lead
   MachineTypeCache machine_types_;
   OperatorSettingsApi operator_settings_;
   RecordFormatSupport record_formats_;
   UserApi users_;
-  // Progress and machine records as mirrored, with their versions.
-  std::map<std::string, std::pair<wire::Json, uint64_t>> packs_;
-  bool mirror_empty_ = true;
-  double last_heartbeat_at_ = -1e18;  // taken as the leader
-  Metrics metrics_;
-  net::OnMalformed on_malformed_;
-  PeerService peers_;
   PeerFrameSender frames_;
-  shard::RoutingTable routes_;
-  struct ShardOffer {
-    uint64_t version = 0;
-    uint64_t store_lease = 0;
-  };
-  std::map<std::string, ShardOffer> shard_offers_;
-  uint64_t own_shard_store_lease_ = 0;  // that the lease of this node's block hangs on
-  net::Timer offer_timer_;
-  std::unique_ptr<net::HttpServer> public_;
-  std::unique_ptr<net::HttpServer> peer_;
+  ShardMembership shards_;
+  PeerService peers_;
+  AgentHeartbeatHandler heartbeats_;
+  PublicRoutes public_routes_;
+  PeerRoutes peer_routes_;
+  std::map<std::string, RecordPack> packs_;  // by their keys
+  bool cache_empty_ = true;                  // no live key was seen since the last reset
+  std::unique_ptr<net::HttpServer> public_server_;
+  std::unique_ptr<net::HttpServer> peer_server_;
 };
 
 }  // namespace mosspath::service
--- /dev/null
+++ b/include/mosspath/service/peer_routes.h
@@ -0,0 +1,44 @@
+// Routes the requests of the peer address: other controllers, and operators.
+#pragma once
+
+#include <functional>
+#include <optional>
+#include <string>
+
+#include "mosspath/net/http_server.h"
+#include "mosspath/net/malformed_message.h"
+#include "mosspath/service/metrics.h"
+#include "mosspath/service/operator_settings_api.h"
+#include "mosspath/service/peer_service.h"
+#include "mosspath/wire/shard_frame.h"
+
+namespace mosspath::service {
+
+class PeerRoutes {
+ public:
+  using Responder = net::HttpServer::Responder;
+  // Takes a frame about a shard and returns the answer; none if the frame is of
+  // another leadership or lease.
+  using OnShardFrame = std::function<std::optional<wire::ShardFrame>(const wire::ShardFrame&)>;
+
+  // All that it refers to outlives it. `node`: the name of this controller.
+  PeerRoutes(std::string node, PeerService& peers, Metrics& metrics,
+             OperatorSettingsApi& operator_settings, net::OnMalformed on_malformed,
+             OnShardFrame on_shard_frame);
+
+  // Calls the responder once, at once or later.
+  void Answer(const net::HttpRequest& request, Responder respond);
+
+ private:
+  void AnswerMetrics(const Responder& respond);
+  void AnswerShardFrame(const net::HttpRequest& request, const Responder& respond);
+
+  const std::string node_;
+  PeerService& peers_;
+  Metrics& metrics_;
+  OperatorSettingsApi& operator_settings_;
+  const net::OnMalformed on_malformed_;
+  const OnShardFrame on_shard_frame_;
+};
+
+}  // namespace mosspath::service
--- a/src/cli/cli.cc
+++ b/src/cli/cli.cc
@@ -10,10 +10,12 @@
 #include <iostream>
 #include <sstream>
 #include <string>
+#include <vector>
 
 #include "mosspath/config/settings.h"
 #include "mosspath/net/http_client.h"
 #include "mosspath/service/controller.h"
+#include "mosspath/service/http_paths.h"
 
 namespace mosspath::cli {
 namespace {
@@ -36,6 +38,7 @@
   spdlog::set_default_logger(std::move(log));
 }
 
+// Runs as a controller node until the process is killed.
 int Serve(const config::Settings& settings) {
   SetUpLog(settings.name);
   asio::io_context io(1);
@@ -58,7 +61,8 @@
   return result;
 }
 
-// Prints an answer, as JSON or for people, and turns its status into the exit code.
+// Prints an answer, as JSON or for people, and turns its status into the exit
+// code.
 int Show(const net::HttpResult& r, bool json, const std::function<std::string(const Json&)>& tell) {
   if (r.status == 0) {
     std::cerr << "mosspath: no answer\n";
@@ -121,92 +125,161 @@
     }
     changes[a.substr(0, equals)] = value;
   }
-  const net::HttpResult now = Ask(server, "GET", "/admin/v1/settings", {});
+  const net::HttpResult now =
+      Ask(server, "GET", std::string(service::paths::kOperatorSettings), {});
   const Json body = Json::parse(now.body, nullptr, false);
   if (now.status != 200 || !body.is_object()) return Show(now, json, TellSettings);
   const Json request{{"version", body.value("version", uint64_t{0})}, {"settings", changes}};
-  return Show(Ask(server, "PUT", "/admin/v1/settings", request.dump()), json, TellSettings);
+  return Show(Ask(server, "PUT", std::string(service::paths::kOperatorSettings), request.dump()),
+              json, TellSettings);
 }
 
-}  // namespace
-
-int Main(int argc, char** argv) {
-  CLI::App app{
-      "mosspath: a cluster scheduler.\nWith --config it serves as a controller node until it is "
-      "killed; the subcommands talk to a running service."};
-  std::string path;
-  bool check = false;
+// What the command line says. Arguments of subcommands that were not given keep
+// their defaults.
+struct Arguments {
+  std::string settings_file;
+  bool check_only = false;
+  bool lease_shards = false;
   bool json = false;
-  std::string server = "127.0.0.1:8080";
-  std::string admin = "127.0.0.1:8081";
-  std::string argument;
-  std::vector<std::string> assignments;
-  app.add_option("--config", path, "The settings file (TOML)")->type_name("FILE");
-  app.add_flag("--check", check, "With --config: validate the settings and exit");
-  bool lease_blocks = false;
-  app.add_flag("--lease-blocks", lease_blocks,
+  std::string public_address = "127.0.0.1:8080";
+  std::string peer_address = "127.0.0.1:8081";
+  std::string job_file;
+  std::string job_id;
+  std::vector<std::string> assignments;  // NAME=VALUE
+};
+
+// A subcommand and what it does; the function returns the exit code.
+struct Subcommand {
+  CLI::App* parser = nullptr;  // owned by the application's parser
+  std::function<int(const Arguments&)> run;
+};
+
+std::string JobPath(const std::string& id) { return std::string(service::paths::kJobs) + "/" + id; }
+
+int RunSubmit(const Arguments& arguments) {
+  return Show(Ask(arguments.public_address, "POST", std::string(service::paths::kJobs),
+                  ReadAll(arguments.job_file)),
+              arguments.json, TellJob);
+}
+
+int RunGet(const Arguments& arguments) {
+  return Show(Ask(arguments.public_address, "GET", JobPath(arguments.job_id), {}), arguments.json,
+              TellJob);
+}
+
+int RunCancel(const Arguments& arguments) {
+  const std::string path = JobPath(arguments.job_id) + std::string(service::paths::kCancelSuffix);
+  return Show(Ask(arguments.public_address, "POST", path, {}), arguments.json, TellJob);
+}
+
+int RunStatus(const Arguments& arguments) {
+  const auto path = arguments.json ? service::paths::kStatusJson : service::paths::kStatusPage;
+  return Show(Ask(arguments.public_address, "GET", std::string(path), {}), arguments.json, TellJob);
+}
+
+int RunSettingsGet(const Arguments& arguments) {
+  return Show(
+      Ask(arguments.peer_address, "GET", std::string(service::paths::kOperatorSettings), {}),
+      arguments.json, TellSettings);
+}
+
+int RunSettingsSet(const Arguments& arguments) {
+  return SetSettings(arguments.peer_address, arguments.assignments, arguments.json);
+}
+
+int RunController(const Arguments& arguments) {
+  if (arguments.settings_file.empty()) {
+    std::cerr << "mosspath: --config FILE or a subcommand is needed; see --help\n";
+    return kBadUse;
+  }
+  config::Settings settings = config::Load(arguments.settings_file);
+  settings.lease_shards = arguments.lease_shards;
+  if (arguments.check_only) {
+    std::cout << "settings are valid\n";
+    return 0;
+  }
+  return Serve(settings);
+}
+
+void AddControllerOptions(CLI::App& app, Arguments& arguments) {
+  app.add_option("--config", arguments.settings_file, "The settings file (TOML)")
+      ->type_name("FILE");
+  app.add_flag("--check", arguments.check_only, "With --config: validate the settings and exit");
+  app.add_flag("--lease-blocks", arguments.lease_shards,
                "With --config: controllers hold blocks of machines (docs/blocks.md)");
   app.set_version_flag("--version", std::string("mosspath ") + MOSSPATH_VERSION);
   app.require_subcommand(0, 1);
+}
+
+CLI::App* AddSubcommand(CLI::App& parent, const char* name, const char* help,
+                        Arguments& arguments) {
+  CLI::App* parser = parent.add_subcommand(name, help);
+  parser->add_flag("--json", arguments.json, "Print the service's JSON answer");
+  return parser;
+}
 
-  const auto command = [&](CLI::App* parent, const char* name, const char* help) {
-    CLI::App* c = parent->add_subcommand(name, help);
-    c->add_flag("--json", json, "Print the service's JSON answer");
-    return c;
-  };
-  const auto user_command = [&](const char* name, const char* help) {
-    CLI::App* c = command(&app, name, help);
-    c->add_option("--server", server, "A node's public address")->type_name("ADDRESS:PORT");
-    return c;
-  };
-  CLI::App* submit = user_command("submit", "Submit a job");
-  submit->add_option("job", argument, "A file with the job in JSON, or - for standard input")
+CLI::App* AddUserSubcommand(CLI::App& app, const char* name, const char* help,
+                            Arguments& arguments) {
+  CLI::App* parser = AddSubcommand(app, name, help, arguments);
+  parser->add_option("--server", arguments.public_address, "A node's public address")
+      ->type_name("ADDRESS:PORT");
+  return parser;
+}
+
+std::vector<Subcommand> AddUserSubcommands(CLI::App& app, Arguments& arguments) {
+  CLI::App* submit = AddUserSubcommand(app, "submit", "Submit a job", arguments);
+  submit
+      ->add_option("job", arguments.job_file,
+                   "A file with the job in JSON, or - for standard input")
       ->required();
-  CLI::App* get = user_command("get", "Show a job's state");
-  get->add_option("id", argument, "The job's id")->required();
-  CLI::App* cancel = user_command("cancel", "Cancel a job");
-  cancel->add_option("id", argument, "The job's id")->required();
-  CLI::App* status = user_command("status", "Show machines, queues, objectives and troubles");
+  CLI::App* get = AddUserSubcommand(app, "get", "Show a job's state", arguments);
+  get->add_option("id", arguments.job_id, "The job's id")->required();
+  CLI::App* cancel = AddUserSubcommand(app, "cancel", "Cancel a job", arguments);
+  cancel->add_option("id", arguments.job_id, "The job's id")->required();
+  CLI::App* status =
+      AddUserSubcommand(app, "status", "Show machines, queues, objectives and troubles", arguments);
+  return {{submit, RunSubmit}, {get, RunGet}, {cancel, RunCancel}, {status, RunStatus}};
+}
+
+std::vector<Subcommand> AddSettingsSubcommands(CLI::App& app, Arguments& arguments) {
   CLI::App* settings = app.add_subcommand("settings", "Read or change the operators' settings");
   settings->require_subcommand(1);
-  settings->add_option("--server", admin, "A node's back address")->type_name("ADDRESS:PORT");
-  CLI::App* settings_get = command(settings, "get", "Show them");
-  CLI::App* settings_set = command(settings, "set", "Change some of them");
-  settings_set->add_option("changes", assignments, "NAME=VALUE")->required();
+  settings->add_option("--server", arguments.peer_address, "A node's back address")
+      ->type_name("ADDRESS:PORT");
+  CLI::App* get = AddSubcommand(*settings, "get", "Show them", arguments);
+  CLI::App* set = AddSubcommand(*settings, "set", "Change some of them", arguments);
+  set->add_option("changes", arguments.assignments, "NAME=VALUE")->required();
+  return {{get, RunSettingsGet}, {set, RunSettingsSet}};
+}
+
+// Runs the subcommand that was given, or the controller.
+int Run(const std::vector<Subcommand>& subcommands, const Arguments& arguments) {
+  for (const Subcommand& subcommand : subcommands) {
+    if (subcommand.parser->parsed()) return subcommand.run(arguments);
+  }
+  return RunController(arguments);
+}
+
+}  // namespace
 
+int Main(int argc, char** argv) {
+  CLI::App app{
+      "mosspath: a cluster scheduler.\nWith --config it serves as a "
+      "controller node until it is "
+      "killed; the subcommands talk to a running service."};
+  Arguments arguments;
+  AddControllerOptions(app, arguments);
+  std::vector<Subcommand> subcommands = AddUserSubcommands(app, arguments);
+  for (Subcommand& subcommand : AddSettingsSubcommands(app, arguments)) {
+    subcommands.push_back(std::move(subcommand));
+  }
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : kBadUse;
   }
   try {
-    if (submit->parsed()) {
-      return Show(Ask(server, "POST", "/api/jobs", ReadAll(argument)), json, TellJob);
-    }
-    if (get->parsed()) {
-      return Show(Ask(server, "GET", "/api/jobs/" + argument, {}), json, TellJob);
-    }
-    if (cancel->parsed()) {
-      return Show(Ask(server, "POST", "/api/jobs/" + argument + "/cancel", {}), json, TellJob);
-    }
-    if (status->parsed()) {
-      return Show(Ask(server, "GET", json ? "/status.json" : "/status", {}), json, TellJob);
-    }
-    if (settings_get->parsed()) {
-      return Show(Ask(admin, "GET", "/admin/v1/settings", {}), json, TellSettings);
-    }
-    if (settings_set->parsed()) return SetSettings(admin, assignments, json);
-    if (path.empty()) {
-      std::cerr << "mosspath: --config FILE or a subcommand is needed; see --help\n";
-      return kBadUse;
-    }
-    config::Settings s = config::Load(path);
-    s.lease_shards = lease_blocks;
-    if (check) {
-      std::cout << "settings are valid\n";
-      return 0;
-    }
-    return Serve(s);
+    return Run(subcommands, arguments);
   } catch (const config::SettingsError& e) {
     std::cerr << e.what() << '\n';
     return kBadUse;
