--- a/tests/admission_plan_model_test.cc
+++ b/tests/admission_plan_model_test.cc
@@ -13,22 +13,22 @@
 namespace mosspath::admission {
 namespace {
 
-// Every order of: either of two controllers asks whoever leads, answers that arrive late, twice or
-// never, time that passes, a new leader while the old one goes on until its time. The parts in
+// Every order of: either of two controllers asks the leader for a plan; answers arrive late, twice
+// or never; time passes; a new leader plans while the plans of the old one are valid. The shares in
 // force never exceed what is planned.
-class PlanModel {
+class Model {
  public:
   static constexpr int kChoices = 8;
-  PlanModel() { Lead(); }
+  Model() { StartLeader(); }
 
   bool Step(int choice) {
     switch (choice) {
       case 0:
       case 1:
-        return AskPlan(choice, 0);
+        return RequestPlan(choice, 0);
       case 2:
       case 3:
-        return AskPlan(choice - 2, 100);
+        return RequestPlan(choice - 2, 100);
       case 4:
       case 5:
         return Deliver(static_cast<size_t>(choice - 4));
@@ -37,17 +37,17 @@
         return true;
       default:
         if (leaders_ == 3) return false;
-        Lead();
+        StartLeader();
         return true;
     }
   }
-  double Parts() const { return shares_[0].Current(now_) + shares_[1].Current(now_); }
-  std::string Print() const {
+  double SharesInForce() const { return shares_[0].Current(now_) + shares_[1].Current(now_); }
+  std::string State() const {
     std::string out = std::to_string(now_) + "/" + std::to_string(leaders_);
     for (int i : {0, 1}) {
       out += "|" + std::to_string(shares_[i].Current(now_)) + "," +
-             std::to_string(shares_[i].plan().token) + "," + std::to_string(until_[i]);
-      for (const auto& [plan, asked] : out_[i]) {
+             std::to_string(shares_[i].plan().token) + "," + std::to_string(requested_at_[i]);
+      for (const auto& [plan, asked] : in_flight_[i]) {
         out += ";" + std::to_string(plan.token) + "." + std::to_string(plan.share) + "@" +
                std::to_string(asked);
       }
@@ -58,22 +58,22 @@
  private:
   static constexpr double kLife = 4;
 
-  void Lead() {
+  void StartLeader() {
     planner_ = std::make_unique<AdmissionPlanner>(std::vector<std::string>{"0", "1"}, ++leaders_,
                                                   kLife, now_);
   }
-  bool AskPlan(int i, double demand) {
-    if (out_[i].size() == 2) out_[i].pop_front();
-    out_[i].emplace_back(planner_->PlanFor(std::to_string(i), demand, now_), now_);
+  bool RequestPlan(int i, double demand) {
+    if (in_flight_[i].size() == 2) in_flight_[i].pop_front();
+    in_flight_[i].emplace_back(planner_->PlanFor(std::to_string(i), demand, now_), now_);
     return true;
   }
-  // The older of what is on its way; it may come again.
+  // Delivers the older answer in flight; it may come again.
   bool Deliver(size_t i) {
-    if (out_[i].empty()) return false;
-    const auto [plan, asked] = out_[i].front();
-    if (delivered_++ % 2 == 0) out_[i].pop_front();
+    if (in_flight_[i].empty()) return false;
+    const auto [plan, asked] = in_flight_[i].front();
+    if (delivered_++ % 2 == 0) in_flight_[i].pop_front();
     shares_[i].OnPlan(plan, asked);
-    until_[i] = asked;
+    requested_at_[i] = asked;
     return true;
   }
 
@@ -81,27 +81,27 @@
   uint64_t leaders_ = 0;
   std::unique_ptr<AdmissionPlanner> planner_;
   AdmissionShare shares_[2] = {AdmissionShare(2), AdmissionShare(2)};
-  std::deque<std::pair<AdmissionPlan, double>> out_[2];
-  double until_[2] = {0, 0};
+  std::deque<std::pair<AdmissionPlan, double>> in_flight_[2];
+  double requested_at_[2] = {0, 0};
   int delivered_ = 0;
 };
 
-TEST(PlanModel, EveryOrderOfEvents) {
+TEST(AdmissionPlanModelTest, EveryOrderOfEvents) {
   constexpr size_t kLongest = 10;
   std::set<std::string> seen;
   std::vector<std::vector<int>> frontier{{}};
-  double most = 0;
+  double most_in_force = 0;
   for (size_t length = 0; length < kLongest; ++length) {
     std::vector<std::vector<int>> next;
     for (const auto& walk : frontier) {
-      for (int choice = 0; choice < PlanModel::kChoices; ++choice) {
-        PlanModel model;
+      for (int choice = 0; choice < Model::kChoices; ++choice) {
+        Model model;
         for (int c : walk) model.Step(c);
         if (!model.Step(choice)) continue;
-        most = std::max(most, model.Parts());
-        ASSERT_LE(model.Parts(), kPlannedFraction + 1e-9)
+        most_in_force = std::max(most_in_force, model.SharesInForce());
+        ASSERT_LE(model.SharesInForce(), kPlannedFraction + 1e-9)
             << ::testing::PrintToString(walk) << choice;
-        if (!seen.insert(model.Print()).second) continue;
+        if (!seen.insert(model.State()).second) continue;
         next.push_back(walk);
         next.back().push_back(choice);
       }
@@ -111,7 +111,7 @@
   }
   RecordProperty("states", static_cast<int>(seen.size()));
   EXPECT_GT(seen.size(), 5000u);
-  EXPECT_GT(most, 0.9 * kPlannedFraction);  // and they are used
+  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // and the shares are used
 }
 
 }  // namespace
--- a/tests/admission_plan_test.cc
+++ b/tests/admission_plan_test.cc
@@ -6,24 +6,24 @@
 namespace mosspath::admission {
 namespace {
 
-TEST(Plan, PartsFollowWhoIsAsked) {
+TEST(AdmissionPlanTest, SharesFollowDemand) {
   AdmissionPlanner planner({"a", "b"}, 5, 4, 0);
   EXPECT_EQ(planner.PlanFor("a", 10, 3).life_s, 0);  // plans of an earlier leader may be in force
-  double part_a = 0;
+  double share_a = 0;
   for (double now = 5; now < 30; now += 1) {
-    part_a = planner.PlanFor("a", 300, now).share;
+    share_a = planner.PlanFor("a", 300, now).share;
     planner.PlanFor("b", 100, now);
   }
-  EXPECT_NEAR(part_a, MinimumShare(2) + (kPlannedFraction - 2 * MinimumShare(2)) * 0.75, 1e-9);
+  EXPECT_NEAR(share_a, MinimumShare(2) + (kPlannedFraction - 2 * MinimumShare(2)) * 0.75, 1e-9);
   EXPECT_EQ(planner.PlanFor("stranger", 100, 31).life_s, 0);
 }
 
-TEST(Plan, AnOlderOneChangesNothing) {
+TEST(AdmissionPlanTest, AnOlderPlanChangesNothing) {
   AdmissionShare share(2);
   share.OnPlan({7, 3, 4, 0.3}, 10);
-  share.OnPlan({6, 9, 4, 0.4}, 11);  // of an earlier leadership
+  share.OnPlan({6, 9, 4, 0.4}, 11);  // of an earlier leader
   share.OnPlan({7, 2, 4, 0.4}, 11);
-  share.OnPlan({8, 1, 0, 0.4}, 11);  // of one that does not plan
+  share.OnPlan({8, 1, 0, 0.4}, 11);  // of a leader that does not plan
   EXPECT_EQ(share.Current(13.9), 0.3);
   EXPECT_EQ(share.Current(14), MinimumShare(2));
 }
--- a/tests/decisions_test.cc
+++ b/tests/decisions_test.cc
@@ -19,8 +19,8 @@
   return decisions.number();
 }
 
-// Every part of what a machine is told counts, and so do its time and its order.
-TEST(Decisions, EachPartOfAnOrderCounts) {
+// Each field of a command counts, and so do its time and its order.
+TEST(DecisionsTest, EachFieldOfACommandCounts) {
   const auto answered = [](double now, const std::string& machine, int status, uint64_t token,
                            const Command& command) {
     return NumberOf([&](Decisions& d) { d.Answered(now, machine, status, token, {command}, ""); });
@@ -40,7 +40,7 @@
   EXPECT_EQ(answered(1, "vm-1", 200, 7, kOrder[0]), answered(1, "vm-1", 200, 7, kOrder[0]));
 }
 
-TEST(Decisions, EachKindCounts) {
+TEST(DecisionsTest, EachKindCounts) {
   const std::set<size_t> numbers = {
       NumberOf([](Decisions&) {}),
       NumberOf([](Decisions& d) { d.Answered(1, "vm-1", 421, 0, {}, ""); }),
@@ -66,7 +66,7 @@
   EXPECT_EQ(numbers.size(), 15U);
 }
 
-TEST(Decisions, TheirOrderCounts) {
+TEST(DecisionsTest, TheirOrderCounts) {
   const auto both = [](const std::string& first, const std::string& second) {
     return NumberOf([&](Decisions& d) {
       d.Returned(1, first);
--- a/tests/fair_queue_test.cc
+++ b/tests/fair_queue_test.cc
@@ -11,7 +11,7 @@
 namespace mosspath::admission {
 namespace {
 
-RC_GTEST_PROP(FairQueue, NobodyWaitsBehindAnothersQueue, ()) {
+RC_GTEST_PROP(FairQueueTest, NoTeamWaitsBehindAnothersQueue, ()) {
   FairQueue<std::pair<std::string, int>> queue;
   const int flood = *rc::gen::inRange(1, 300);
   for (int i = 0; i < flood; ++i) queue.Push("flood", "f", 1, {"flood", i});
@@ -21,18 +21,18 @@
   for (int t = 0; t < others; ++t) {
     queue.Push("t" + std::to_string(t), "c", 1, {"t" + std::to_string(t), 0});
   }
-  std::set<std::string> came;
-  for (int i = 0; i <= others && !queue.empty(); ++i) came.insert(queue.Pop().first);
-  for (int t = 0; t < others; ++t) RC_ASSERT(came.contains("t" + std::to_string(t)));
-  size_t left = queue.size();
+  std::set<std::string> served_teams;
+  for (int i = 0; i <= others && !queue.empty(); ++i) served_teams.insert(queue.Pop().first);
+  for (int t = 0; t < others; ++t) RC_ASSERT(served_teams.contains("t" + std::to_string(t)));
+  size_t remaining = queue.size();
   while (!queue.empty()) {
     queue.Pop();
-    --left;
+    --remaining;
   }
-  RC_ASSERT(left == 0u);
+  RC_ASSERT(remaining == 0u);
 }
 
-TEST(FairQueue, ClassesOfATeamShareByWeightAndLateOnesAreTakenOut) {
+TEST(FairQueueTest, ClassesOfATeamShareByWeightAndExpiredEntriesAreRemoved) {
   FairQueue<int> queue;
   for (int i = 0; i < 100; ++i) {
     queue.Push("t", "low", 1, 0);
@@ -42,7 +42,7 @@
   for (int i = 0; i < 50; ++i) high += queue.Pop();
   EXPECT_NEAR(high, 40, 2);
   size_t taken = 0;
-  queue.RemoveIf([](int rank) { return rank == 1; }, [&](int) { ++taken; });
+  queue.RemoveIf([](int priority) { return priority == 1; }, [&](int) { ++taken; });
   EXPECT_EQ(taken, static_cast<size_t>(100 - high));
   EXPECT_EQ(queue.SizeOf("t"), queue.size());
   EXPECT_EQ(queue.Pop(), 0);
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -11,121 +11,119 @@
 namespace mosspath::scheduler {
 namespace {
 
-jobs::Job Waiting(const std::string& team, const std::string& job_class, uint32_t tasks,
-                  uint32_t placed) {
-  wire::JobSpec s;
-  s.id = "req-" + team + job_class;
-  s.team = team;
-  s.job_class = job_class;
-  s.tasks = tasks;
-  s.cpus = 1;
-  jobs::Job job(s, 1, 0);
+// A job of which `placed` tasks are no longer pending.
+jobs::Job PendingJob(const std::string& team, const std::string& job_class, uint32_t tasks,
+                     uint32_t placed) {
+  wire::JobSpec spec = test::MakeJobSpec("req-" + team + job_class, team, tasks);
+  spec.job_class = job_class;
+  jobs::Job job(spec, 1, 0);
   for (uint32_t i = 0; i < placed; ++i) job.pending.erase(i);
   return job;
 }
 
-// However much of others waits, each team and class is owed what its floor exceeds its use by.
-TEST(Turns, EachTeamAndClassIsOwedItsFloor) {
-  FairShare turns({{"desk", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}, {"sure", 300, 0, 0, 0}});
-  turns.Configure(0.15, {});
-  const auto urgent = Waiting("desk", "urgent", 5000, 900);
-  const auto low = Waiting("desk", "low", 5000, 10);
-  const auto guest = Waiting("guest", "g", 5000, 20);
-  const auto sure = Waiting("sure", "s", 5000, 70);
-  turns.BeginPass(1000);
-  for (const auto* j : {&urgent, &low, &guest, &sure}) turns.AddJob(*j, true);
-  turns.ComputeFloors();
-  EXPECT_EQ(turns.DeficitCpus(urgent), 0);
-  EXPECT_NEAR(turns.DeficitCpus(low), 0.15 * 910 / 2 - 10, 1e-9);
-  EXPECT_NEAR(turns.DeficitCpus(guest), 50 - 20, 1e-9);
-  EXPECT_NEAR(turns.DeficitCpus(sure), 300 - 70, 1e-9);  // its guarantee
-  for (int i = 0; i < 30; ++i) turns.OnAllocated(guest, 1);
-  EXPECT_EQ(turns.DeficitCpus(guest), 0);
-  EXPECT_FALSE(turns.MayPreempt(guest, 1));
-  EXPECT_TRUE(turns.MayPreempt(urgent, 1));
-  // Nothing is kept for who has nothing left, or no weight.
-  turns.Configure(0.15, {{"guest", 0}});
-  turns.BeginPass(1000);
-  turns.AddJob(urgent, true);
-  turns.AddJob(guest, true);
-  turns.ComputeFloors();
-  EXPECT_EQ(turns.DeficitCpus(guest), 0);
-  turns.Configure(0, {});
-  turns.BeginPass(1000);
-  for (const auto* j : {&urgent, &low, &guest, &sure}) turns.AddJob(*j, true);
-  turns.ComputeFloors();
-  EXPECT_FALSE(turns.has_deficit());
+// The deficit of a team or class is what its floor exceeds its use by, however much work of others
+// is pending.
+TEST(FairShareTest, EachTeamAndClassHasADeficitUpToItsFloor) {
+  FairShare fair_share({{"desk", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}, {"sure", 300, 0, 0, 0}});
+  fair_share.Configure(0.15, {});
+  const auto urgent = PendingJob("desk", "urgent", 5000, 900);
+  const auto low = PendingJob("desk", "low", 5000, 10);
+  const auto guest = PendingJob("guest", "g", 5000, 20);
+  const auto sure = PendingJob("sure", "s", 5000, 70);
+  fair_share.BeginPass(1000);
+  for (const auto* job : {&urgent, &low, &guest, &sure}) fair_share.AddJob(*job, true);
+  fair_share.ComputeFloors();
+  EXPECT_EQ(fair_share.DeficitCpus(urgent), 0);
+  EXPECT_NEAR(fair_share.DeficitCpus(low), 0.15 * 910 / 2 - 10, 1e-9);
+  EXPECT_NEAR(fair_share.DeficitCpus(guest), 50 - 20, 1e-9);
+  EXPECT_NEAR(fair_share.DeficitCpus(sure), 300 - 70, 1e-9);  // its guarantee
+  for (int i = 0; i < 30; ++i) fair_share.OnAllocated(guest, 1);
+  EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
+  EXPECT_FALSE(fair_share.MayPreempt(guest, 1));
+  EXPECT_TRUE(fair_share.MayPreempt(urgent, 1));
+  // A team without pending tasks or without weight has no floor.
+  fair_share.Configure(0.15, {{"guest", 0}});
+  fair_share.BeginPass(1000);
+  fair_share.AddJob(urgent, true);
+  fair_share.AddJob(guest, true);
+  fair_share.ComputeFloors();
+  EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
+  fair_share.Configure(0, {});
+  fair_share.BeginPass(1000);
+  for (const auto* job : {&urgent, &low, &guest, &sure}) fair_share.AddJob(*job, true);
+  fair_share.ComputeFloors();
+  EXPECT_FALSE(fair_share.has_deficit());
 }
 
-// However much urgent work waits, a team holds its floor of the machines: when there is room for
-// all to choose, when room comes free on one, and against preemption.
-class TurnsTest : public DispatcherTest {
+// However many urgent tasks are pending, a team holds its floor: when all machines have capacity,
+// when capacity is freed on one, and against preemption.
+class FairShareSchedulingTest : public SchedulerTest {
  protected:
-  TurnsTest() {
-    config::OperatorSettings s;
-    s.turn_share = 0.5;  // 2 of 8 CPUs for each of two teams
-    d_.Apply(s);
-    Ready("vm-1", 1);
-    Ready("vm-2", 1);
+  FairShareSchedulingTest() {
+    config::OperatorSettings settings;
+    settings.turn_share = 0.5;  // 2 of 8 CPUs for each of two teams
+    scheduler_.Apply(settings);
+    AddReadyMachine("vm-1", 1);
+    AddReadyMachine("vm-2", 1);
   }
-  void Guest(uint32_t tasks, double at) {
-    wire::JobSpec s = Job(2, tasks, 1, wire::Priority::kLow);
-    s.team = "guest";
-    s.image = "other";
-    d_.AddJob(s, 12, at);
+  void AddGuestJob(uint32_t tasks, double at) {
+    wire::JobSpec spec = Job(2, tasks, 1, wire::Priority::kLow);
+    spec.team = "guest";
+    spec.image = "other";
+    scheduler_.AddJob(spec, 12, at);
   }
-  uint32_t Placed(int number) { return d_.FindJob("req-" + std::to_string(number))->placed(); }
-  // What the machine was told to start, as it reports it.
-  std::vector<wire::TaskStatus> Started(const std::string& id, double now) {
+  uint32_t RunningTasks(int number) {
+    return scheduler_.FindJob("req-" + std::to_string(number))->placed();
+  }
+  // The statuses of the tasks that the answer to a heartbeat starts.
+  std::vector<wire::TaskStatus> StartedTasks(const std::string& id, double now) {
     std::vector<wire::TaskStatus> tasks;
-    for (const auto& c : Only(Report(id, now), wire::CommandType::kStart)) {
-      tasks.push_back(
-          {c.task, c.attempt, wire::TaskState::kRunning, wire::ExitReason::kNone, false});
+    for (const auto& command : Starts(SendHeartbeat(id, now))) {
+      tasks.push_back(test::Running(command));
     }
     return tasks;
   }
 };
 
-TEST_F(TurnsTest, ATeamGetsItsFloorBeforeUrgentWork) {
-  d_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 1);
-  Guest(10, 1.5);
-  Report("vm-1", 2);
-  Report("vm-2", 2);
-  EXPECT_EQ(Placed(1), 6u);
-  EXPECT_EQ(Placed(2), 2u);
+TEST_F(FairShareSchedulingTest, ATeamGetsItsFloorBeforeUrgentJobs) {
+  scheduler_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 1);
+  AddGuestJob(10, 1.5);
+  SendHeartbeat("vm-1", 2);
+  SendHeartbeat("vm-2", 2);
+  EXPECT_EQ(RunningTasks(1), 6u);
+  EXPECT_EQ(RunningTasks(2), 2u);
 }
 
-TEST_F(TurnsTest, RoomThatComesFreeGoesToWhoIsOwed) {
-  d_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 1);
-  Report("vm-2", 2);
-  auto tasks = Started("vm-1", 2);
+TEST_F(FairShareSchedulingTest, FreedCapacityGoesToTheTeamBelowItsFloor) {
+  scheduler_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 1);
+  SendHeartbeat("vm-2", 2);
+  auto tasks = StartedTasks("vm-1", 2);
   ASSERT_EQ(tasks.size(), 4u);
-  Guest(10, 2);
-  Report("vm-1", 3, tasks);
-  EXPECT_EQ(Placed(2), 0u);
-  // Old enough that a fetch is worth it.
+  AddGuestJob(10, 2);
+  SendHeartbeat("vm-1", 3, tasks);
+  EXPECT_EQ(RunningTasks(2), 0u);
+  // The job has waited long enough to be worth an image fetch.
   for (int i : {0, 1, 2}) {
-    tasks[static_cast<size_t>(i)].state = wire::TaskState::kExited;
-    tasks[static_cast<size_t>(i)].exit_reason = wire::ExitReason::kSucceeded;
+    test::MarkExited(tasks[static_cast<size_t>(i)], wire::ExitReason::kSucceeded);
   }
-  d_.Place(10);
-  Report("vm-1", 10, tasks);
-  EXPECT_EQ(Placed(2), 2u);
-  EXPECT_EQ(Placed(1), 6u);
+  scheduler_.Place(10);
+  SendHeartbeat("vm-1", 10, tasks);
+  EXPECT_EQ(RunningTasks(2), 2u);
+  EXPECT_EQ(RunningTasks(1), 6u);
 }
 
-TEST_F(TurnsTest, WhatATeamsFloorHoldsIsNotPreempted) {
-  Guest(10, 1);
-  const auto one = Started("vm-1", 2);
-  const auto two = Started("vm-2", 2);
+TEST_F(FairShareSchedulingTest, TasksWithinATeamsFloorAreNotPreempted) {
+  AddGuestJob(10, 1);
+  const auto one = StartedTasks("vm-1", 2);
+  const auto two = StartedTasks("vm-2", 2);
   ASSERT_EQ(one.size() + two.size(), 8u);
-  Report("vm-1", 3, one);
-  Report("vm-2", 3, two);
-  d_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 3);
-  d_.Tick(3.1 + settings_.heartbeat_s);
-  EXPECT_EQ(Only(Report("vm-1", 6, one), wire::CommandType::kStop).size() +
-                Only(Report("vm-2", 6, two), wire::CommandType::kStop).size(),
-            6u);
+  SendHeartbeat("vm-1", 3, one);
+  SendHeartbeat("vm-2", 3, two);
+  scheduler_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 3);
+  scheduler_.Tick(3.1 + settings_.heartbeat_s);
+  EXPECT_EQ(
+      Stops(SendHeartbeat("vm-1", 6, one)).size() + Stops(SendHeartbeat("vm-2", 6, two)).size(),
+      6u);
 }
 
 }  // namespace
--- a/tests/heartbeat_model_test.cc
+++ b/tests/heartbeat_model_test.cc
@@ -1,16 +1,19 @@
-// A model walked in every order: one machine that may hear nothing, one that is well, two leaders
-// one after the other, one task. Reports are delivered again, answers and orders are lost or held
-// back. The leaders are the real decisions. The task must never be on both machines.
+// A model whose events are walked in every order: one machine that nothing may reach, one that is
+// healthy, two leaders one after the other, one task. Heartbeats are duplicated; answers and
+// commands are lost or delayed. The leaders are the real decision classes. The task must never run
+// on both machines.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
+#include <iostream>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "builders.h"
 #include "fakes/plain_agent.h"
 #include "mosspath/scheduler/scheduler.h"
 #include "simulation/cluster.h"
@@ -23,169 +26,171 @@
 using fakes::PlainAgent;
 
 enum class Event {
-  kAnswered,     // the machine reports, and is answered
-  kDeafReport,   // it reports; the answer is lost
-  kOrder,        // what is meant for it goes straight there, and is answered
-  kOrderUnsure,  // the same, the answer is lost
-  kOrderHeld,    // it is held back
-  kHeldArrives,  // and arrives, whoever leads by then
-  kCopyFirst,    // its first report arrives again
-  kCopyLast,     // its last one does
-  kOther,        // the other machine reports, and is answered; what is meant for it goes there
-  kTime,         // a third of a lease goes by
-  kElect,        // another leads from here on
+  kHeartbeat,                // the machine sends a heartbeat, and is answered
+  kHeartbeatAnswerLost,      // it sends one; the answer is lost
+  kCommands,                 // direct commands reach it, and their outcome the leader
+  kCommandOutcomeLost,       // they reach it; their outcome is lost
+  kCommandsDelayed,          // they are delayed
+  kDelayedCommandsArrive,    // the delayed ones arrive, whoever leads by then
+  kDuplicateFirstHeartbeat,  // its first heartbeat arrives again
+  kDuplicateLastHeartbeat,   // its last one does
+  kOtherHeartbeat,           // the other machine sends a heartbeat, and gets its commands
+  kTimePasses,               // a third of a lease passes
+  kElect,                    // another leader is elected
   kEvents
 };
 
 class Model {
  public:
   Model() : settings_(simulation::SmallSettings()), derived_(settings_) {
-    Lead(10);
-    Step(Event::kAnswered);
-    Step(Event::kOther);
-    for (int i = 0; i < 2; ++i) Durable();
-    wire::JobSpec s;
-    s.id = kTask.job;
-    s.team = "free";
-    s.tasks = 1;
-    s.cpus = 1;
-    s.image = "img";
-    s.priority = wire::Priority::kHigh;
-    s.estimated_run_s = 100;
-    job_ = s;
+    Elect(10);
+    Step(Event::kHeartbeat);
+    Step(Event::kOtherHeartbeat);
+    for (int i = 0; i < 2; ++i) MakeRecordsDurable();
+    job_ = test::MakeJobSpec(kTask.job, "free", /*tasks=*/1);
+    job_.image = "img";
+    job_.priority = wire::Priority::kHigh;
+    job_.estimated_run_s = 100;
     leader_->AddJob(job_, 5, now_);
     leader_->Place(now_);
   }
 
-  // False: nothing like that can happen now.
-  bool Step(Event e) {
+  // Returns false if the event cannot happen in this state.
+  bool Step(Event event) {
     now_ += 0.6;
-    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
-    const bool happens = Happens(e);
-    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
+    for (PlainAgent* agent : {&partitioned_, &healthy_})
+      agent->LeaseAt(now_, settings_.agent_lease_s);
+    const bool happens = Happens(event);
+    for (PlainAgent* agent : {&partitioned_, &healthy_})
+      agent->LeaseAt(now_, settings_.agent_lease_s);
     leader_->Tick(now_);
-    Durable();
+    MakeRecordsDurable();
     return happens;
   }
-  bool Twice() const { return a_.Has(kTask) && b_.Has(kTask); }
-  bool Began() const { return a_.Has(kTask) || b_.Has(kTask); }
+  bool RunsTwice() const { return partitioned_.Has(kTask) && healthy_.Has(kTask); }
+  bool HasStarted() const { return partitioned_.Has(kTask) || healthy_.Has(kTask); }
 
-  // All that may decide what comes next; times only as far as they matter.
+  // The state as text: all that may decide what follows, and times only as far as they matter.
   std::string State() const {
-    std::string out =
-        fmt::format("{} {} {}", elections_, held_.size(), first_ ? first_->sequence : 0);
-    for (const PlainAgent* w : {&a_, &b_}) {
-      out += fmt::format("|{} {} {} {:.0f}", w->session, w->seq, w->token, now_ - w->lease_from);
-      for (const auto& [key, a] : w->attempts) {
+    std::string out = fmt::format("{} {} {}", elections_, delayed_commands_.size(),
+                                  first_heartbeat_ ? first_heartbeat_->sequence : 0);
+    for (const PlainAgent* agent : {&partitioned_, &healthy_}) {
+      out += fmt::format("|{} {} {} {:.0f}", agent->session, agent->seq, agent->token,
+                         now_ - agent->lease_from);
+      for (const auto& [key, a] : agent->attempts) {
         out += fmt::format(" {}:{}", key.second, static_cast<int>(a.state));
       }
     }
-    for (const auto& [id, m] : leader_->machines()) {
-      out += fmt::format("|{} {} {} {} {}{}{}{} {:.0f} {:.0f}", id, m.agent_epoch,
-                         m.heartbeat_sequence, m.fencing_token, m.token_confirmed, m.lost,
-                         m.awaits_recovery, m.ignored_answers, now_ - m.lease_renewed_at,
-                         m.TokenUnconfirmedFor(now_));
-      for (const auto& [key, slot] : m.allocations) {
-        out += fmt::format(" {}:{}{}{}", key.second, static_cast<int>(slot.state),
-                           slot.start_unconfirmed, slot.stop_requested);
+    for (const auto& [id, machine] : leader_->machines()) {
+      out += fmt::format("|{} {} {} {} {}{}{}{} {:.0f} {:.0f}", id, machine.agent_epoch,
+                         machine.heartbeat_sequence, machine.fencing_token, machine.token_confirmed,
+                         machine.lost, machine.awaits_recovery, machine.ignored_answers,
+                         now_ - machine.lease_renewed_at, machine.TokenUnconfirmedFor(now_));
+      for (const auto& [key, allocation] : machine.allocations) {
+        out += fmt::format(" {}:{}{}{}", key.second, static_cast<int>(allocation.state),
+                           allocation.start_unconfirmed, allocation.stop_requested);
       }
     }
     return out;
   }
 
  private:
-  void Lead(uint64_t token) {
+  void Elect(uint64_t token) {
     leader_ = std::make_unique<Scheduler>(settings_, derived_, token, now_);
     leader_->SetMachineTypes({simulation::SmallType()});
   }
-  void Durable() {
+  void MakeRecordsDurable() {
     for (;;) {
-      const auto batch = leader_->TakeRecords(100, 48u << 10);
+      const auto batch = leader_->TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes);
       if (batch.empty()) return;
-      for (const auto& w : batch.machines) records_[w.pack] = w.value;
+      for (const auto& write : batch.machines) records_[write.pack] = write.value;
       leader_->OnRecordsWritten(++revision_, now_);
     }
   }
-  void Answer(PlainAgent& w, bool arrives) {
-    const wire::Heartbeat r = w.Report();
-    if (&w == &a_) {
-      if (!first_) first_ = r;
-      last_ = r;
+  void SendHeartbeat(PlainAgent& agent, bool arrives) {
+    const wire::Heartbeat heartbeat = agent.Report();
+    if (&agent == &partitioned_) {
+      if (!first_heartbeat_) first_heartbeat_ = heartbeat;
+      last_heartbeat_ = heartbeat;
     }
-    const HeartbeatAnswer answer = leader_->OnHeartbeat(r, now_);
-    if (!arrives || !answer.accepted || answer.token < w.token) return;
-    w.lease_from = now_;
-    w.token = answer.token;
-    w.Execute(answer.commands);
+    const HeartbeatAnswer answer = leader_->OnHeartbeat(heartbeat, now_);
+    if (!arrives || !answer.accepted || answer.token < agent.token) return;
+    agent.lease_from = now_;
+    agent.token = answer.token;
+    agent.Execute(answer.commands);
   }
-  // A worker's answer to an order, if it takes it.
-  static bool Take(PlainAgent& w, const CommandBatch& o) {
-    if (o.fencing_token < w.token || o.agent_epoch != w.session) return false;
-    w.token = o.fencing_token;
-    w.Execute(o.commands);
+  // Executes the commands if the agent accepts them.
+  static bool ExecuteIfAccepted(PlainAgent& agent, const CommandBatch& batch) {
+    if (batch.fencing_token < agent.token || batch.agent_epoch != agent.session) return false;
+    agent.token = batch.fencing_token;
+    agent.Execute(batch.commands);
     return true;
   }
-  bool Orders(Event e) {
+  bool DeliverCommands(Event event) {
     bool any = false;
-    for (const CommandBatch& o : leader_->TakeCommands(now_)) {
-      PlainAgent& w = o.machine == a_.id ? a_ : b_;
-      const bool meant = (&w == &a_) == (e != Event::kOther);
-      any = any || meant;
-      if (meant && e == Event::kOrderHeld) {
-        held_.push_back(o);
-        leader_->OnCommandOutcome(o, CommandOutcome::kUndetermined, nullptr, now_);
+    for (const CommandBatch& batch : leader_->TakeCommands(now_)) {
+      PlainAgent& agent = batch.machine == partitioned_.id ? partitioned_ : healthy_;
+      const bool for_this_machine = (&agent == &partitioned_) == (event != Event::kOtherHeartbeat);
+      any = any || for_this_machine;
+      if (for_this_machine && event == Event::kCommandsDelayed) {
+        delayed_commands_.push_back(batch);
+        leader_->OnCommandOutcome(batch, CommandOutcome::kUndetermined, nullptr, now_);
         continue;
       }
-      const bool taken = Take(w, o);
-      const wire::Heartbeat r = w.Report();
-      const bool lost = meant && e == Event::kOrderUnsure;
-      leader_->OnCommandOutcome(o,
-                                lost    ? CommandOutcome::kUndetermined
-                                : taken ? CommandOutcome::kExecuted
-                                        : CommandOutcome::kRefused,
-                                lost ? nullptr : &r, now_);
+      const bool accepted = ExecuteIfAccepted(agent, batch);
+      const wire::Heartbeat heartbeat = agent.Report();
+      const bool lost = for_this_machine && event == Event::kCommandOutcomeLost;
+      leader_->OnCommandOutcome(batch,
+                                lost       ? CommandOutcome::kUndetermined
+                                : accepted ? CommandOutcome::kExecuted
+                                           : CommandOutcome::kRefused,
+                                lost ? nullptr : &heartbeat, now_);
     }
     return any;
   }
-  bool Happens(Event e) {
-    switch (e) {
-      case Event::kAnswered:
-      case Event::kDeafReport:
-        Answer(a_, e == Event::kAnswered);
+  bool Happens(Event event) {
+    switch (event) {
+      case Event::kHeartbeat:
+      case Event::kHeartbeatAnswerLost:
+        SendHeartbeat(partitioned_, event == Event::kHeartbeat);
         return true;
-      case Event::kOrder:
-      case Event::kOrderUnsure:
-      case Event::kOrderHeld:
-        return Orders(e);
-      case Event::kHeldArrives:
-        if (held_.empty()) return false;
-        Take(a_, held_.front());
-        held_.erase(held_.begin());
+      case Event::kCommands:
+      case Event::kCommandOutcomeLost:
+      case Event::kCommandsDelayed:
+        return DeliverCommands(event);
+      case Event::kDelayedCommandsArrive:
+        if (delayed_commands_.empty()) return false;
+        ExecuteIfAccepted(partitioned_, delayed_commands_.front());
+        delayed_commands_.erase(delayed_commands_.begin());
         return true;
-      case Event::kCopyFirst:
-      case Event::kCopyLast: {
-        const auto& copy = e == Event::kCopyFirst ? first_ : last_;
-        if (!copy || (e == Event::kCopyFirst && first_->sequence == last_->sequence)) return false;
-        leader_->OnHeartbeat(*copy, now_);
+      case Event::kDuplicateFirstHeartbeat:
+      case Event::kDuplicateLastHeartbeat: {
+        const auto& duplicate =
+            event == Event::kDuplicateFirstHeartbeat ? first_heartbeat_ : last_heartbeat_;
+        if (!duplicate || (event == Event::kDuplicateFirstHeartbeat &&
+                           first_heartbeat_->sequence == last_heartbeat_->sequence))
+          return false;
+        leader_->OnHeartbeat(*duplicate, now_);
         return true;
       }
-      case Event::kOther:
-        Answer(b_, true);
-        Orders(e);
+      case Event::kOtherHeartbeat:
+        SendHeartbeat(healthy_, true);
+        DeliverCommands(event);
         return true;
-      case Event::kTime:
-        // The other machine reports all the while.
+      case Event::kTimePasses:
+        // The other machine sends heartbeats all the while.
         for (int i = 0; i < 3; ++i) {
           now_ += settings_.agent_lease_s / 9;
-          for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
+          for (PlainAgent* agent : {&partitioned_, &healthy_})
+            agent->LeaseAt(now_, settings_.agent_lease_s);
           leader_->Tick(now_);
-          Durable();
-          Answer(b_, true);
+          MakeRecordsDurable();
+          SendHeartbeat(healthy_, true);
         }
         return true;
       case Event::kElect: {
         if (++elections_ > 1) return false;
-        Lead(1000);
+        Elect(1000);
         revision_ = 1000;
         for (const auto& [pack, value] : records_) leader_->LoadMachinesPack(pack, value, 900);
         leader_->AddJob(job_, 5, now_);
@@ -203,43 +208,43 @@
   uint64_t revision_ = 20;
   int elections_ = 0;
   wire::JobSpec job_;
-  PlainAgent a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainAgent b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  PlainAgent partitioned_{.id = "vm-1", .lease_from = 1, .attempts = {}};
+  PlainAgent healthy_{.id = "vm-2", .lease_from = 1, .attempts = {}};
   std::unique_ptr<Scheduler> leader_;
   std::map<int, wire::Json> records_;
-  std::vector<CommandBatch> held_;
-  std::optional<wire::Heartbeat> first_;
-  std::optional<wire::Heartbeat> last_;
+  std::vector<CommandBatch> delayed_commands_;
+  std::optional<wire::Heartbeat> first_heartbeat_;
+  std::optional<wire::Heartbeat> last_heartbeat_;
 };
 
-TEST(ReportModel, TheTaskIsNeverOnBothMachinesWhateverIsLostOrComesAgain) {
-  constexpr size_t kSteps = 8;
-  constexpr size_t kMostStates = 40'000;
+TEST(HeartbeatModelTest, TheTaskIsNeverOnBothMachinesUnderLossAndDuplication) {
+  constexpr size_t kMaxEvents = 8;
+  constexpr size_t kMaxStates = 40'000;
   spdlog::set_level(spdlog::level::off);
   std::set<std::string> seen;
   std::vector<std::vector<Event>> walks{{}};
-  size_t began = 0;
-  for (size_t at = 0; at < walks.size() && seen.size() < kMostStates; ++at) {
+  size_t started = 0;
+  for (size_t at = 0; at < walks.size() && seen.size() < kMaxStates; ++at) {
     const std::vector<Event> walk = walks[at];
-    for (int e = 0; e < static_cast<int>(Event::kEvents); ++e) {
+    for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
       Model model;
       for (const Event earlier : walk) model.Step(earlier);
-      if (!model.Step(static_cast<Event>(e))) continue;
+      if (!model.Step(static_cast<Event>(event))) continue;
       if (!seen.insert(model.State()).second) continue;
-      std::string how;
-      for (const Event earlier : walk) how += fmt::format("{} ", static_cast<int>(earlier));
-      ASSERT_FALSE(model.Twice()) << how << e;
-      began += model.Began() ? 1 : 0;
-      if (walk.size() + 1 >= kSteps) continue;
+      std::string events;
+      for (const Event earlier : walk) events += fmt::format("{} ", static_cast<int>(earlier));
+      ASSERT_FALSE(model.RunsTwice()) << events << event;
+      started += model.HasStarted() ? 1 : 0;
+      if (walk.size() + 1 >= kMaxEvents) continue;
       walks.push_back(walk);
-      walks.back().push_back(static_cast<Event>(e));
+      walks.back().push_back(static_cast<Event>(event));
     }
   }
   spdlog::set_level(spdlog::level::info);
   RecordProperty("states", static_cast<int>(seen.size()));
   std::cout << "states " << seen.size() << ", walks " << walks.size() << '\n';
   EXPECT_GT(seen.size(), 5'000u);
-  EXPECT_GT(began, seen.size() / 4);
+  EXPECT_GT(started, seen.size() / 4);
 }
 
 }  // namespace
--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -14,8 +14,8 @@
 namespace mosspath::net {
 namespace {
 
-// What was queued before a leader stood still must not leave after it.
-TEST(HttpClient, ARequestThatIsNoLongerWantedIsNotSent) {
+// What was queued before a leader stalled must not be sent after it.
+TEST(HttpClientTest, ARequestThatIsNoLongerWantedIsNotSent) {
   asio::io_context io;
   int handled = 0;
   HttpServer server(io, "127.0.0.1:0", {}, [&](const HttpRequest&, const auto& respond) {
@@ -24,15 +24,15 @@
   });
   HttpClient client(io, "127.0.0.1:" + std::to_string(server.port()), {});
   std::vector<HttpResult> results;
-  const auto ask = [&](bool wanted) {
+  const auto send = [&](bool wanted) {
     client.Send(
         "GET", "/x", {}, 5, [&](HttpResult r) { results.push_back(std::move(r)); },
         [wanted] { return wanted; });
     const size_t before = results.size();
     while (results.size() == before) io.run_one();
   };
-  ask(true);   // over a new connection, and then
-  ask(false);  // over the same
+  send(true);   // over a new connection
+  send(false);  // over the same connection
   ASSERT_EQ(results.size(), 2u);
   EXPECT_EQ(results[0].status, 200);
   EXPECT_EQ(results[1].status, 0);
@@ -40,9 +40,9 @@
   EXPECT_EQ(handled, 1);
 }
 
-// Leaders of the past were kept alive by what their own connections remembered of the last request,
-// and their sockets with them, until none were left.
-TEST(HttpClient, KeepsNothingOfARequestThatIsOver) {
+// Former leaders were kept alive by the callbacks of the last request that their own connections
+// retained, and their sockets with them, until none were left.
+TEST(HttpClientTest, ReleasesTheCallbacksOfAFinishedRequest) {
   asio::io_context io;
   HttpServer server(io, "127.0.0.1:0", {}, [&](const HttpRequest&, const auto& respond) {
     respond({200, "{}"});
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -15,21 +15,22 @@
 namespace mosspath::net {
 namespace {
 
-// A server that tells users from workers by their path, with so many sockets.
-struct Served {
-  explicit Served(size_t n)
-      : sockets(std::make_shared<SocketBudget>(n)),
+// A server with a budget of sockets, which tells users from agents by the path of the request.
+struct TestServer {
+  explicit TestServer(size_t limit)
+      : sockets(std::make_shared<SocketBudget>(limit)),
         server(io, "127.0.0.1:0", {.sockets = sockets},
-               [](const HttpRequest& r, const auto& respond) {
-                 HttpResponse a{200, "{}"};
-                 a.connection_class =
-                     r.path == "/user" ? ConnectionClass::kUser : ConnectionClass::kAgent;
-                 respond(std::move(a));
+               [](const HttpRequest& request, const auto& respond) {
+                 HttpResponse response{200, "{}"};
+                 response.connection_class =
+                     request.path == "/user" ? ConnectionClass::kUser : ConnectionClass::kAgent;
+                 respond(std::move(response));
                }),
         address("127.0.0.1:" + std::to_string(server.port())) {}
-  int Ask(HttpClient& c, const char* path) {
+  // Sends the request and returns the status of the answer.
+  int Get(HttpClient& client, const char* path) {
     int status = -1;
-    c.Send("GET", path, {}, 5, [&](const HttpResult& r) { status = r.status; });
+    client.Send("GET", path, {}, 5, [&](const HttpResult& result) { status = result.status; });
     while (status < 0) io.run_one();
     return status;
   }
@@ -40,37 +41,37 @@
   const std::string address;
 };
 
-// Many users kept all connections, and workers found none.
-TEST(HttpServer, UsersGiveTheirConnectionsUpWhenThoseAreScarce) {
-  Served served(64);
+// Many users kept all connections open, and agents found none.
+TEST(HttpServerTest, UserConnectionsAreClosedAfterTheAnswerWhenSocketsAreScarce) {
+  TestServer test_server(64);
   std::vector<std::unique_ptr<HttpClient>> clients;
   for (int i = 0; i < 30; ++i) {
     clients.push_back(
-        std::make_unique<HttpClient>(served.io, served.address, HttpClient::Options{}));
-    EXPECT_EQ(served.Ask(*clients.back(), "/user"), 200) << i;
+        std::make_unique<HttpClient>(test_server.io, test_server.address, HttpClient::Options{}));
+    EXPECT_EQ(test_server.Get(*clients.back(), "/user"), 200) << i;
   }
-  HttpClient worker(served.io, served.address, {});
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(served.Ask(worker, "/worker"), 200);
-  EXPECT_GT(served.sockets->closed_after_answer(ConnectionClass::kUser), 0u);
-  EXPECT_EQ(served.sockets->used(ConnectionClass::kAgent), 1u);
+  HttpClient agent(test_server.io, test_server.address, {});
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(test_server.Get(agent, "/agent"), 200);
+  EXPECT_GT(test_server.sockets->closed_after_answer(ConnectionClass::kUser), 0u);
+  EXPECT_EQ(test_server.sockets->used(ConnectionClass::kAgent), 1u);
 }
 
-// More workers than sockets, each over a connection of its own while it may keep one: all are
-// served, and so is a user.
-TEST(HttpServer, MoreWorkersThanSocketsAreAllServed) {
-  Served served(80);
-  std::vector<std::unique_ptr<HttpClient>> workers;
+// There are more agents than sockets, each over a connection of its own while it may keep one: all
+// are served, and so is a user.
+TEST(HttpServerTest, MoreAgentsThanSocketsAreAllServed) {
+  TestServer test_server(80);
+  std::vector<std::unique_ptr<HttpClient>> agents;
   for (int i = 0; i < 60; ++i) {
-    workers.push_back(
-        std::make_unique<HttpClient>(served.io, served.address, HttpClient::Options{}));
+    agents.push_back(
+        std::make_unique<HttpClient>(test_server.io, test_server.address, HttpClient::Options{}));
   }
-  HttpClient user(served.io, served.address, {});
+  HttpClient user(test_server.io, test_server.address, {});
   for (int round = 0; round < 3; ++round) {
-    for (auto& w : workers) EXPECT_EQ(served.Ask(*w, "/worker"), 200);
-    EXPECT_EQ(served.Ask(user, "/user"), 200);
+    for (auto& agent : agents) EXPECT_EQ(test_server.Get(*agent, "/agent"), 200);
+    EXPECT_EQ(test_server.Get(user, "/user"), 200);
   }
-  EXPECT_LT(served.sockets->used(ConnectionClass::kAgent), 60u);
-  EXPECT_EQ(served.sockets->refused(ConnectionClass::kUnidentified), 0u);
+  EXPECT_LT(test_server.sockets->used(ConnectionClass::kAgent), 60u);
+  EXPECT_EQ(test_server.sockets->refused(ConnectionClass::kUnidentified), 0u);
 }
 
 }  // namespace
--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -1,6 +1,7 @@
-// A model walked in every order: the last task of a job has ended, and the leader's completion
-// meets a cancellation at another controller, questions and a repeated submission at a third, with
-// no other trouble. The controllers' decisions are the real ones (jobs/job_index).
+// A model whose events are walked in every order: the last task of a job has ended, and the
+// leader's completion meets a cancellation at another controller, and queries and a repeated
+// submission at a third, without any other fault. The controllers' decisions are the real ones
+// (jobs/job_index).
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -20,25 +21,26 @@
 const std::string kKey = "job/" + kId;
 
 enum class Event {
-  kComplete,       // the leader sends the completion
-  kCompleted,      // it is carried out
-  kCompleteHeard,  // the leader hears of it
-  kCancelLooks,    // whoever is asked to cancel looks, and sends its change
-  kCancelled,      // that is carried out
-  kCancelHeard,    // and answered, and the user told
-  kAsk,            // a user asks a third controller
-  kLooked,         // which looks
-  kFinalRead,      // reads the final record
-  kTold,           // and tells
-  kSubmit,         // the job is submitted again there: known without a write, or its change is sent
-  kSubmitted,      // that is carried out, which it must not be
-  kReadsLeader,    // reads the next change that it has not read
-  kReadsCanceller,
-  kReadsThird,
+  kSendCompletion,        // the leader sends the completion
+  kCommitCompletion,      // it is committed
+  kCompletionAnswered,    // the leader gets the answer
+  kSendCancellation,      // the canceller reads the job's state, and sends its change
+  kCommitCancellation,    // that is committed
+  kCancellationAnswered,  // the canceller gets the answer, and its user is told
+  kQuery,                 // a user asks a third controller
+  kQueryReadsLive,        // which reads all changes
+  kQueryReadsFinal,       // reads the final record
+  kQueryAnswered,         // and answers
+  kResubmit,              // the job is submitted again there: it is known, or its change is sent
+  kCommitResubmission,    // that is committed, which it must not be
+  kLeaderReads,           // the leader reads the next change that it has not read
+  kCancellerReads,
+  kThirdReads,
   kEvents
 };
 
-enum class Guard { kAll, kNoFinalCondition, kLiveWithoutLook, kForgetsItsOwn };
+// The guards that are in force: all, or all but one.
+enum class Guard { kAll, kNoFinalCondition, kLiveWithoutRead, kIgnoresOwnCancellation };
 
 class Model {
  public:
@@ -48,43 +50,44 @@
     spec.team = spec.job_class = spec.image = "x";
     spec.tasks = 1;
     Change(kKey, JobRecords::EncodeEntry(spec, 0));
-    for (auto& c : controllers_) Read(c);
+    for (auto& controller : controllers_) Read(controller);
   }
 
-  bool Step(Event e) {
+  bool Step(Event event) {
     Controller& leader = controllers_[0];
     Controller& canceller = controllers_[1];
     Controller& third = controllers_[2];
-    switch (e) {
-      case Event::kComplete:
-        if (complete_ || leader.directory.FindLive(kId) == nullptr) return false;
-        complete_ = leader.directory.records().PlanEnd({kId}, leader.read);
+    switch (event) {
+      case Event::kSendCompletion:
+        if (complete_ || leader.index.FindLive(kId) == nullptr) return false;
+        complete_ = leader.index.records().PlanEnd({kId}, leader.read);
         complete_stage_ = 1;
         return true;
-      case Event::kCompleted:
+      case Event::kCommitCompletion:
         if (complete_stage_ != 1) return false;
         complete_stage_ = Commit(JobStatus::kDone, *complete_) ? 2 : 3;
         return true;
-      case Event::kCompleteHeard:
+      case Event::kCompletionAnswered:
         if (complete_stage_ < 2) return false;
-        if (complete_stage_ == 2) leader.directory.OnEnded(kId, JobStatus::kDone);
-        if (complete_stage_ == 2) Tell(JobStatus::kDone, {});
+        if (complete_stage_ == 2) leader.index.OnEnded(kId, JobStatus::kDone);
+        if (complete_stage_ == 2) Report(JobStatus::kDone, {});
         complete_stage_ = 0;
         return true;
-      case Event::kCancelLooks: {
+      case Event::kSendCancellation: {
         if (cancel_stage_ != 0) return false;
-        if (cancel_asked_ == std::nullopt) cancel_asked_ = told_;
-        auto known = canceller.directory.FindEnded(kId);
+        if (reported_before_cancellation_ == std::nullopt)
+          reported_before_cancellation_ = reported_;
+        auto known = canceller.index.FindEnded(kId);
         if (!known) {
-          Catch(canceller);
-          known = canceller.directory.StatusAfterRead(kId);
+          ReadAll(canceller);
+          known = canceller.index.StatusAfterRead(kId);
         }
         if (!known) known = FinalNow(canceller);
-        const auto step = canceller.directory.PlanCancellation(kId, *known, canceller.read);
+        const auto step = canceller.index.PlanCancellation(kId, *known, canceller.read);
         using Kind = JobIndex::CancelStep::Kind;
         if (step.kind == Kind::kReadAgain) return false;
         if (step.kind == Kind::kAnswer) {
-          Tell(step.status, *cancel_asked_);
+          Report(step.status, *reported_before_cancellation_);
           cancel_stage_ = 4;
         } else {
           cancel_ = step.records;
@@ -92,63 +95,63 @@
         }
         return true;
       }
-      case Event::kCancelled:
+      case Event::kCommitCancellation:
         if (cancel_stage_ != 1) return false;
         cancel_stage_ = Commit(JobStatus::kCancelled, cancel_) ? 2 : 3;
         return true;
-      case Event::kCancelHeard:
+      case Event::kCancellationAnswered:
         if (cancel_stage_ == 3) {
           cancel_stage_ = 0;
           return true;
         }
         if (cancel_stage_ != 2) return false;
-        if (guard_ != Guard::kForgetsItsOwn) {
-          canceller.directory.OnCancellationLearned(kId, final_->second, canceller.read);
+        if (guard_ != Guard::kIgnoresOwnCancellation) {
+          canceller.index.OnCancellationLearned(kId, final_->second, canceller.read);
         }
-        Tell(JobStatus::kCancelled, *cancel_asked_);
-        if (canceller.directory.FindLive(kId) != nullptr) breach_ = "told, and live here";
+        Report(JobStatus::kCancelled, *reported_before_cancellation_);
+        if (canceller.index.FindLive(kId) != nullptr) breach_ = "told, and live here";
         cancel_stage_ = 4;
         return true;
-      case Event::kAsk:
-        if (ask_stage_ != 0 || asks_ >= 2) return false;
-        ++asks_;
-        asked_ = told_;
-        known_ = third.directory.FindEnded(kId);
-        ask_stage_ = known_ ? 3 : 1;
+      case Event::kQuery:
+        if (query_stage_ != 0 || queries_ >= 2) return false;
+        ++queries_;
+        reported_before_query_ = reported_;
+        query_status_ = third.index.FindEnded(kId);
+        query_stage_ = query_status_ ? 3 : 1;
         return true;
-      case Event::kLooked:
-        if (ask_stage_ != 1) return false;
-        if (guard_ != Guard::kLiveWithoutLook) Catch(third);
-        known_ = third.directory.StatusAfterRead(kId);
-        looked_ = third.read;
-        ask_stage_ = known_ ? 3 : 2;
+      case Event::kQueryReadsLive:
+        if (query_stage_ != 1) return false;
+        if (guard_ != Guard::kLiveWithoutRead) ReadAll(third);
+        query_status_ = third.index.StatusAfterRead(kId);
+        query_read_up_to_ = third.read;
+        query_stage_ = query_status_ ? 3 : 2;
         return true;
-      case Event::kFinalRead:
-        if (ask_stage_ != 2) return false;
-        known_ =
-            third.directory.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
-                                                  final_ ? final_->second : 0, looked_, third.read);
-        ask_stage_ = 3;
+      case Event::kQueryReadsFinal:
+        if (query_stage_ != 2) return false;
+        query_status_ = third.index.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
+                                                          final_ ? final_->second : 0,
+                                                          query_read_up_to_, third.read);
+        query_stage_ = 3;
         return true;
-      case Event::kTold:
-        if (ask_stage_ != 3) return false;
-        Tell(*known_, asked_);
-        ask_stage_ = 0;
+      case Event::kQueryAnswered:
+        if (query_stage_ != 3) return false;
+        Report(*query_status_, reported_before_query_);
+        query_stage_ = 0;
         return true;
-      case Event::kSubmit:
+      case Event::kResubmit:
         if (submit_stage_ != 0) return false;
-        submit_stage_ = third.directory.Contains(kId) ? 2 : 1;  // then it is told as a question is
+        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // then it is answered as a query is
         return true;
-      case Event::kSubmitted:
+      case Event::kCommitResubmission:
         if (submit_stage_ != 1) return false;
         if (!live_ && !final_) breach_ = "accepted twice";
         submit_stage_ = 2;
         return true;
-      case Event::kReadsLeader:
+      case Event::kLeaderReads:
         return ReadOne(leader);
-      case Event::kReadsCanceller:
+      case Event::kCancellerReads:
         return ReadOne(canceller);
-      case Event::kReadsThird:
+      case Event::kThirdReads:
         return ReadOne(third);
       case Event::kEvents:
         break;
@@ -158,86 +161,90 @@
 
   const std::string& breach() const { return breach_; }
   std::string State() const {
-    std::string out =
-        fmt::format("{} {} {} {} {} {} {} {}|", complete_stage_, complete_.has_value(),
-                    cancel_stage_, ask_stage_, asks_, submit_stage_, Text(known_), looked_);
-    for (const auto& c : controllers_) {
-      out +=
-          fmt::format(" {}{}{}{}", c.read, Text(c.directory.FindEnded(kId)),
-                      c.directory.FindLive(kId) != nullptr, Text(c.directory.StatusAfterRead(kId)));
+    std::string out = fmt::format("{} {} {} {} {} {} {} {}|", complete_stage_,
+                                  complete_.has_value(), cancel_stage_, query_stage_, queries_,
+                                  submit_stage_, Text(query_status_), query_read_up_to_);
+    for (const auto& controller : controllers_) {
+      out += fmt::format(" {}{}{}{}", controller.read, Text(controller.index.FindEnded(kId)),
+                         controller.index.FindLive(kId) != nullptr,
+                         Text(controller.index.StatusAfterRead(kId)));
     }
-    for (const auto* told : {&told_, &asked_}) {
+    for (const auto* reported : {&reported_, &reported_before_query_}) {
       out += "|";
-      for (const JobStatus k : *told) out += std::to_string(static_cast<int>(k));
+      for (const JobStatus status : *reported) out += std::to_string(static_cast<int>(status));
     }
-    if (cancel_asked_) out += fmt::format("|{}", cancel_asked_->size());
+    if (reported_before_cancellation_)
+      out += fmt::format("|{}", reported_before_cancellation_->size());
     out += fmt::format("|{} {}", live_.has_value(), final_ ? final_->first.dump() : "");
     return out;
   }
 
  private:
-  using Told = std::set<JobStatus>;
+  using ReportedStatuses = std::set<JobStatus>;
   struct Controller {
-    JobIndex directory{"job/", "batch/", {.finals = 10, .cancellations = 10}};
+    JobIndex index{"job/", "batch/", {.finals = 10, .cancellations = 10}};
     uint64_t read = 0;
   };
-  struct Written {
+  struct LoggedChange {
     std::string key;
     std::optional<wire::Json> value;
     uint64_t version = 0;
   };
 
-  static std::string Text(std::optional<JobStatus> k) {
-    return k ? std::to_string(static_cast<int>(*k)) : "-";
+  static std::string Text(std::optional<JobStatus> status) {
+    return status ? std::to_string(static_cast<int>(*status)) : "-";
   }
   void Change(const std::string& key, std::optional<wire::Json> value) {
-    log_.push_back({key, value, log_.size() + 1});
+    changes_.push_back({key, value, changes_.size() + 1});
     (key == kKey ? live_ : final_) =
-        value ? std::optional(std::pair(*value, log_.back().version)) : std::nullopt;
+        value ? std::optional(std::pair(*value, changes_.back().version)) : std::nullopt;
   }
   bool Commit(JobStatus end, const std::vector<RecordChange>& records) {
     bool met = guard_ == Guard::kNoFinalCondition || !final_;
-    for (const auto& r : records) {
-      met = met && (guard_ == Guard::kNoFinalCondition || (live_ ? live_->second : 0) == r.version);
+    for (const auto& record : records) {
+      met = met &&
+            (guard_ == Guard::kNoFinalCondition || (live_ ? live_->second : 0) == record.version);
     }
     if (!met) return false;
-    // One change: both or neither is read.
+    // One transaction: both changes are read or neither.
     Change(kKey, std::nullopt);
     Change("final/" + kId, EncodeFinalRecord(end));
     return true;
   }
-  void Read(Controller& c) {
-    const Written& w = log_[c.read++];
-    if (w.key == kKey) {
-      c.directory.OnRecord(w.key, w.value ? &*w.value : nullptr, w.version);
+  void Read(Controller& controller) {
+    const LoggedChange& change = changes_[controller.read++];
+    if (change.key == kKey) {
+      controller.index.OnRecord(change.key, change.value ? &*change.value : nullptr,
+                                change.version);
     } else {
-      c.directory.OnFinalRecord(kId, *w.value, w.version);
+      controller.index.OnFinalRecord(kId, *change.value, change.version);
     }
-    c.directory.OnLoaded(c.read);
+    controller.index.OnLoaded(controller.read);
   }
-  bool ReadOne(Controller& c) {
-    if (c.read >= log_.size()) return false;
-    Read(c);
+  bool ReadOne(Controller& controller) {
+    if (controller.read >= changes_.size()) return false;
+    Read(controller);
     return true;
   }
-  void Catch(Controller& c) {
-    while (c.read < log_.size()) Read(c);
+  void ReadAll(Controller& controller) {
+    while (controller.read < changes_.size()) Read(controller);
   }
-  JobStatus FinalNow(Controller& c) {
-    return c.directory.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
-                                             final_ ? final_->second : 0, c.read, c.read);
+  JobStatus FinalNow(Controller& controller) {
+    return controller.index.StatusFromFinalRecord(kId, final_ ? &final_->first : nullptr,
+                                                  final_ ? final_->second : 0, controller.read,
+                                                  controller.read);
   }
-  // `before`: what users had been told when this was asked.
-  void Tell(JobStatus known, const Told& before) {
+  // `before`: what users had been told when this query began.
+  void Report(JobStatus known, const ReportedStatuses& before) {
     if (known == JobStatus::kMissing) breach_ = "an accepted job is not known";
     if (known == JobStatus::kLive && !before.empty())
       breach_ = "told of its end, and then that it lives";
-    if (known == JobStatus::kDone || known == JobStatus::kCancelled) told_.insert(known);
-    if (told_.size() > 1) breach_ = "two ends are told";
+    if (known == JobStatus::kDone || known == JobStatus::kCancelled) reported_.insert(known);
+    if (reported_.size() > 1) breach_ = "two ends are told";
   }
 
   const Guard guard_;
-  std::vector<Written> log_;
+  std::vector<LoggedChange> changes_;
   std::optional<std::pair<wire::Json, uint64_t>> live_;
   std::optional<std::pair<wire::Json, uint64_t>> final_;
   Controller controllers_[3];
@@ -245,14 +252,14 @@
   std::vector<RecordChange> cancel_;
   int complete_stage_ = 0;
   int cancel_stage_ = 0;
-  int ask_stage_ = 0;
-  int asks_ = 0;
+  int query_stage_ = 0;
+  int queries_ = 0;
   int submit_stage_ = 0;
-  std::optional<JobStatus> known_;
-  uint64_t looked_ = 0;
-  Told told_;
-  Told asked_;
-  std::optional<Told> cancel_asked_;
+  std::optional<JobStatus> query_status_;
+  uint64_t query_read_up_to_ = 0;
+  ReportedStatuses reported_;
+  ReportedStatuses reported_before_query_;
+  std::optional<ReportedStatuses> reported_before_cancellation_;
   std::string breach_;
 };
 
@@ -268,9 +275,9 @@
   while (!open.empty()) {
     const Model from = std::move(open.back());
     open.pop_back();
-    for (int e = 0; e < static_cast<int>(Event::kEvents); ++e) {
+    for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
       Model to = from;
-      if (!to.Step(static_cast<Event>(e)) || !seen.insert(to.State()).second) continue;
+      if (!to.Step(static_cast<Event>(event)) || !seen.insert(to.State()).second) continue;
       ++out.states;
       if (!to.breach().empty()) {
         out.breaches.insert(to.breach());
@@ -282,18 +289,18 @@
   return out;
 }
 
-TEST(JobEndModel, OneEndIsToldInEveryOrder) {
-  const Walked w = Walk(Guard::kAll);
-  EXPECT_TRUE(w.breaches.empty()) << *w.breaches.begin();
-  EXPECT_GT(w.states, 1'000u);
-  RecordProperty("states", static_cast<int>(w.states));
+TEST(JobEndModelTest, OneEndIsReportedInEveryOrder) {
+  const Walked walked = Walk(Guard::kAll);
+  EXPECT_TRUE(walked.breaches.empty()) << *walked.breaches.begin();
+  EXPECT_GT(walked.states, 1'000u);
+  RecordProperty("states", static_cast<int>(walked.states));
 }
 
-TEST(JobEndModel, TheModelMissesEachGuard) {
+TEST(JobEndModelTest, TheModelFailsWithoutEachGuard) {
   EXPECT_TRUE(Walk(Guard::kNoFinalCondition).breaches.contains("two ends are told"));
   EXPECT_TRUE(
-      Walk(Guard::kLiveWithoutLook).breaches.contains("told of its end, and then that it lives"));
-  EXPECT_TRUE(Walk(Guard::kForgetsItsOwn).breaches.contains("told, and live here"));
+      Walk(Guard::kLiveWithoutRead).breaches.contains("told of its end, and then that it lives"));
+  EXPECT_TRUE(Walk(Guard::kIgnoresOwnCancellation).breaches.contains("told, and live here"));
 }
 
 }  // namespace
--- a/tests/job_json_test.cc
+++ b/tests/job_json_test.cc
@@ -11,21 +11,21 @@
 namespace mosspath::wire {
 namespace {
 
-TEST(JobJson, RoundTrip) {
-  const Json j = ParseObject(
+TEST(JobJsonTest, RoundTrip) {
+  const Json json = ParseObject(
       R"({"id":"req-000412","lot":"train","house":"vision","catch":"array","rank":"high",
           "crates":16,"vcpus":8.0,"cards":1.0,"mem_gb":64.0,"kit":"img-07","size_gb":6.2,
           "builds":["g8"],"shore":null,"together":true,"apart":false,"loaners":true,
           "guess_s":240.0,"tally_s":30.0,"stow_s":4.0,"dawn_s":900.0,"unheard_of":[1]})");
-  const JobSpec s = ParseJob(j);
-  EXPECT_EQ(s.tasks, 16u);
-  EXPECT_EQ(s.priority, Priority::kHigh);
-  EXPECT_FALSE(s.zone);
-  EXPECT_EQ(s.deadline_s, 900.0);
-  EXPECT_EQ(ToJson(ParseJob(ToJson(s))), ToJson(s));
+  const JobSpec spec = ParseJob(json);
+  EXPECT_EQ(spec.tasks, 16u);
+  EXPECT_EQ(spec.priority, Priority::kHigh);
+  EXPECT_FALSE(spec.zone);
+  EXPECT_EQ(spec.deadline_s, 900.0);
+  EXPECT_EQ(ToJson(ParseJob(ToJson(spec))), ToJson(spec));
 }
 
-TEST(JobJson, RefusesHostileInput) {
+TEST(JobJsonTest, RefusesHostileInput) {
   JobSpec spec;
   spec.id = "req-1";
   spec.job_class = spec.team = spec.image = "x";
@@ -54,17 +54,17 @@
       {"dawn_s", "soon"},
       {"house", nullptr}};
   for (const auto& [key, value] : bad) {
-    Json j = good;
-    j[key] = value;
-    EXPECT_THROW(ParseJob(j), BadMessage) << key << " = " << value;
+    Json json = good;
+    json[key] = value;
+    EXPECT_THROW(ParseJob(json), BadMessage) << key << " = " << value;
   }
   for (const char* text : {"", "[]", "{", "nul", "\"\xff\xfe\"", "{\"id\":\"\xc3\x28\"}"}) {
     EXPECT_THROW(ParseObject(text), BadMessage) << text;
   }
 }
 
-// By its name, so that its user knows.
-TEST(JobJson, EachFieldMustBeThere) {
+// The error names the field, so that the user knows which one.
+TEST(JobJsonTest, EachFieldMustBeThere) {
   JobSpec spec;
   spec.id = "req-1";
   spec.job_class = spec.team = spec.image = "x";
@@ -73,23 +73,23 @@
   spec.zone = "a";
   spec.deadline_s = 10;
   const Json good = ToJson(spec);
-  const std::set<std::string> may_be_null{"builds", "shore", "dawn_s"};
+  const std::set<std::string> optional_fields{"builds", "shore", "dawn_s"};
   EXPECT_EQ(good.size(), 20u);  // PROTOCOL's table
   for (const auto& [key, value] : good.items()) {
     for (const bool null : {false, true}) {
-      Json j = good;
+      Json json = good;
       if (null) {
-        j[key] = nullptr;
+        json[key] = nullptr;
       } else {
-        j.erase(key);
+        json.erase(key);
       }
-      if (may_be_null.contains(key)) {
-        EXPECT_NO_THROW(ParseJob(j)) << key;
+      if (optional_fields.contains(key)) {
+        EXPECT_NO_THROW(ParseJob(json)) << key;
         continue;
       }
       try {
-        ParseJob(j);
-        ADD_FAILURE() << key << " is missed by nobody";
+        ParseJob(json);
+        ADD_FAILURE() << key << " may be missing";
       } catch (const BadMessage& e) {
         EXPECT_NE(std::string(e.what()).find(key), std::string::npos) << e.what();
       }
@@ -97,7 +97,7 @@
   }
 }
 
-TEST(TaskName, RefusesWhatIsNotATask) {
+TEST(TaskNameTest, RefusesWhatIsNotATask) {
   EXPECT_EQ(ParseTaskName("req-7/12"), (TaskId{"req-7", 12}));
   for (const char* name : {"req-7", "req-7/", "req-7/x", "req-7/-1", "x/1", "req-7/99999999999"}) {
     EXPECT_THROW(ParseTaskName(name), BadMessage) << name;
--- a/tests/job_records_test.cc
+++ b/tests/job_records_test.cc
@@ -1,5 +1,5 @@
 // Acceptances that share records, against a plain state service: any order of accepting, ending,
-// tidying, looking and loading anew, with writes that are lost or done late.
+// cleaning up, watching and reloading, with writes that are lost or executed late.
 #include "mosspath/jobs/job_records.h"
 
 #include <gtest/gtest.h>
@@ -9,6 +9,8 @@
 #include <random>
 #include <set>
 
+#include "builders.h"
+
 namespace mosspath::jobs {
 namespace {
 
@@ -16,17 +18,14 @@
 const std::string kBatch = "batch/";
 
 wire::JobSpec Spec(const std::string& id) {
-  wire::JobSpec s;
-  s.id = id;
-  s.job_class = "work";
-  s.team = "t";
-  s.tasks = 1;
-  s.cpus = 1;
-  s.memory_gb = 1;
-  s.image = "i";
-  return s;
+  wire::JobSpec spec = test::MakeJobSpec(id, "t", /*tasks=*/1);
+  spec.job_class = "work";
+  spec.memory_gb = 1;
+  spec.image = "i";
+  return spec;
 }
 
+// The state service: keys with values and versions, and the log of changes.
 struct Store {
   struct Change {
     std::string key;
@@ -58,157 +57,162 @@
   bool Final(const std::string& id) const { return pairs.contains("final/" + id); }
 };
 
-struct Node {
-  JobRecords ledger{kJob, kBatch};
+// A controller's copy of the records, as of a revision.
+struct Controller {
+  JobRecords records{kJob, kBatch};
   uint64_t revision = 0;
 
-  void Load(const Store& s) {
-    ledger.Clear();
-    revision = s.revision;
-    for (const auto& [key, pair] : s.pairs) {
-      if (ledger.OwnsKey(key)) ledger.OnRecord(key, &pair.first, pair.second);
+  void Load(const Store& store) {
+    records.Clear();
+    revision = store.revision;
+    for (const auto& [key, pair] : store.pairs) {
+      if (records.OwnsKey(key)) records.OnRecord(key, &pair.first, pair.second);
     }
   }
-  // Some of what it has not seen yet, in order.
-  void Look(const Store& s, size_t most) {
-    for (const auto& c : s.log) {
-      if (c.revision <= revision) continue;
+  // Reads at most `most` of the changes that it has not seen, in order.
+  void Watch(const Store& store, size_t most) {
+    for (const auto& change : store.log) {
+      if (change.revision <= revision) continue;
       if (most-- == 0) return;
-      const uint64_t whole = c.revision;  // a transaction is seen as a whole
-      for (const auto& d : s.log) {
-        if (d.revision == whole && ledger.OwnsKey(d.key)) {
-          ledger.OnRecord(d.key, d.value ? &*d.value : nullptr, d.revision);
+      const uint64_t transaction = change.revision;  // a transaction is seen as a whole
+      for (const auto& other : store.log) {
+        if (other.revision == transaction && records.OwnsKey(other.key)) {
+          records.OnRecord(other.key, other.value ? &*other.value : nullptr, other.revision);
         }
       }
-      revision = whole;
+      revision = transaction;
     }
   }
 };
 
+// A transaction that has not been executed yet.
 struct Write {
   Store::Conditions conditions;
   Store::Changes changes;
 };
 
-void Add(Write& w, const std::vector<RecordChange>& records) {
-  for (const auto& r : records) {
-    w.conditions.emplace_back(r.key, r.version);
-    w.changes.emplace_back(r.key, r.value);
+void Add(Write& write, const std::vector<RecordChange>& changes) {
+  for (const auto& record : changes) {
+    write.conditions.emplace_back(record.key, record.version);
+    write.changes.emplace_back(record.key, record.value);
   }
 }
 
-struct Day {
-  explicit Day(uint32_t seed) : random(seed) {}
+// A random sequence of steps of three controllers.
+struct RandomRun {
+  explicit RandomRun(uint32_t seed) : random(seed) {}
 
-  size_t Below(size_t n) { return random() % n; }
+  size_t Below(size_t bound) { return random() % bound; }
 
-  void Accept(Node& n) {
-    Write w;
+  void Accept(Controller& controller) {
+    Write write;
     std::vector<wire::Json> entries;
     const size_t count = 1 + Below(3);
     for (size_t i = 0; i < count; ++i) {
       const std::string id =
           "req-" + std::to_string(100000 + (Below(2) == 0 ? next++ : Below(next)));
-      if (n.ledger.Find(id) != nullptr) continue;
-      if (std::any_of(w.conditions.begin(), w.conditions.end(),
-                      [&](const auto& c) { return c.first == "final/" + id; })) {
+      if (controller.records.Find(id) != nullptr) continue;
+      if (std::any_of(write.conditions.begin(), write.conditions.end(),
+                      [&](const auto& change) { return change.first == "final/" + id; })) {
         continue;
       }
-      w.conditions.emplace_back(kJob + id, 0);
-      w.conditions.emplace_back("final/" + id, 0);
+      write.conditions.emplace_back(kJob + id, 0);
+      write.conditions.emplace_back("final/" + id, 0);
       entries.push_back(JobRecords::EncodeEntry(Spec(id), 1.0));
       if (Below(6) == 0) {  // a controller that writes the older form
-        w.changes.emplace_back(kJob + id, entries.back());
-        under_way.push_back(std::move(w));
+        write.changes.emplace_back(kJob + id, entries.back());
+        in_flight.push_back(std::move(write));
         return;
       }
     }
     if (entries.empty()) return;
     const std::string key = kBatch + std::to_string(batches++);
-    w.conditions.emplace_back(key, 0);
-    w.changes.emplace_back(key, JobRecords::EncodeBatch(std::move(entries)));
-    under_way.push_back(std::move(w));
+    write.conditions.emplace_back(key, 0);
+    write.changes.emplace_back(key, JobRecords::EncodeBatch(std::move(entries)));
+    in_flight.push_back(std::move(write));
   }
 
-  void End(Node& n) {
+  void End(Controller& controller) {
     std::vector<std::string> ids;
-    for (const auto& [id, job] : n.ledger.live()) {
+    for (const auto& [id, job] : controller.records.live()) {
       if (ids.size() < 1 + Below(2) && Below(3) == 0) ids.push_back(id);
     }
-    std::vector<std::string> whole;
+    std::vector<std::string> plannable;
     for (const auto& id : ids) {
-      if (!n.ledger.PlanEnd({id}, n.revision).empty()) whole.push_back(id);
+      if (!controller.records.PlanEnd({id}, controller.revision).empty()) plannable.push_back(id);
     }
-    if (whole.empty()) return;
-    Write w;
-    Add(w, n.ledger.PlanEnd(whole, n.revision));
-    for (const auto& id : whole) {
-      w.conditions.emplace_back("final/" + id, 0);
-      w.changes.emplace_back("final/" + id, wire::Json{});
+    if (plannable.empty()) return;
+    Write write;
+    Add(write, controller.records.PlanEnd(plannable, controller.revision));
+    for (const auto& id : plannable) {
+      write.conditions.emplace_back("final/" + id, 0);
+      write.changes.emplace_back("final/" + id, wire::Json{});
     }
-    under_way.push_back(std::move(w));
+    in_flight.push_back(std::move(write));
   }
 
   void Check() {
-    // Whoever loads now finds live what is accepted and not over, and nothing else.
-    Node fresh;
+    // A controller that loads now finds every job live that is accepted and has not ended, and no
+    // other.
+    Controller fresh;
     fresh.Load(store);
-    for (const auto& [id, job] : fresh.ledger.live()) {
+    for (const auto& [id, job] : fresh.records.live()) {
       EXPECT_FALSE(store.Final(id)) << id << " is live after its end";
     }
     for (const auto& id : accepted) {
       if (!store.Final(id)) {
-        EXPECT_NE(fresh.ledger.Find(id), nullptr) << id << " is forgotten";
+        EXPECT_NE(fresh.records.Find(id), nullptr) << id << " is lost";
       }
     }
-    // What was accepted first counts, whatever was rewritten since.
-    for (const auto& [id, job] : fresh.ledger.live()) EXPECT_EQ(job.version, first[id]) << id;
+    // The first acceptance counts, whatever was rewritten since.
+    for (const auto& [id, job] : fresh.records.live())
+      EXPECT_EQ(job.version, first_version[id]) << id;
   }
 
   void Deliver() {
-    if (under_way.empty()) return;
-    const size_t i = Below(under_way.size());
-    const Write w = under_way[i];
-    under_way.erase(under_way.begin() + static_cast<std::ptrdiff_t>(i));
+    if (in_flight.empty()) return;
+    const size_t i = Below(in_flight.size());
+    const Write write = in_flight[i];
+    in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
     if (Below(10) == 0) return;  // lost
-    if (!store.Commit(w.conditions, w.changes)) return;
-    for (const auto& [key, value] : w.changes) {
+    if (!store.Commit(write.conditions, write.changes)) return;
+    for (const auto& [key, value] : write.changes) {
       if (!value || value->contains("born")) continue;
       std::vector<wire::Json> entries;
       if (key.starts_with(kJob)) entries.push_back(*value);
       if (key.starts_with(kBatch)) {
-        for (const auto& e : value->at("jobs")) entries.push_back(e);
+        for (const auto& entry : value->at("jobs")) entries.push_back(entry);
       }
-      for (const auto& e : entries) {
-        const std::string id = wire::ParseJob(e.at("spec")).id;
+      for (const auto& entry : entries) {
+        const std::string id = wire::ParseJob(entry.at("spec")).id;
         accepted.insert(id);
-        first.try_emplace(id, store.revision);
+        first_version.try_emplace(id, store.revision);
       }
     }
   }
 
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
-      Node& n = nodes[Below(nodes.size())];
+      Controller& controller = controllers[Below(controllers.size())];
       switch (Below(8)) {
         case 0:
-          Accept(n);
+          Accept(controller);
           break;
         case 1:
-          End(n);
+          End(controller);
           break;
         case 2: {
-          Write w;
-          Add(w, n.ledger.PlanCleanup(n.revision, 3));
-          if (!w.changes.empty()) under_way.push_back(std::move(w));
+          Write write;
+          Add(write, controller.records.PlanCleanup(controller.revision, 3));
+          if (!write.changes.empty()) in_flight.push_back(std::move(write));
           break;
         }
         case 3:
-          if (Below(8) == 0) n.Load(store);
+          if (Below(8) == 0) controller.Load(store);
           break;
         case 4:
         case 5:
-          n.Look(store, 1 + Below(4));
+          controller.Watch(store, 1 + Below(4));
           break;
         default:
           Deliver();
@@ -219,50 +223,50 @@
 
   std::mt19937 random;
   Store store;
-  std::vector<Node> nodes{3};
-  std::vector<Write> under_way;
+  std::vector<Controller> controllers{3};
+  std::vector<Write> in_flight;
   std::set<std::string> accepted;
-  std::map<std::string, uint64_t> first;
+  std::map<std::string, uint64_t> first_version;
   size_t next = 1;
   size_t batches = 0;
 };
 
-TEST(Ledger, NothingIsForgottenOrLiveAfterItsEndInAnyOrder) {
+TEST(JobRecordsTest, NoJobIsLostOrLiveAfterItsEndInAnyOrder) {
   for (uint32_t seed = 0; seed < 60; ++seed) {
-    Day day(seed);
-    day.Run(400);
+    RandomRun run(seed);
+    run.Run(400);
     ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed;
-    EXPECT_GT(day.accepted.size(), 10u);
-    // Everything ends and is tidied away in the end: only final records are kept for ever.
-    day.under_way.clear();
-    Node n;
+    EXPECT_GT(run.accepted.size(), 10u);
+    // All jobs end and their records are cleaned up: only final records are kept for ever.
+    run.in_flight.clear();
+    Controller controller;
     for (int i = 0; i < 400; ++i) {
-      n.Load(day.store);
+      controller.Load(run.store);
       std::vector<std::string> ids;
-      for (const auto& [id, job] : n.ledger.live()) ids.push_back(id);
-      Write w;
+      for (const auto& [id, job] : controller.records.live()) ids.push_back(id);
+      Write write;
       if (ids.empty()) {
-        Add(w, n.ledger.PlanCleanup(n.revision, 4));
-        if (w.changes.empty()) break;
+        Add(write, controller.records.PlanCleanup(controller.revision, 4));
+        if (write.changes.empty()) break;
       } else {
-        Add(w, n.ledger.PlanEnd({ids[0]}, n.revision));
-        w.conditions.emplace_back("final/" + ids[0], 0);
-        w.changes.emplace_back("final/" + ids[0], wire::Json{});
+        Add(write, controller.records.PlanEnd({ids[0]}, controller.revision));
+        write.conditions.emplace_back("final/" + ids[0], 0);
+        write.changes.emplace_back("final/" + ids[0], wire::Json{});
       }
-      ASSERT_TRUE(day.store.Commit(w.conditions, w.changes));
+      ASSERT_TRUE(run.store.Commit(write.conditions, write.changes));
     }
-    for (const auto& [key, pair] : day.store.pairs) EXPECT_TRUE(key.starts_with("final/")) << key;
+    for (const auto& [key, pair] : run.store.pairs) EXPECT_TRUE(key.starts_with("final/")) << key;
   }
 }
 
-TEST(Ledger, WhatItCannotReadChangesNothing) {
-  JobRecords l(kJob, kBatch);
+TEST(JobRecordsTest, AMalformedRecordChangesNothing) {
+  JobRecords records(kJob, kBatch);
   const auto value = JobRecords::EncodeBatch({JobRecords::EncodeEntry(Spec("req-000001"), 1)});
-  EXPECT_EQ(l.OnRecord("batch/1", &value, 5).accepted.size(), 1u);
+  EXPECT_EQ(records.OnRecord("batch/1", &value, 5).accepted.size(), 1u);
   const wire::Json broken = {{"jobs", {{{"spec", {}}}}}};
-  EXPECT_THROW(l.OnRecord("batch/1", &broken, 6), std::exception);
-  ASSERT_NE(l.Find("req-000001"), nullptr);
-  EXPECT_EQ(l.VersionOf("batch/1"), 5u);
+  EXPECT_THROW(records.OnRecord("batch/1", &broken, 6), std::exception);
+  ASSERT_NE(records.Find("req-000001"), nullptr);
+  EXPECT_EQ(records.VersionOf("batch/1"), 5u);
 }
 
 }  // namespace
--- a/tests/job_service_test.cc
+++ b/tests/job_service_test.cc
@@ -1,4 +1,4 @@
-// What a controller counts as told and as over, whatever way it came to know of it.
+// What a controller counts as reported to users and as ended, however it learned of it.
 #include "mosspath/service/job_service.h"
 
 #include <gtest/gtest.h>
@@ -11,61 +11,62 @@
 namespace mosspath::service {
 namespace {
 
-using Known = JobService::JobStatus;
+using JobStatus = JobService::JobStatus;
 
-class JobTableTest : public ::testing::Test {
+class JobServiceTest : public ::testing::Test {
  protected:
   static config::Settings Settings(const std::string& state) {
-    config::Settings s = fakes::OneControllerSettings(state);
-    s.agent_lease_s = 6;  // calls time out soon
-    s.memory_mb = 64;
-    return s;
+    config::Settings settings = fakes::OneControllerSettings(state);
+    settings.agent_lease_s = 6;  // calls time out soon
+    settings.memory_mb = 64;
+    return settings;
   }
   static wire::JobSpec Spec(const std::string& id) { return fakes::SmallJob(id, 2); }
 
-  JobTableTest()
+  JobServiceTest()
       : store_(io_),
         settings_(Settings(store_.address())),
         derived_(settings_),
         client_(io_, settings_, derived_, nullptr),
-        mirror_(io_, client_, derived_, keys::kLive, keys::kAll,
-                {.reset = [this] { jobs_.OnReset(); },
-                 .changed =
-                     [this](const kvstore::Event& e) {
-                       if (e.key.starts_with(keys::kFinal)) return jobs_.OnFinalRecord(e);
-                       if (!jobs_.records().OwnsKey(e.key)) return;
-                       for (const auto& id : jobs_.OnRecord(e).accepted) came_.push_back(id);
-                     },
-                 .loaded =
-                     [this] {
-                       jobs_.AssumeReportedUpTo(mirror_.revision());
-                       jobs_.OnLoaded(mirror_.revision());
-                     },
-                 .advanced = [] {},
-                 .current = [](double) {}}),
+        watch_cache_(io_, client_, derived_, keys::kLive, keys::kAll,
+                     {.reset = [this] { jobs_.OnReset(); },
+                      .changed =
+                          [this](const kvstore::Event& e) {
+                            if (e.key.starts_with(keys::kFinal)) return jobs_.OnFinalRecord(e);
+                            if (!jobs_.records().OwnsKey(e.key)) return;
+                            for (const auto& id : jobs_.OnRecord(e).accepted)
+                              accepted_.push_back(id);
+                          },
+                      .loaded =
+                          [this] {
+                            jobs_.AssumeReportedUpTo(watch_cache_.revision());
+                            jobs_.OnLoaded(watch_cache_.revision());
+                          },
+                      .advanced = [] {},
+                      .current = [](double) {}}),
         admission_(settings_),
-        jobs_(io_, client_, mirror_, admission_, settings_, derived_) {
+        jobs_(io_, client_, watch_cache_, admission_, settings_, derived_) {
     jobs_.on_cancelled_ahead = [this](const std::string& id) { ended_.push_back(id); };
     store_.Put(keys::Job("req-1"), jobs::JobRecords::EncodeEntry(Spec("req-1"), 0));
-    mirror_.Start();
-    Until([&] { return mirror_.loaded(); });
+    watch_cache_.Start();
+    RunUntil([&] { return watch_cache_.loaded(); });
   }
 
-  void Until(const std::function<bool()>& condition) {
+  void RunUntil(const std::function<bool()>& condition) {
     for (int i = 0; i < 2000 && !condition(); ++i) io_.run_for(std::chrono::milliseconds(5));
     ASSERT_TRUE(condition());
   }
-  Known Ask(const std::function<void(std::function<void(Known)>)>& what) {
-    std::optional<Known> told;
-    what([&](Known k) { told = k; });
-    Until([&] { return told.has_value(); });
-    return told.value_or(Known::kUndetermined);
+  JobStatus AwaitStatus(const std::function<void(std::function<void(JobStatus)>)>& request) {
+    std::optional<JobStatus> result;
+    request([&](JobStatus status) { result = status; });
+    RunUntil([&] { return result.has_value(); });
+    return result.value_or(JobStatus::kUndetermined);
   }
-  Known Lookup(const std::string& id) {
-    return Ask([&](auto done) { jobs_.Lookup(id, done); });
+  JobStatus Lookup(const std::string& id) {
+    return AwaitStatus([&](auto done) { jobs_.Lookup(id, done); });
   }
-  Known Cancel(const std::string& id) {
-    return Ask([&](auto done) { jobs_.Cancel(id, done); });
+  JobStatus Cancel(const std::string& id) {
+    return AwaitStatus([&](auto done) { jobs_.Cancel(id, done); });
   }
 
   asio::io_context io_;
@@ -73,75 +74,78 @@
   const config::Settings settings_;
   const config::DerivedSettings derived_;
   kvstore::Client client_;
-  kvstore::WatchCache mirror_;
+  kvstore::WatchCache watch_cache_;
   AdmissionService admission_;
   JobService jobs_;
   std::vector<std::string> ended_;
-  std::vector<std::string> came_;
+  std::vector<std::string> accepted_;
 };
 
-// Between the look at the live jobs and the read of its final record a job came, was cancelled, and
-// is told so here: a leader that has not read that must hear of it from this controller.
-TEST_F(JobTableTest, WhatWasReadByItselfCountsAsTold) {
+// Between the check of the live jobs and the read of its final record, a job was accepted and
+// cancelled, and is reported so here: a leader that has not read that must learn of it from this
+// controller.
+TEST_F(JobServiceTest, ACancellationReadFromItsFinalRecordCountsAsReported) {
   uint64_t cancelled = 0;
-  bool told = false;
+  bool answered = false;
   store_.before_single_read = [&] {
     store_.down = true;  // nothing else is read any more
     cancelled = store_.Put(keys::Final("req-2"),
                            {{"stage", wire::JobStateName(wire::JobState::kCancelled)}});
   };
   const uint64_t before = jobs_.cancellations().newest();
-  jobs_.Lookup("req-2", [&](Known k) {
-    told = true;
-    EXPECT_EQ(k, Known::kCancelled);
+  jobs_.Lookup("req-2", [&](JobStatus status) {
+    answered = true;
+    EXPECT_EQ(status, JobStatus::kCancelled);
     EXPECT_GE(jobs_.cancellations().newest(), cancelled);
   });
-  Until([&] { return told; });
+  RunUntil([&] { return answered; });
   EXPECT_GT(cancelled, before);
 }
 
-// Before its user is told, whatever the mirror shows by then.
-TEST_F(JobTableTest, ItsOwnCancellationCountsAtOnce) {
-  bool told = false;
-  jobs_.Cancel("req-1", [&](Known k) {
-    told = true;
-    EXPECT_EQ(k, Known::kCancelled);
+// It counts before its user is answered, whatever the watch cache shows by then.
+TEST_F(JobServiceTest, ItsOwnCancellationCountsAtOnce) {
+  bool answered = false;
+  jobs_.Cancel("req-1", [&](JobStatus status) {
+    answered = true;
+    EXPECT_EQ(status, JobStatus::kCancelled);
     EXPECT_GT(jobs_.cancellations().newest(), jobs_.cancellations().listed_from());
     EXPECT_EQ(ended_, std::vector<std::string>{"req-1"});
   });
-  Until([&] { return told; });
+  RunUntil([&] { return answered; });
 }
 
-// The cancellation is carried out, its answer is lost, and a retry finds it done.
-TEST_F(JobTableTest, ACancellationWithoutAnAnswerIsToldByTheRetry) {
+// The cancellation is committed, its answer is lost, and a retry finds it done.
+TEST_F(JobServiceTest, ACancellationWithoutAnAnswerIsReportedByTheRetry) {
   store_.lose_changes = true;
-  EXPECT_EQ(Cancel("req-1"), Known::kUndetermined);
+  EXPECT_EQ(Cancel("req-1"), JobStatus::kUndetermined);
   store_.lose_changes = false;
-  EXPECT_EQ(Cancel("req-1"), Known::kCancelled);
+  EXPECT_EQ(Cancel("req-1"), JobStatus::kCancelled);
   EXPECT_EQ(jobs_.cancellations().Since(jobs_.cancellations().listed_from()).entries.size(), 1u);
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
 }
 
-// Its tasks end at once, not when the mirror tells, which takes as long as an outage does.
-TEST_F(JobTableTest, WhatIsCancelledAheadOfTheMirrorIsOver) {
+// Its tasks end at once, not when the watch cache shows the cancellation, which takes as long as an
+// outage does.
+TEST_F(JobServiceTest, AJobCancelledAheadOfTheWatchCacheHasEnded) {
   ASSERT_NE(jobs_.FindLive("req-1"), nullptr);
   store_.down = true;
-  const uint64_t revision = mirror_.revision() + 1;
+  const uint64_t revision = watch_cache_.revision() + 1;
   jobs_.OnCancellationLearned("req-1", revision);
   EXPECT_EQ(ended_, std::vector<std::string>{"req-1"});
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
   EXPECT_NE(jobs_.records().Find("req-1"), nullptr);
-  EXPECT_EQ(Lookup("req-1"), Known::kCancelled);
+  EXPECT_EQ(Lookup("req-1"), JobStatus::kCancelled);
   EXPECT_EQ(jobs_.cancellations().newest(), revision);
 }
 
-// The mirror shows that it was accepted, and then nothing more for as long as an outage lasts: a
-// leader that took it for live went on with it, although its user had been told.
-TEST_F(JobTableTest, WhatIsCancelledBeforeItIsSeenToComeDoesNotCome) {
-  jobs_.OnCancellationLearned("req-3", mirror_.revision() + 2);
+// The watch cache shows that the job was accepted, and then nothing more for as long as an outage
+// lasts: a leader that took it for live continued it, although its user had been told of the
+// cancellation.
+TEST_F(JobServiceTest, AJobCancelledBeforeItsAcceptanceIsSeenIsNotAccepted) {
+  jobs_.OnCancellationLearned("req-3", watch_cache_.revision() + 2);
   store_.Put(keys::Job("req-3"), jobs::JobRecords::EncodeEntry(Spec("req-3"), 0));
-  Until([&] { return jobs_.records().Find("req-3") != nullptr; });
-  EXPECT_EQ(came_, std::vector<std::string>{"req-1"});
+  RunUntil([&] { return jobs_.records().Find("req-3") != nullptr; });
+  EXPECT_EQ(accepted_, std::vector<std::string>{"req-1"});
   EXPECT_EQ(jobs_.FindLive("req-3"), nullptr);
   std::vector<std::string> live;
   jobs_.ForEachLive([&](const std::string& id, const jobs::AcceptedJob&) { live.push_back(id); });
--- a/tests/job_submitter_test.cc
+++ b/tests/job_submitter_test.cc
@@ -1,4 +1,4 @@
-// What a burst of submissions costs the state service, counted.
+// What a burst of submissions costs the state service, and how it is answered.
 #include "mosspath/service/job_submitter.h"
 
 #include <gtest/gtest.h>
@@ -12,33 +12,33 @@
 namespace mosspath::service {
 namespace {
 
-class AcceptorTest : public ::testing::Test {
+class JobSubmitterTest : public ::testing::Test {
  protected:
-  static wire::JobSpec Spec(int i) {
+  static wire::JobSpec JobNumber(int i) {
     return fakes::SmallJob("req-" + std::to_string(100000 + i), 10);
   }
 
-  AcceptorTest()
+  JobSubmitterTest()
       : store_(io_),
         settings_(fakes::OneControllerSettings(store_.address())),
         derived_(settings_),
         client_(io_, settings_, derived_, nullptr),
-        acceptor_(io_, client_, settings_, derived_) {}
+        submitter_(io_, client_, settings_, derived_) {}
 
-  // How each of the jobs was answered.
+  // Submits `count` jobs and returns how many were answered with each outcome.
   std::map<JobSubmitter::Outcome, int> Submit(int first, int count) {
-    std::map<JobSubmitter::Outcome, int> told;
+    std::map<JobSubmitter::Outcome, int> outcomes;
     int answered = 0;
     for (int i = 0; i < count; ++i) {
-      acceptor_.Submit(Spec(first + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
-        ++told[o];
+      submitter_.Submit(JobNumber(first + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
+        ++outcomes[o];
         ++answered;
       });
     }
     while (answered < count) io_.run_one();
-    return told;
+    return outcomes;
   }
-  size_t Records() const {
+  size_t BatchRecords() const {
     return static_cast<size_t>(
         std::count_if(store_.pairs().begin(), store_.pairs().end(),
                       [](const auto& p) { return p.first.starts_with(keys::kBatches); }));
@@ -49,60 +49,61 @@
   const config::Settings settings_;
   const config::DerivedSettings derived_;
   kvstore::Client client_;
-  JobSubmitter acceptor_;
+  JobSubmitter submitter_;
 };
 
-// A change each, 100 submissions took five seconds at this rate, and were answered 503 after two.
-TEST_F(AcceptorTest, AHundredSubmissionsAtOnceTakeAFewChanges) {
-  acceptor_.SetBatching(true);
-  const auto told = Submit(0, 100);
-  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 100);
-  EXPECT_LE(Records(), 12u);
+// With one transaction each, 100 submissions took five seconds at this rate, and were answered 503
+// after two.
+TEST_F(JobSubmitterTest, AHundredSubmissionsAtOnceTakeFewTransactions) {
+  submitter_.SetBatching(true);
+  const auto outcomes = Submit(0, 100);
+  EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kNew), 100);
+  EXPECT_LE(BatchRecords(), 12u);
 }
 
-// While a controller may be of the version before, each has a record that it can read.
-TEST_F(AcceptorTest, WithoutSharingTheOlderFormIsWritten) {
-  const auto told = Submit(0, 10);
-  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 10);
-  EXPECT_EQ(Records(), 0u);
+// While a controller may be of the previous version, each job has a record that it can read.
+TEST_F(JobSubmitterTest, WithoutBatchingOneRecordPerJobIsWritten) {
+  const auto outcomes = Submit(0, 10);
+  EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kNew), 10);
+  EXPECT_EQ(BatchRecords(), 0u);
   EXPECT_TRUE(store_.pairs().contains(keys::Job("req-100003")));
 }
 
-// One that is known must not keep those it shares a transaction with from being accepted.
-TEST_F(AcceptorTest, AKnownJobAmongOthers) {
+// A job that is known must not keep the others of its transaction from being accepted.
+TEST_F(JobSubmitterTest, AKnownJobDoesNotBlockItsBatch) {
   EXPECT_EQ(Submit(3, 1).at(JobSubmitter::Outcome::kNew), 1);
-  acceptor_.SetBatching(true);
-  const auto told = Submit(0, 10);
-  EXPECT_EQ(told.at(JobSubmitter::Outcome::kNew), 9);
-  EXPECT_EQ(told.at(JobSubmitter::Outcome::kAlreadyRecorded), 1);
+  submitter_.SetBatching(true);
+  const auto outcomes = Submit(0, 10);
+  EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kNew), 9);
+  EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kAlreadyRecorded), 1);
 }
 
-// What can't be taken is answered, not held back.
-TEST_F(AcceptorTest, AnOutageIsAnsweredAtOnce) {
-  acceptor_.SetBatching(true);
+// What cannot be accepted is answered, not held back.
+TEST_F(JobSubmitterTest, AnOutageIsAnsweredAtOnce) {
+  submitter_.SetBatching(true);
   store_.down = true;
   EXPECT_EQ(Submit(0, 40).at(JobSubmitter::Outcome::kUndetermined), 40);
 }
 
-// One team's flood leaves places to others, and the next of another team goes before what waits of
-// it.
-TEST_F(AcceptorTest, ATeamsFloodLeavesPlacesAndTurns) {
-  acceptor_.SetBatching(true);
+// One team's flood leaves queue space to others, and the next job of another team is accepted
+// before the pending ones of that team.
+TEST_F(JobSubmitterTest, OneTeamsFloodLeavesQueueSpaceToOthers) {
+  submitter_.SetBatching(true);
   int full = 0;
   int accepted = 0;
   for (int i = 0; i < 600; ++i) {
-    acceptor_.Submit(Spec(1000 + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
+    submitter_.Submit(JobNumber(1000 + i), 7, [&](JobSubmitter::Outcome o, uint64_t) {
       ++(o == JobSubmitter::Outcome::kQueueFull ? full : accepted);
     });
   }
   EXPECT_GT(full, 300);
   EXPECT_GT(600 - full, 200);
-  wire::JobSpec other = Spec(5000);
+  wire::JobSpec other = JobNumber(5000);
   other.team = "u";
-  std::optional<JobSubmitter::Outcome> told;
-  acceptor_.Submit(other, 7, [&](JobSubmitter::Outcome o, uint64_t) { told = o; });
-  while (!told) io_.run_one();
-  EXPECT_EQ(*told, JobSubmitter::Outcome::kNew);
+  std::optional<JobSubmitter::Outcome> outcome;
+  submitter_.Submit(other, 7, [&](JobSubmitter::Outcome o, uint64_t) { outcome = o; });
+  while (!outcome) io_.run_one();
+  EXPECT_EQ(*outcome, JobSubmitter::Outcome::kNew);
   EXPECT_LT(accepted, 120);
 }
 
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -1,10 +1,11 @@
-// A model walked in every order: a job of two tasks on two machines, leaders one after the other,
-// and a state service that carries out changes when it likes, with an answer or without, after
-// newer ones and for leaders of the past. The leaders are the real decisions.
+// A model whose events are walked in every order: a job of two tasks on two machines, leaders one
+// after the other, and a state service that commits changes late, with an answer or without, after
+// newer ones and for earlier leaders. The leaders are the real decision classes.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
+#include <iostream>
 #include <map>
 #include <memory>
 #include <optional>
@@ -12,6 +13,7 @@
 #include <string>
 #include <vector>
 
+#include "builders.h"
 #include "fakes/plain_agent.h"
 #include "mosspath/jobs/job.h"
 #include "mosspath/scheduler/scheduler.h"
@@ -23,90 +25,92 @@
 using fakes::PlainAgent;
 
 enum class Event {
-  kWrite,      // the leader sends what it has to write
-  kDone,       // the last change is carried out, and answered
-  kGiveUp,     // the leader gives up on its answer
-  kOldest,     // the oldest change under way is carried out, nobody hears
-  kNewest,     // the newest is
-  kRead,       // the leader reads which versions its packs have
-  kFirst,      // the first machine reports, and is answered
-  kOther,      // the other does
-  kFirstEnds,  // the first task is done where it runs
-  kOtherEnds,  // the second is
-  kOver,       // the leader writes that the job is done, which is answered
-  kCancel,     // the job is cancelled through another controller, and the leader reads it
-  kElect,      // another leads, having read everything
-  kDie,        // the first machine ends, and is known to be deleted
+  kSendChange,        // the leader sends its pending records
+  kChangeAnswered,    // the last change is committed, and answered
+  kChangeTimesOut,    // the leader gives up waiting for its answer
+  kCommitOldest,      // the oldest change in flight is committed without an answer
+  kCommitNewest,      // the newest is
+  kReadVersions,      // the leader reads the versions of its packs
+  kFirstHeartbeat,    // the first machine sends a heartbeat, and is answered
+  kSecondHeartbeat,   // the second machine does
+  kFirstTaskEnds,     // the first task is done where it runs
+  kSecondTaskEnds,    // the second task is
+  kCompleteJob,       // the leader records that the job is done, which is answered
+  kCancel,            // the job is cancelled at another controller, and the leader reads it
+  kElect,             // another leader is elected, having read everything
+  kFirstMachineDies,  // the first machine ends, and is known to be deleted
   kEvents
 };
 
 class Model {
  public:
-  // `conditions` false: changes are carried out whatever there is.
+  // Without `conditions`, the state service commits changes whatever their conditions are.
   explicit Model(bool conditions) : conditions_(conditions) {
-    job_.id = "req-1";
-    job_.team = "free";
-    job_.tasks = 2;
-    job_.cpus = 5;  // one on each machine
+    job_ = test::MakeJobSpec("req-1", "free", /*tasks=*/2, /*cpus=*/5);  // one on each machine
     job_.image = "img";
     job_.priority = wire::Priority::kHigh;
     job_.estimated_run_s = 100;
     live_ = ++revision_;
-    Lead();
-    // A list of one machine is under way, unanswered, when the other comes.
-    for (const Event e : {Event::kFirst, Event::kFirst, Event::kWrite, Event::kGiveUp,
-                          Event::kOther, Event::kOther, Event::kWrite, Event::kDone, Event::kFirst,
-                          Event::kOther, Event::kFirst, Event::kOther}) {
-      Step(e);
+    StartLeader();
+    // A record of one machine is in flight, unanswered, when the second machine comes.
+    for (const Event event :
+         {Event::kFirstHeartbeat, Event::kFirstHeartbeat, Event::kSendChange,
+          Event::kChangeTimesOut, Event::kSecondHeartbeat, Event::kSecondHeartbeat,
+          Event::kSendChange, Event::kChangeAnswered, Event::kFirstHeartbeat,
+          Event::kSecondHeartbeat, Event::kFirstHeartbeat, Event::kSecondHeartbeat}) {
+      Step(event);
     }
   }
 
-  bool Step(Event e) {
+  bool Step(Event event) {
     now_ += 0.6;
-    for (PlainAgent* w : {&a_, &b_}) w->LeaseAt(now_, settings_.agent_lease_s);
-    const bool happens = Happens(e);
+    for (PlainAgent* agent : {&first_, &second_}) agent->LeaseAt(now_, settings_.agent_lease_s);
+    const bool applied = Apply(event);
     leader_->Tick(now_);
-    return happens;
+    return applied;
   }
-  // What is wrong, if anything is.
+  // The invariant that is violated; empty if none is.
   std::string Breach() const {
     for (uint32_t i = 0; i < 2; ++i) {
-      if (alive_ && a_.Has({"req-1", i}) && b_.Has({"req-1", i})) return "ran twice";
+      if (first_alive_ && first_.Has({"req-1", i}) && second_.Has({"req-1", i})) return "ran twice";
     }
-    if (over_ && ended_tasks_.size() < 2) return "done too early";
-    if (over_ && cancelled_) return "done and cancelled";
-    return lost_;
+    if (completed_ && ended_tasks_.size() < 2) return "done too early";
+    if (completed_ && cancelled_) return "done and cancelled";
+    return lost_result_;
   }
-  size_t late() const { return late_; }
+  size_t late() const { return late_commits_; }
 
   std::string State() const {
-    std::string out = fmt::format("{} {} {} {} {} {} {}|", live_ != 0, over_, cancelled_, alive_,
-                                  waiting_, under_way_.size(), revision_ - token_);
+    std::string out =
+        fmt::format("{} {} {} {} {} {} {}|", live_ != 0, completed_, cancelled_, first_alive_,
+                    awaiting_answer_, in_flight_.size(), revision_ - token_);
     for (const auto& [key, pair] : pairs_) out += fmt::format(" {}={}", key, pair.first.dump());
-    for (const auto& t : under_way_) {
+    for (const auto& change : in_flight_) {
       out += "|";
-      for (const auto& [key, value] : t.puts) {
-        out += fmt::format(" {}{}{}", key, value.dump(),
-                           pairs_.contains(key) && t.versions.at(key) == pairs_.at(key).second);
+      for (const auto& [key, value] : change.puts) {
+        out +=
+            fmt::format(" {}{}{}", key, value.dump(),
+                        pairs_.contains(key) && change.versions.at(key) == pairs_.at(key).second);
       }
     }
-    for (const PlainAgent* w : {&a_, &b_}) {
-      out += fmt::format("|{} {:.0f}", w->session, now_ - w->lease_from);
-      for (const auto& [key, a] : w->attempts) {
+    for (const PlainAgent* agent : {&first_, &second_}) {
+      out += fmt::format("|{} {:.0f}", agent->session, now_ - agent->lease_from);
+      for (const auto& [key, a] : agent->attempts) {
         out += fmt::format(" {}:{}{}", key.first.index, static_cast<int>(a.state),
                            static_cast<int>(a.why));
       }
     }
-    for (const auto& [id, m] : leader_->machines()) {
-      out += fmt::format("|{} {}{}{}", id, m.token_confirmed, m.record_durable, m.awaits_recovery);
-      for (const auto& [key, slot] : m.allocations) {
-        out += fmt::format(" {}{}{}", key.first.index, static_cast<int>(slot.state),
-                           slot.stop_requested);
+    for (const auto& [id, machine] : leader_->machines()) {
+      out += fmt::format("|{} {}{}{}", id, machine.token_confirmed, machine.record_durable,
+                         machine.awaits_recovery);
+      for (const auto& [key, allocation] : machine.allocations) {
+        out += fmt::format(" {}{}{}", key.first.index, static_cast<int>(allocation.state),
+                           allocation.stop_requested);
       }
     }
     if (const auto* job = leader_->FindJob("req-1")) {
-      for (const auto& t : job->tasks)
-        out += fmt::format(" {}{}", static_cast<int>(t.phase), t.durable);
+      for (const auto& task : job->tasks)
+        out += fmt::format(" {}{}", static_cast<int>(task.phase), task.durable);
     }
     return out;
   }
@@ -118,9 +122,9 @@
     std::map<std::string, wire::Json> puts;
   };
 
-  void Lead() {
+  void StartLeader() {
     token_ = ++revision_;
-    waiting_ = false;
+    awaiting_answer_ = false;
     leader_ = std::make_unique<Scheduler>(settings_, derived_, token_, now_);
     leader_->SetMachineTypes({simulation::SmallType()});
     for (const auto& [key, pair] : pairs_) {
@@ -133,20 +137,20 @@
     }
     if (live_ != 0) leader_->AddJob(job_, live_, now_);
   }
-  bool CarryOut(const Change& c) {
+  bool Commit(const Change& change) {
     if (conditions_) {
-      if (c.leader != token_) return false;
-      for (const auto& [key, version] : c.versions) {
+      if (change.leader != token_) return false;
+      for (const auto& [key, version] : change.versions) {
         const auto it = pairs_.find(key);
         if ((it == pairs_.end() ? 0 : it->second.second) != version) return false;
       }
     }
     ++revision_;
-    for (const auto& [key, value] : c.puts) pairs_[key] = {value, revision_};
+    for (const auto& [key, value] : change.puts) pairs_[key] = {value, revision_};
     return true;
   }
-  // Whether the state service has it that the task is done.
-  bool Durable(uint32_t index) const {
+  // Whether the records in the state service show the task as done.
+  bool IsDurable(uint32_t index) const {
     jobs::Job job(job_, 1, 0);
     for (const auto& [key, pair] : pairs_) {
       if (key[0] != 'p') continue;
@@ -156,98 +160,101 @@
     }
     return job.tasks[index].phase == jobs::TaskPhase::kDone;
   }
-  void Answer(PlainAgent& w) {
-    const HeartbeatAnswer answer = leader_->OnHeartbeat(w.Report(), now_);
-    if (!answer.accepted || answer.token < w.token) return;
-    w.lease_from = now_;
-    w.token = answer.token;
-    w.Execute(answer.commands);
-    for (const auto& c : answer.commands) {
-      // Forgotten only where it is durable, or its job is over.
-      const bool done =
-          c.type == wire::CommandType::kForget && ended_.contains({c.task.index, c.attempt});
-      if (done && live_ != 0 && !Durable(c.task.index)) lost_ = "a result is forgotten too early";
+  void SendHeartbeat(PlainAgent& agent) {
+    const HeartbeatAnswer answer = leader_->OnHeartbeat(agent.Report(), now_);
+    if (!answer.accepted || answer.token < agent.token) return;
+    agent.lease_from = now_;
+    agent.token = answer.token;
+    agent.Execute(answer.commands);
+    for (const auto& command : answer.commands) {
+      // A result may be forgotten only if it is durable or its job has ended.
+      const bool done = command.type == wire::CommandType::kForget &&
+                        ended_.contains({command.task.index, command.attempt});
+      if (done && live_ != 0 && !IsDurable(command.task.index))
+        lost_result_ = "a result is forgotten too early";
     }
-    for (CommandBatch& o : leader_->TakeCommands(now_)) {
-      PlainAgent& at = o.machine == a_.id ? a_ : b_;
-      if (!alive_ && &at == &a_) {
-        leader_->OnCommandOutcome(o, CommandOutcome::kRefused, nullptr, now_);
+    for (CommandBatch& batch : leader_->TakeCommands(now_)) {
+      PlainAgent& target = batch.machine == first_.id ? first_ : second_;
+      if (!first_alive_ && &target == &first_) {
+        leader_->OnCommandOutcome(batch, CommandOutcome::kRefused, nullptr, now_);
         continue;
       }
-      const bool taken = o.fencing_token >= at.token && o.agent_epoch == at.session;
-      if (taken) {
-        at.token = o.fencing_token;
-        at.Execute(o.commands);
+      const bool accepted =
+          batch.fencing_token >= target.token && batch.agent_epoch == target.session;
+      if (accepted) {
+        target.token = batch.fencing_token;
+        target.Execute(batch.commands);
       }
-      const wire::Heartbeat r = at.Report();
-      leader_->OnCommandOutcome(o, taken ? CommandOutcome::kExecuted : CommandOutcome::kRefused, &r,
-                                now_);
+      const wire::Heartbeat heartbeat = target.Report();
+      leader_->OnCommandOutcome(
+          batch, accepted ? CommandOutcome::kExecuted : CommandOutcome::kRefused, &heartbeat, now_);
     }
   }
-  bool Ends(uint32_t index) {
+  bool FinishTask(uint32_t index) {
     bool any = false;
-    for (PlainAgent* w : {&a_, &b_}) {
-      if (w == &a_ && !alive_) continue;
-      for (const auto& [key, a] : w->attempts) {
+    for (PlainAgent* agent : {&first_, &second_}) {
+      if (agent == &first_ && !first_alive_) continue;
+      for (const auto& [key, a] : agent->attempts) {
         if (key.first.index == index && a.state != wire::TaskState::kExited) {
           ended_.insert({index, key.second});
           ended_tasks_.insert(index);
         }
       }
-      any = w->Finish({"req-1", index}) || any;
+      any = agent->Finish({"req-1", index}) || any;
     }
     return any;
   }
 
-  bool Happens(Event e) {
-    switch (e) {
-      case Event::kWrite: {
-        if (waiting_ || under_way_.size() >= 3) return false;
-        const auto batch = leader_->TakeRecords(100, 48u << 10);
+  bool Apply(Event event) {
+    switch (event) {
+      case Event::kSendChange: {
+        if (awaiting_answer_ || in_flight_.size() >= 3) return false;
+        const auto batch = leader_->TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes);
         if (batch.empty()) return false;
-        Change c{token_, {}, {}};
-        for (const auto& w : batch.machines) {
-          c.versions["m" + std::to_string(w.pack)] = w.version;
-          c.puts["m" + std::to_string(w.pack)] = w.value;
+        Change change{token_, {}, {}};
+        for (const auto& write : batch.machines) {
+          change.versions["m" + std::to_string(write.pack)] = write.version;
+          change.puts["m" + std::to_string(write.pack)] = write.value;
         }
-        for (const auto& w : batch.progress) {
-          c.versions["p" + std::to_string(w.pack)] = w.version;
-          c.puts["p" + std::to_string(w.pack)] = w.value;
+        for (const auto& write : batch.progress) {
+          change.versions["p" + std::to_string(write.pack)] = write.version;
+          change.puts["p" + std::to_string(write.pack)] = write.value;
         }
-        under_way_.push_back(std::move(c));
-        waiting_ = true;
+        in_flight_.push_back(std::move(change));
+        awaiting_answer_ = true;
         return true;
       }
-      case Event::kDone: {
-        if (!waiting_) return false;
-        waiting_ = false;
-        const Change c = under_way_.back();
-        under_way_.pop_back();
-        if (CarryOut(c)) {
+      case Event::kChangeAnswered: {
+        if (!awaiting_answer_) return false;
+        awaiting_answer_ = false;
+        const Change change = in_flight_.back();
+        in_flight_.pop_back();
+        if (Commit(change)) {
           leader_->OnRecordsWritten(revision_, now_);
         } else {
           leader_->OnRecordsFailed();
         }
         return true;
       }
-      case Event::kGiveUp:
-        if (!waiting_) return false;
-        waiting_ = false;
+      case Event::kChangeTimesOut:
+        if (!awaiting_answer_) return false;
+        awaiting_answer_ = false;
         leader_->OnRecordsFailed();
         return true;
-      case Event::kOldest:
-      case Event::kNewest: {
-        // What is waited for is carried out by kDone, or late once it was given up.
-        const size_t n = under_way_.size() - (waiting_ ? 1 : 0);
-        if (n == 0 || (e == Event::kNewest && n == 1)) return false;
-        const auto it = e == Event::kOldest
-                            ? under_way_.begin()
-                            : under_way_.begin() + static_cast<std::ptrdiff_t>(n) - 1;
-        late_ += CarryOut(*it) ? 1 : 0;
-        under_way_.erase(it);
+      case Event::kCommitOldest:
+      case Event::kCommitNewest: {
+        // A change that the leader waits for is committed by kChangeAnswered, or late once it timed
+        // out.
+        const size_t n = in_flight_.size() - (awaiting_answer_ ? 1 : 0);
+        if (n == 0 || (event == Event::kCommitNewest && n == 1)) return false;
+        const auto it = event == Event::kCommitOldest
+                            ? in_flight_.begin()
+                            : in_flight_.begin() + static_cast<std::ptrdiff_t>(n) - 1;
+        late_commits_ += Commit(*it) ? 1 : 0;
+        in_flight_.erase(it);
         return true;
       }
-      case Event::kRead:
+      case Event::kReadVersions:
         for (const auto& [key, pair] : pairs_) {
           const int pack = std::stoi(key.substr(1));
           if (key[0] == 'm') {
@@ -257,25 +264,25 @@
           }
         }
         return true;
-      case Event::kFirst:
-        if (!alive_) return false;
-        Answer(a_);
+      case Event::kFirstHeartbeat:
+        if (!first_alive_) return false;
+        SendHeartbeat(first_);
         return true;
-      case Event::kOther:
-        Answer(b_);
+      case Event::kSecondHeartbeat:
+        SendHeartbeat(second_);
         return true;
-      case Event::kFirstEnds:
-        return Ends(0);
-      case Event::kOtherEnds:
-        return Ends(1);
-      case Event::kOver: {
+      case Event::kFirstTaskEnds:
+        return FinishTask(0);
+      case Event::kSecondTaskEnds:
+        return FinishTask(1);
+      case Event::kCompleteJob: {
         const auto ids = leader_->TakeCompletedJobs();
         if (ids.empty()) return false;
         if (live_ == 0) {
           leader_->OnCompletionFailed(ids[0]);
           return true;
         }
-        over_ = true;
+        completed_ = true;
         live_ = 0;
         ++revision_;
         leader_->RemoveJob(ids[0], now_);
@@ -290,13 +297,13 @@
         return true;
       case Event::kElect:
         if (++elections_ > 2) return false;
-        Lead();
+        StartLeader();
         return true;
-      case Event::kDie:
-        if (!alive_) return false;
-        alive_ = false;
-        a_.attempts.clear();
-        leader_->OnMachineDeleted(a_.id, now_);
+      case Event::kFirstMachineDies:
+        if (!first_alive_) return false;
+        first_alive_ = false;
+        first_.attempts.clear();
+        leader_->OnMachineDeleted(first_.id, now_);
         return true;
       case Event::kEvents:
         return false;
@@ -312,54 +319,55 @@
   // The state service.
   uint64_t revision_ = 0;
   uint64_t token_ = 0;  // the leader key's version
-  uint64_t live_ = 0;   // the job's acceptance; 0: over
-  bool over_ = false;
+  uint64_t live_ = 0;   // the version of the job's record; 0: ended
+  bool completed_ = false;
   bool cancelled_ = false;
   std::map<std::string, std::pair<wire::Json, uint64_t>> pairs_;  // packs and their versions
-  std::vector<Change> under_way_;
+  std::vector<Change> in_flight_;
   // The leader.
   std::unique_ptr<Scheduler> leader_;
-  bool waiting_ = false;  // for the answer to the last change
+  bool awaiting_answer_ = false;  // for the answer to the last change
   int elections_ = 0;
   // The machines.
-  bool alive_ = true;  // the first
-  PlainAgent a_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainAgent b_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  bool first_alive_ = true;  // of the first machine
+  PlainAgent first_{.id = "vm-1", .lease_from = 1, .attempts = {}};
+  PlainAgent second_{.id = "vm-2", .lease_from = 1, .attempts = {}};
   std::set<std::pair<uint32_t, uint64_t>> ended_;  // task, attempt
   std::set<uint32_t> ended_tasks_;
-  std::string lost_;
-  size_t late_ = 0;
+  std::string lost_result_;
+  size_t late_commits_ = 0;
 };
 
 struct Walked {
   size_t states = 0;
-  size_t late = 0;  // states after a change was carried out late
-  std::string broken;
+  size_t late = 0;  // states after a change was committed late
+  std::string violation;
 };
 
-Walked Walk(bool conditions, size_t most_states, size_t steps) {
+Walked Walk(bool conditions, size_t max_states, size_t max_events) {
   Walked out;
   spdlog::set_level(spdlog::level::off);
   std::set<std::string> seen;
   std::vector<std::vector<Event>> walks{{}};
-  for (size_t at = 0; at < walks.size() && seen.size() < most_states && out.broken.empty(); ++at) {
-    const std::vector<Event> walk = walks[at];
-    for (int e = 0; e < static_cast<int>(Event::kEvents); ++e) {
+  for (size_t next = 0; next < walks.size() && seen.size() < max_states && out.violation.empty();
+       ++next) {
+    const std::vector<Event> walk = walks[next];
+    for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
       Model model(conditions);
       for (const Event earlier : walk) model.Step(earlier);
-      if (!model.Step(static_cast<Event>(e))) continue;
+      if (!model.Step(static_cast<Event>(event))) continue;
       if (!seen.insert(model.State()).second) continue;
       out.late += model.late() > 0 ? 1 : 0;
       if (const std::string breach = model.Breach(); !breach.empty()) {
-        out.broken = breach + ":";
+        out.violation = breach + ":";
         for (const Event earlier : walk)
-          out.broken += fmt::format(" {}", static_cast<int>(earlier));
-        out.broken += fmt::format(" {}", e);
+          out.violation += fmt::format(" {}", static_cast<int>(earlier));
+        out.violation += fmt::format(" {}", event);
         break;
       }
-      if (walk.size() + 1 >= steps) continue;
+      if (walk.size() + 1 >= max_events) continue;
       walks.push_back(walk);
-      walks.back().push_back(static_cast<Event>(e));
+      walks.back().push_back(static_cast<Event>(event));
     }
   }
   spdlog::set_level(spdlog::level::info);
@@ -367,16 +375,18 @@
   return out;
 }
 
-TEST(LateWritesModel, NothingRunsTwiceIsLostOrDoneTooEarly) {
+TEST(LateWritesModelTest, NoTaskRunsTwiceIsLostOrDoneTooEarly) {
   const Walked walked = Walk(true, 30'000, 8);
-  EXPECT_EQ(walked.broken, "");
+  EXPECT_EQ(walked.violation, "");
   std::cout << "states " << walked.states << ", after a late change " << walked.late << '\n';
   EXPECT_GT(walked.states, 5'000u);
   EXPECT_GT(walked.late, 100u);
 }
 
-// The model misses the conditions of changes when there are none.
-TEST(LateWritesModel, WithoutConditionsItIsBroken) { EXPECT_NE(Walk(false, 30'000, 9).broken, ""); }
+// Shows that the model finds what the conditions of changes prevent.
+TEST(LateWritesModelTest, TheModelFailsWithoutTransactionConditions) {
+  EXPECT_NE(Walk(false, 30'000, 9).violation, "");
+}
 
 }  // namespace
 }  // namespace mosspath::scheduler
--- a/tests/leadership_promises_test.cc
+++ b/tests/leadership_promises_test.cc
@@ -6,13 +6,14 @@
 namespace mosspath::election {
 namespace {
 
-// All promises together are a look at what everybody has told; some of them are none.
-TEST(View, PromisesOfAllPeersCountFromTheQuestion) {
-  LeadershipPromises vouching(1.0, 2);
-  const uint64_t round = vouching.BeginRound(50);
-  EXPECT_FALSE(vouching.OnPromise(round, "b"));
-  EXPECT_FALSE(vouching.OnPromise(round - 1, "c"));
-  EXPECT_EQ(vouching.OnPromise(round, "c"), 50);
+// Promises of all peers together are as good as a read of all that was reported; promises of some
+// are not.
+TEST(LeadershipPromisesTest, PromisesOfAllPeersCountFromTheRequest) {
+  LeadershipPromises promises(1.0, 2);
+  const uint64_t round = promises.BeginRound(50);
+  EXPECT_FALSE(promises.OnPromise(round, "b"));
+  EXPECT_FALSE(promises.OnPromise(round - 1, "c"));
+  EXPECT_EQ(promises.OnPromise(round, "c"), 50);
 }
 
 }  // namespace
--- a/tests/locality_test.cc
+++ b/tests/locality_test.cc
@@ -13,7 +13,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Layers by name on every machine; images as lists of layers.
+// A machine of the reference model: the sizes in GB of the image layers that it holds, by name.
 struct PlainMachine {
   std::map<std::string, double> layers;
   bool room = true;
@@ -39,29 +39,32 @@
 std::vector<size_t> PlainAlgorithm1(const std::vector<PlainMachine>& pool,
                                     const std::map<std::string, double>& image, size_t replicas,
                                     const LocalityPolicy& policy) {
-  std::vector<size_t> p;
+  std::vector<size_t> eligible;
   for (size_t m = 0; m < pool.size(); ++m) {
-    const bool adds_nothing = PlainMissing(pool[m], image) == 0;  // ours: see AHugeGuestImage...
+    const bool adds_nothing = PlainMissing(pool[m], image) == 0;  // see ALargeImageOfAnotherTeam...
     const double cap = policy.gamma / static_cast<double>(pool.size());
     if (pool[m].room && (adds_nothing || PlainShare(pool, m) <= cap)) {
-      p.push_back(m);
+      eligible.push_back(m);
     }
   }
-  if (p.empty()) {
+  if (eligible.empty()) {
     for (size_t m = 0; m < pool.size(); ++m) {
-      if (pool[m].room) p.push_back(m);
+      if (pool[m].room) eligible.push_back(m);
     }
   }
   const auto score = [&](size_t m) {
     return -PlainMissing(pool[m], image) - policy.epsilon * PlainShare(pool, m);
   };
-  std::stable_sort(p.begin(), p.end(), [&](size_t a, size_t b) { return score(a) > score(b); });
-  std::vector<size_t> d;
-  for (size_t r = 0; r < replicas && !p.empty(); ++r) d.push_back(p[r % p.size()]);
-  return d;
+  std::stable_sort(eligible.begin(), eligible.end(),
+                   [&](size_t a, size_t b) { return score(a) > score(b); });
+  std::vector<size_t> chosen;
+  for (size_t r = 0; r < replicas && !eligible.empty(); ++r) {
+    chosen.push_back(eligible[r % eligible.size()]);
+  }
+  return chosen;
 }
 
-TEST(LayerLocality, AgreesWithThePlainModel) {
+TEST(LocalityTest, AgreesWithTheReferenceModel) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 2000; ++round) {
     const LocalityPolicy policy{1.0 + static_cast<double>(random() % 20) / 10, 1e-3};
@@ -92,18 +95,18 @@
   }
 }
 
-// Task after task, the fast choice is the one that a full look at all machines makes.
-TEST(LayerLocality, ThePickerChoosesAsBestDoes) {
+// Task after task, the incremental choice is the one that a scan of all machines makes.
+TEST(LocalityTest, ThePickerChoosesAsBestMachineDoes) {
   std::mt19937_64 random(8);
   for (int round = 0; round < 3000; ++round) {
     const LocalityPolicy policy{1.0 + static_cast<double>(random() % 20) / 10, 1e-3};
     std::vector<Candidate> all(1 + random() % 30);
-    std::vector<int> slots(all.size());
+    std::vector<int> free_tasks(all.size());
     double pool_gb = 0;
     for (size_t m = 0; m < all.size(); ++m) {
-      slots[m] = static_cast<int>(random() % 4);
+      free_tasks[m] = static_cast<int>(random() % 4);
       all[m] = {m, 0.5 * static_cast<double>(random() % 3),
-                0.25 * static_cast<double>(random() % 60), slots[m] > 0};
+                0.25 * static_cast<double>(random() % 60), free_tasks[m] > 0};
       pool_gb += all[m].held_gb;
     }
     LocalityPicker picker(all, pool_gb, all.size(), policy);
@@ -111,31 +114,31 @@
       const size_t expected = BestMachine(all, pool_gb, all.size(), policy);
       ASSERT_EQ(picker.Best(), expected) << "round " << round << " task " << task;
       if (expected == kNoMachine) break;
-      Candidate& c = all[expected];
+      Candidate& best = all[expected];
       if (random() % 5 == 0) {
-        c.has_room = false;
+        best.has_room = false;
         picker.DropBest();
         continue;
       }
-      // The image comes, others may have to go.
+      // The image is fetched; others may be evicted.
       const double held =
-          std::max(0.5, c.held_gb + c.missing_gb - 0.25 * static_cast<double>(random() % 4));
-      pool_gb += held - c.held_gb;
-      c.held_gb = held;
-      c.missing_gb = 0;
-      c.has_room = --slots[expected] > 0;
-      picker.OnPlaced(held, c.has_room);
+          std::max(0.5, best.held_gb + best.missing_gb - 0.25 * static_cast<double>(random() % 4));
+      pool_gb += held - best.held_gb;
+      best.held_gb = held;
+      best.missing_gb = 0;
+      best.has_room = --free_tasks[expected] > 0;
+      picker.OnPlaced(held, best.has_room);
     }
   }
 }
 
-TEST(LayerLocality, EmptyPoolCountsNoShare) {
+TEST(LocalityTest, AnEmptyPoolHasNoShares) {
   EXPECT_EQ(BestMachine({{0, 2, 0, true}, {1, 2, 0, true}}, 0, 2, LocalityPolicy{}), 0u);
 }
 
-// "Hurts": a guest's huge image swells a machine's share, and the cap dropped the machine although
-// it holds what the task needs. It still drops machines that would have to fetch.
-TEST(LayerLocality, AHugeGuestImageDoesNotHideWhatAMachineHolds) {
+// A large image of another team raised a machine's share, and the cap excluded the machine although
+// it held what the task needed. The cap still excludes machines that would have to fetch layers.
+TEST(LocalityTest, ALargeImageOfAnotherTeamDoesNotExcludeAMachineThatHoldsTheLayers) {
   const std::vector<Candidate> holds{{0, 0, 1 + 30, true}, {1, 1, 1, true}, {2, 1, 1, true}};
   EXPECT_EQ(BestMachine(holds, 33, 3, LocalityPolicy{1.5, 1e-3}), 0u);
   const std::vector<Candidate> lacks{{0, 0.5, 31, true}, {1, 1, 1, true}, {2, 1, 1, true}};
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -1,5 +1,5 @@
-// The real program against the stand-ins on loopback: the user API end to end, bad input, a killed
-// controller. Waits for what must happen; asserts nothing about how long it takes.
+// The real program against fakes of the outside services on loopback: the user API end to end, bad
+// input, crashed controllers. Waits for what must happen; asserts nothing about how long it takes.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <spawn.h>
@@ -19,8 +19,8 @@
 constexpr double kPatienceS = 60;
 
 std::string FreeAddress(asio::io_context& io) {
-  asio::ip::tcp::acceptor a(io, {asio::ip::make_address("127.0.0.1"), 0});
-  return "127.0.0.1:" + std::to_string(a.local_endpoint().port());
+  asio::ip::tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
+  return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
 class Loopback : public ::testing::Test {
@@ -29,7 +29,7 @@
 
   Loopback()
       : address_{FreeAddress(io_), FreeAddress(io_), FreeAddress(io_)},
-        back_{FreeAddress(io_), FreeAddress(io_), FreeAddress(io_)},
+        peer_address_{FreeAddress(io_), FreeAddress(io_), FreeAddress(io_)},
         state_(io_, kNodes),
         cloud_(io_, {address_[0], address_[1], address_[2]}, 0.3, 0.2) {
     for (int i = 0; i < kNodes; ++i) {
@@ -50,11 +50,11 @@
                              std::to_string(i) + ".toml";
     std::ofstream out(path);
     out << "label = \"hut-" << i << "\"\ndomain = \"a\"\npublic_addr = \"" << address_[i]
-        << "\"\nback = \"" << back_[i] << "\"\n";
+        << "\"\nback = \"" << peer_address_[i] << "\"\n";
     for (int k = 0; k < kNodes; ++k) {
       if (k == i) continue;
-      out << "[[seeds]]\nlabel = \"hut-" << k << "\"\ndomain = \"a\"\naddress = \"" << back_[k]
-          << "\"\n";
+      out << "[[seeds]]\nlabel = \"hut-" << k << "\"\ndomain = \"a\"\naddress = \""
+          << peer_address_[k] << "\"\n";
     }
     out << "[outside]\ncloud = \"" << cloud_.address() << "\"\nstate = \""
         << state_.address(static_cast<size_t>(i)) << R"("
@@ -143,14 +143,14 @@
 
   asio::io_context io_;
   std::string address_[kNodes];
-  std::string back_[kNodes];
+  std::string peer_address_[kNodes];
   pid_t pid_[kNodes] = {};
   fakes::FakeKeyValueStore state_;
   fakes::FakeCloud cloud_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
 };
 
-TEST_F(Loopback, JobsRunAndStayDoneThroughAKill) {
+TEST_F(Loopback, JobsRunAndStayDoneThroughACrash) {
   EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 201);
   EXPECT_EQ(Ask(1, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 200);
   EXPECT_TRUE(Until([&] { return Stage(0, "req-000001") == "done"; }));
@@ -165,9 +165,9 @@
   EXPECT_EQ(Stage(1, "req-999999"), "404");
 }
 
-// Users who ask many times as often, also for what is over or was never submitted, must not use up
-// the reads of the state service.
-TEST_F(Loopback, PollsNeedNoReadsOfTheirOwn) {
+// Users who poll often, also for jobs that have ended or were never submitted, must not use up the
+// reads of the state service.
+TEST_F(Loopback, PollingNeedsNoStoreReads) {
   EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000011", 3).dump()).first, 201);
   for (int node : {0, 1}) EXPECT_TRUE(Until([&] { return Stage(node, "req-000011") == "done"; }));
   const size_t before = state_.single_reads;
@@ -178,7 +178,7 @@
     }
   }
   EXPECT_LT(state_.single_reads - before, 20u);
-  // Remembered as unknown, and known as soon as it is not.
+  // An unknown job is remembered as such, and known as soon as it is submitted.
   EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-888888", 1).dump()).first, 201);
   EXPECT_NE(Stage(1, "req-888888"), "404");
   EXPECT_TRUE(Until([&] { return Stage(1, "req-888888") == "done"; }));
@@ -222,7 +222,7 @@
         Ask(0, "POST", "/api/jobs", Job("req-000" + std::to_string(i), 99'999).dump());
     if (status == 429) {
       EXPECT_NE(body.value("error", "").find("tasks of"), std::string::npos)
-          << body;  // which budget, of whom
+          << body;  // which budget, and whose
       break;
     }
     EXPECT_EQ(status, 201);
@@ -236,18 +236,19 @@
   EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 200);
 }
 
-// A team fills all that it may have; whoever leads is killed, one after the other. What another
-// team asks for meanwhile is accepted and done, and what was accepted stays known.
-TEST_F(Loopback, AFloodLeavesRoomForAnotherTeamThroughKills) {
+// A team fills its whole budget; the controllers crash one after the other. The jobs that another
+// team submits meanwhile are accepted and done, and accepted jobs stay known.
+TEST_F(Loopback, AFloodLeavesBudgetToAnotherTeamThroughCrashes) {
   int flood = 0;
-  const auto more = [&](int node) {
+  const auto submit_flood_job = [&](int node) {
     const std::string id = "req-001" + std::to_string(100 + flood);
     const int status = Ask(node, "POST", "/api/jobs", Job(id, 99'999).dump()).first;
     flood += status == 201 ? 1 : 0;
     return status;
   };
   int refusals = 0;
-  for (int i = 0; i < 200 && refusals < 3; ++i) refusals += more(i % kNodes) == 429 ? 1 : 0;
+  for (int i = 0; i < 200 && refusals < 3; ++i)
+    refusals += submit_flood_job(i % kNodes) == 429 ? 1 : 0;
   ASSERT_EQ(refusals, 3) << "never full";
   for (int i = 0; i < kNodes; ++i) {
     Kill(i);
@@ -256,7 +257,7 @@
     job["house"] = "u";
     EXPECT_TRUE(
         Until([&] { return Ask(other, "POST", "/api/jobs", job.dump()).first / 2 == 100; }));
-    EXPECT_NE(more(other), 201);
+    EXPECT_NE(submit_flood_job(other), 201);
     EXPECT_TRUE(Until([&] {
       return Ask(other, "POST", "/api/jobs", Job("req-001100", 99'999).dump()).first == 200;
     }));
@@ -266,16 +267,17 @@
   }
 }
 
-// Back within a tenth of a second, the one that leads or all of them, also while they elect: what
-// was accepted stays known everywhere, gets done, and runs once.
-TEST_F(Loopback, BackAtOnceNothingIsForgotten) {
+// The leader or all controllers restart within a tenth of a second, also during an election:
+// accepted jobs stay known everywhere, are done, and run once.
+TEST_F(Loopback, NoJobIsLostWhenControllersRestartAtOnce) {
   std::vector<std::string> ids;
   const auto leader = [&] {
     for (int i = 0; i < kNodes; ++i) {
       const json status = Ask(i, "GET", "/status.json").second;
       if (!status.is_object() || !status.contains("controllers")) continue;
-      for (const auto& c : status["controllers"]) {
-        if (c.value("leads", false)) return c.value("node", std::string("hut-0")).back() - '0';
+      for (const auto& controller : status["controllers"]) {
+        if (controller.value("leads", false))
+          return controller.value("node", std::string("hut-0")).back() - '0';
       }
     }
     return 0;
@@ -295,7 +297,7 @@
     for (int i = 0; i < kNodes; ++i) {
       if (all || i == first) Start(i);
     }
-    if (round == 4) {  // and again while they elect
+    if (round == 4) {  // and again during the election
       io_.run_for(std::chrono::milliseconds(60));
       Kill(first);
       Start(first);
@@ -318,7 +320,7 @@
   }
 }
 
-TEST_F(Loopback, AStateOutageIsAnsweredAtOnceAndHeals) {
+TEST_F(Loopback, AStoreOutageIsAnsweredAtOnceAndHeals) {
   state_.down = true;
   EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000005", 1).dump()).first, 503);
   EXPECT_EQ(Ask(0, "GET", "/api/jobs/req-000005").first, 503);
@@ -330,11 +332,11 @@
   EXPECT_TRUE(Until([&] { return Stage(1, "req-000005") == "done"; }));
 }
 
-// The first of the meetings in docs/meetings.md: the state service refuses the leader alone,
-// another controller confirms a cancellation, and then it is down for all. The leader hears of it
-// from the other; these tasks are stopped, and the others go on. (These workers keep what they have
-// whether they are answered or not, so nothing else can stop a task.)
-TEST_F(Loopback, ALeaderThatIsRefusedAloneHearsOfCancellationsInAnOutage) {
+// The first meeting in docs/meetings.md: the state service refuses the leader alone, another
+// controller confirms a cancellation, and then the state service is down for all. The leader learns
+// of the cancellation from its peer; these tasks are stopped, and the others continue. (These
+// agents keep their tasks whether they are answered or not, so nothing else can stop a task.)
+TEST_F(Loopback, ALeaderCutFromTheStoreLearnsOfCancellationsInAnOutage) {
   cloud_.long_jobs = {"req-000020", "req-000021"};
   for (const auto& id : cloud_.long_jobs) {
     EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job(id, 2).dump()).first, 201);
@@ -370,11 +372,11 @@
 std::pair<int, std::string> Program(asio::io_context& io, const std::string& arguments) {
   const std::string out = ::testing::TempDir() + "mosspath-out-" + std::to_string(getpid());
   const std::string line = std::string(MOSSPATH_PROGRAM) + " " + arguments + " >" + out + " 2>&1";
-  std::string sh = "/bin/sh", c = "-c", text = line;
-  char* argv[] = {sh.data(), c.data(), text.data(), nullptr};
+  std::string shell = "/bin/sh", command_flag = "-c", text = line;
+  char* argv[] = {shell.data(), command_flag.data(), text.data(), nullptr};
   char* env[] = {nullptr};
   pid_t pid = 0;
-  EXPECT_EQ(posix_spawn(&pid, sh.c_str(), nullptr, nullptr, argv, env), 0);
+  EXPECT_EQ(posix_spawn(&pid, shell.c_str(), nullptr, nullptr, argv, env), 0);
   int status = 0;
   while (waitpid(pid, &status, WNOHANG) == 0) io.run_for(std::chrono::milliseconds(20));
   std::stringstream printed;
@@ -397,10 +399,10 @@
   EXPECT_EQ(Program(io_, "get").first, 2);
   EXPECT_EQ(Program(io_, "--config /nowhere").first, 2);
 
-  // Both nodes show the same leader; the page is for people.
-  for (const auto& a : address_) {
+  // All controllers show the same leader; the page is for people.
+  for (const auto& address : address_) {
     EXPECT_TRUE(Until([&] {
-      const auto [code, text] = Program(io_, "status --json --server " + a);
+      const auto [code, text] = Program(io_, "status --json --server " + address);
       const json j = json::parse(text, nullptr, false);
       return code == 0 && j.is_object() && !j.value("leader", "").empty();
     }));
@@ -408,22 +410,24 @@
   EXPECT_NE(Program(io_, "status --server " + address_[0]).second.find("Machines"),
             std::string::npos);
 
-  EXPECT_EQ(Program(io_, "settings --server " + back_[0] + " set gamma=2.5 preemption=false").first,
-            0);
+  EXPECT_EQ(
+      Program(io_, "settings --server " + peer_address_[0] + " set gamma=2.5 preemption=false")
+          .first,
+      0);
   EXPECT_TRUE(Until([&] {
-    return Program(io_, "settings --server " + back_[1] + " get").second.find("gamma = 2.5") !=
-           std::string::npos;
+    return Program(io_, "settings --server " + peer_address_[1] + " get")
+               .second.find("gamma = 2.5") != std::string::npos;
   }));
-  const auto invalid = Program(io_, "settings --server " + back_[1] + " set gamma=0.5");
+  const auto invalid = Program(io_, "settings --server " + peer_address_[1] + " set gamma=0.5");
   EXPECT_EQ(invalid.first, 3);
   EXPECT_NE(invalid.second.find("gamma"), std::string::npos);
-  net::HttpClient back(io_, back_[0], {});
+  net::HttpClient peer_client(io_, peer_address_[0], {});
   int status = 0;
-  back.Send("PUT", "/admin/v1/settings", R"({"version":1,"settings":{"gamma":3}})", 5,
-            [&](const net::HttpResult& r) { status = r.status; });
+  peer_client.Send("PUT", "/admin/v1/settings", R"({"version":1,"settings":{"gamma":3}})", 5,
+                   [&](const net::HttpResult& r) { status = r.status; });
   EXPECT_TRUE(Until([&] { return status != 0; }));
   EXPECT_EQ(status, 409);
-  // The user ports never expose it.
+  // The user ports never expose these paths.
   EXPECT_EQ(Ask(0, "GET", "/admin/v1/settings").first, 404);
   EXPECT_EQ(Ask(0, "GET", "/metrics").first, 404);
 }
--- a/tests/operator_settings_test.cc
+++ b/tests/operator_settings_test.cc
@@ -12,7 +12,7 @@
 namespace mosspath::wire {
 namespace {
 
-TEST(OperatorSettings, EachIsValidated) {
+TEST(OperatorSettingsTest, EachIsValidated) {
   const config::OperatorSettings base;
   EXPECT_EQ(config::Change(base, config::ToJson(base)), base);
   EXPECT_EQ(config::Change(base, Json{{"gamma", 2.5}}).gamma, 2.5);
--- a/tests/packed_map_test.cc
+++ b/tests/packed_map_test.cc
@@ -10,16 +10,16 @@
 namespace {
 
 // Packs lose nothing, stay within their size, and survive being written and read again.
-TEST(PackedMap, KeepsEverythingWithinThePackSize) {
+TEST(PackedMapTest, KeepsEverythingWithinThePackSize) {
   kvstore::PackedMap map(300);
   std::map<std::string, wire::Json> stored;
   const auto flush = [&] {
     while (map.dirty()) {
       size_t bytes = 0;
-      for (const auto& w : map.TakeDirty(100, 500)) {
-        EXPECT_LE(w.value.dump().size(), 300u);
-        bytes += w.value.dump().size();
-        stored[std::to_string(w.pack)] = w.value;
+      for (const auto& write : map.TakeDirty(100, 500)) {
+        EXPECT_LE(write.value.dump().size(), 300u);
+        bytes += write.value.dump().size();
+        stored[std::to_string(write.pack)] = write.value;
       }
       EXPECT_LE(bytes, 500u);
     }
@@ -30,23 +30,24 @@
     if (i % 11 == 0) map.Erase("item-" + std::to_string(i % 40), /*lazily=*/false);
   }
   flush();
-  kvstore::PackedMap again(300);
+  kvstore::PackedMap reloaded(300);
   size_t items = 0;
-  for (const auto& [pack, v] : stored) {
-    again.Load(std::stoi(pack), v, 1);
-    items += v.size();
+  for (const auto& [pack, value] : stored) {
+    reloaded.Load(std::stoi(pack), value, 1);
+    items += value.size();
   }
   for (int i = 0; i < 40; ++i) {
     const std::string item = "item-" + std::to_string(i);
-    EXPECT_EQ(again.Has(item), map.Has(item)) << item;
+    EXPECT_EQ(reloaded.Has(item), map.Has(item)) << item;
     items -= map.Has(item) ? 1 : 0;
   }
   EXPECT_EQ(items, 0u);
 }
 
-// A write that got no answer may be done minutes later, after newer ones of the same leader: it
-// would take machines out of the record that may run tasks. It must carry the version it knew.
-TEST(PackedMap, ALateWriteCarriesAnOldVersion) {
+// A write that got no answer may be executed minutes later, after newer ones of the same leader: it
+// would remove machines from the records that may run tasks. It must carry the version that it was
+// based on.
+TEST(PackedMapTest, ALateWriteCarriesAnOldVersion) {
   kvstore::PackedMap map(300);
   map.Set("vm-1", "a");
   const auto late = map.TakeDirty(1, 300);
@@ -58,7 +59,7 @@
   map.OnPackVersion(0, 7);
   map.Set("vm-3", "a");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
-  map.OnPackVersion(0, 5);  // an old event
+  map.OnPackVersion(0, 5);  // a late event
   map.Touch("vm-3");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
 }
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -6,36 +6,39 @@
 namespace mosspath::scheduler {
 namespace {
 
-TEST_F(DispatcherTest, PreemptionDoesNotWaitForSlowReports) {
+using PreemptionTest = SchedulerTest;
+
+// With a long heartbeat interval, waiting for a heartbeat before stopping a task missed the
+// objective for starts.
+TEST_F(PreemptionTest, PreemptionDoesNotWaitForSlowHeartbeats) {
   settings_.heartbeat_s = 8;
   settings_.agent_lease_s = 36;
   settings_.objectives = {{"wait", "c", 5, 0.9, 1}};
-  Scheduler d(settings_, config::DerivedSettings(settings_), 10, 0);
-  d.SetMachineTypes({d_type_});
-  d.OnHeartbeat(Written("vm-1", 1), 0);
-  d.Tick(0);
-  while (!d.TakeRecords(100, 48u << 10).empty()) d.OnRecordsWritten(1, 0);
+  Scheduler scheduler(settings_, config::DerivedSettings(settings_), 10, 0);
+  scheduler.SetMachineTypes({type_});
+  scheduler.OnHeartbeat(NextHeartbeat("vm-1", 1), 0);
+  scheduler.Tick(0);
+  MakeRecordsDurable(scheduler);
   auto low = Job(1, 4, 1, wire::Priority::kLow);
   low.estimated_run_s = 900;
-  d.AddJob(low, 11, 0);
-  d.Place(1);
-  wire::Heartbeat r = Written("vm-1", 1);
-  const auto starts = Only(d.OnHeartbeat(r, 1), wire::CommandType::kStart);
+  scheduler.AddJob(low, 11, 0);
+  scheduler.Place(1);
+  wire::Heartbeat heartbeat = NextHeartbeat("vm-1", 1);
+  const auto starts = Starts(scheduler.OnHeartbeat(heartbeat, 1));
   ASSERT_EQ(starts.size(), 4u);
-  r = Written("vm-1", 1);
-  for (const auto& c : starts) {
-    r.tasks.push_back(
-        {c.task, c.attempt, wire::TaskState::kRunning, wire::ExitReason::kNone, false});
+  heartbeat = NextHeartbeat("vm-1", 1);
+  for (const auto& command : starts) {
+    heartbeat.tasks.push_back(test::Running(command));
   }
-  d.OnHeartbeat(r, 2);
-  d.AddJob(Job(2, 2, 1, wire::Priority::kHigh), 12, 3);
-  d.Tick(4);
-  EXPECT_TRUE(d.TakeCommands(4).empty());
-  d.Tick(5);
-  const auto orders = d.TakeCommands(5);
-  ASSERT_EQ(orders.size(), 1u);
-  EXPECT_EQ(orders[0].commands.size(), 2u);
-  EXPECT_EQ(orders[0].commands[0].type, wire::CommandType::kStop);
+  scheduler.OnHeartbeat(heartbeat, 2);
+  scheduler.AddJob(Job(2, 2, 1, wire::Priority::kHigh), 12, 3);
+  scheduler.Tick(4);
+  EXPECT_TRUE(scheduler.TakeCommands(4).empty());
+  scheduler.Tick(5);
+  const auto batches = scheduler.TakeCommands(5);
+  ASSERT_EQ(batches.size(), 1u);
+  EXPECT_EQ(batches[0].commands.size(), 2u);
+  EXPECT_EQ(batches[0].commands[0].type, wire::CommandType::kStop);
 }
 
 }  // namespace
--- a/tests/promise_frame_test.cc
+++ b/tests/promise_frame_test.cc
@@ -9,23 +9,23 @@
 namespace mosspath::election {
 namespace {
 
-TEST(VouchFrame, WhatNoWriterWritesIsRefused) {
-  const std::string question = wire::Encode(wire::PromiseRequest{"hut-1", 70'000, 300});
-  EXPECT_EQ(wire::DecodePromiseRequest(question).token, 70'000u);
-  const std::string answer =
+TEST(PromiseFrameTest, MalformedFramesAreRefused) {
+  const std::string request = wire::Encode(wire::PromiseRequest{"hut-1", 70'000, 300});
+  EXPECT_EQ(wire::DecodePromiseRequest(request).token, 70'000u);
+  const std::string response =
       wire::Encode(wire::PromiseResponse{true, {300, 100, 300, {{"req-1", 200}, {"req-2", 300}}}});
-  EXPECT_EQ(wire::DecodePromiseResponse(answer).cancellations.entries.size(), 2u);
-  for (size_t n = 0; n < question.size(); ++n) {
-    EXPECT_THROW(wire::DecodePromiseRequest(question.substr(0, n)), wire::BadMessage) << n;
+  EXPECT_EQ(wire::DecodePromiseResponse(response).cancellations.entries.size(), 2u);
+  for (size_t size = 0; size < request.size(); ++size) {
+    EXPECT_THROW(wire::DecodePromiseRequest(request.substr(0, size)), wire::BadMessage) << size;
   }
-  for (size_t n = 0; n < answer.size(); ++n) {
-    EXPECT_THROW(wire::DecodePromiseResponse(answer.substr(0, n)), wire::BadMessage) << n;
+  for (size_t size = 0; size < response.size(); ++size) {
+    EXPECT_THROW(wire::DecodePromiseResponse(response.substr(0, size)), wire::BadMessage) << size;
   }
-  EXPECT_THROW(wire::DecodePromiseRequest(question + '\0'), wire::BadMessage);
-  EXPECT_THROW(wire::DecodePromiseResponse(answer + '\0'), wire::BadMessage);
+  EXPECT_THROW(wire::DecodePromiseRequest(request + '\0'), wire::BadMessage);
+  EXPECT_THROW(wire::DecodePromiseResponse(response + '\0'), wire::BadMessage);
   for (const char version : {'\1', '\3'}) {
-    EXPECT_THROW(wire::DecodePromiseRequest(version + question.substr(1)), wire::BadMessage);
-    EXPECT_THROW(wire::DecodePromiseResponse(version + answer.substr(1)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodePromiseRequest(version + request.substr(1)), wire::BadMessage);
+    EXPECT_THROW(wire::DecodePromiseResponse(version + response.substr(1)), wire::BadMessage);
   }
   using Ids = std::vector<wire::CancellationLogSlice::Entry>;
   for (const Ids& ids : {Ids{{"req-2", 300}, {"req-1", 200}}, Ids{{"req-1", 100}},
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "builders.h"
 #include "mosspath/cluster/cluster_state.h"
 #include "mosspath/scheduler/scheduler.h"
 #include "simulation/cluster.h"
@@ -13,76 +14,65 @@
 namespace mosspath::scheduler {
 namespace {
 
-// The job of a task that a new leader finds was cancelled, so nothing tells its team or size; and
-// one machine can't be asked. A team with a limit starts nothing before both are known to be gone.
-TEST(Limits, ACancelledTaskOfAnEarlierLeaderCounts) {
-  config::Settings s = simulation::SmallSettings();
-  const config::DerivedSettings derived(s);
-  Scheduler d(s, derived, 10, 0);
-  d.SetMachineTypes({simulation::SmallType()});
-  d.LoadMachinesPack(0, {{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "vm-3:1"}}, 1);
-  std::map<std::string, uint64_t> seq;
-  const auto reports = [&](const std::string& id, double now, std::vector<wire::TaskStatus> tasks) {
-    wire::Heartbeat r;
-    r.machine = id;
-    r.address = id + ":1";
-    r.type = "box";
-    r.zone = "east";
-    r.agent_epoch = 1;
-    r.sequence = ++seq[id];
-    r.fencing_token = 10;
-    r.tasks = std::move(tasks);
-    d.OnHeartbeat(r, now);
+// The job of a task that a new leader finds was cancelled, so nothing gives its team or size; and
+// one machine cannot be probed. A team with a limit starts nothing before both are known to be
+// gone.
+TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
+  config::Settings settings = simulation::SmallSettings();
+  const config::DerivedSettings derived(settings);
+  Scheduler scheduler(settings, derived, 10, 0);
+  scheduler.SetMachineTypes({simulation::SmallType()});
+  scheduler.LoadMachinesPack(0, {{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "vm-3:1"}}, 1);
+  std::map<std::string, uint64_t> sequences;
+  const auto send_heartbeat = [&](const std::string& id, double now,
+                                  std::vector<wire::TaskStatus> tasks) {
+    wire::Heartbeat heartbeat = test::MakeHeartbeat(id, /*agent_epoch=*/1, ++sequences[id],
+                                                    /*fencing_token=*/10);
+    heartbeat.address = id + ":1";
+    heartbeat.zone = "east";
+    heartbeat.tasks = std::move(tasks);
+    scheduler.OnHeartbeat(heartbeat, now);
   };
-  const wire::TaskStatus found{
-      {"req-8", 0}, 5, wire::TaskState::kRunning, wire::ExitReason::kNone, false};
-  wire::JobSpec job;
-  job.id = "req-1";
-  job.team = "tight";  // accepted under this leader
-  job.tasks = 1;
-  job.cpus = 1;
+  const wire::TaskStatus found = test::Running({"req-8", 0}, /*attempt=*/5);
+  // Accepted under this leader.
+  wire::JobSpec job = test::MakeJobSpec("req-1", "tight", /*tasks=*/1);
   job.image = "img";
-  d.AddJob(job, 11, 0);
+  scheduler.AddJob(job, 11, 0);
   const auto started = [&](double now) {
-    d.Tick(now);
-    return d.Counts("req-1").running;
+    scheduler.Tick(now);
+    return scheduler.Counts("req-1").running;
   };
-  reports("vm-1", 1, {found});
-  reports("vm-2", 1, {});
-  EXPECT_EQ(started(1.1), 0u);  // one can't be asked, one has a task of unknown size
-  d.OnMachineDeleted("vm-3", 2);
-  EXPECT_TRUE(d.recovery_complete());
+  send_heartbeat("vm-1", 1, {found});
+  send_heartbeat("vm-2", 1, {});
+  EXPECT_EQ(started(1.1), 0u);  // one can't be probed, one has a task of unknown size
+  scheduler.OnMachineDeleted("vm-3", 2);
+  EXPECT_TRUE(scheduler.recovery_complete());
   EXPECT_EQ(started(2.1), 0u);
-  reports("vm-2", 3, {});
+  send_heartbeat("vm-2", 3, {});
   wire::TaskStatus ended = found;
-  ended.state = wire::TaskState::kExited;
-  ended.exit_reason = wire::ExitReason::kStopped;
-  reports("vm-1", 3, {ended});
+  test::MarkExited(ended, wire::ExitReason::kStopped);
+  send_heartbeat("vm-1", 3, {ended});
   EXPECT_EQ(started(3.1), 1u);
 }
 
-// It may be running, so its team's limit counts it, also when its job is over.
-TEST(Withheld, CountsTowardsItsTeam) {
+// A withheld task may be running, so its team's quota counts it, also when its job has ended.
+TEST(QuotaTest, WithheldTasksCountTowardsTheirTeam) {
   const config::Settings settings = simulation::SmallSettings();  // "tight" may use 10 CPUs
-  cluster::ClusterState p(settings, config::DerivedSettings(settings));
-  wire::JobSpec spec;
-  spec.id = "req-1";
-  spec.team = "tight";
-  spec.tasks = 9;
-  spec.cpus = 2;
-  const jobs::Job other(spec, 1, 0);
-  p.jobs[spec.id] = std::make_unique<jobs::Job>(spec, 1, 0);
-  EXPECT_EQ(p.quota.Headroom(other, true), 5u);
-  p.Withhold({spec.id, 0});
-  p.Withhold({spec.id, 0});
-  p.Withhold({spec.id, 1});
-  EXPECT_EQ(p.quota.Headroom(other, true), 3u);
-  p.ReleaseWithheld({spec.id, 0});
-  EXPECT_EQ(p.quota.Headroom(other, true), 4u);
-  p.jobs.clear();
-  EXPECT_EQ(p.quota.Headroom(other, true), 4u);
-  p.ReleaseWithheld({spec.id, 1});
-  EXPECT_EQ(p.quota.Headroom(other, true), 5u);
+  cluster::ClusterState state(settings, config::DerivedSettings(settings));
+  const wire::JobSpec spec = test::MakeJobSpec("req-1", "tight", /*tasks=*/9, /*cpus=*/2);
+  const jobs::Job job(spec, 1, 0);
+  state.jobs[spec.id] = std::make_unique<jobs::Job>(spec, 1, 0);
+  EXPECT_EQ(state.quota.Headroom(job, true), 5u);
+  state.Withhold({spec.id, 0});
+  state.Withhold({spec.id, 0});
+  state.Withhold({spec.id, 1});
+  EXPECT_EQ(state.quota.Headroom(job, true), 3u);
+  state.ReleaseWithheld({spec.id, 0});
+  EXPECT_EQ(state.quota.Headroom(job, true), 4u);
+  state.jobs.clear();
+  EXPECT_EQ(state.quota.Headroom(job, true), 4u);
+  state.ReleaseWithheld({spec.id, 1});
+  EXPECT_EQ(state.quota.Headroom(job, true), 5u);
 }
 
 }  // namespace
--- a/tests/reliable_channel_test.cc
+++ b/tests/reliable_channel_test.cc
@@ -10,63 +10,64 @@
 namespace mosspath::shard {
 namespace {
 
-using Item = wire::ShardMessage;
-using Kind = wire::ShardMessage::Kind;
-
-Item Numbered(uint64_t n) { return {.kind = Kind::kLoad, .seconds = 1.5, .count = n}; }
+wire::ShardMessage Numbered(uint64_t number) {
+  return {.kind = wire::ShardMessage::Kind::kLoad, .seconds = 1.5, .count = number};
+}
 
-// However frames are lost, repeated and late, each item is taken in once, in order.
-TEST(BlockChannel, LosesAndRepeatsNothing) {
+// However frames are lost, repeated and delayed, each message is received once, in order.
+TEST(ReliableChannelTest, DeliversEachMessageOnceInOrder) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 200; ++round) {
-    ReliableChannel a;
-    ReliableChannel b;
-    std::deque<wire::ShardFrame> to_b;
-    std::deque<wire::ShardFrame> to_a;
+    ReliableChannel sender;
+    ReliableChannel receiver;
+    std::deque<wire::ShardFrame> to_receiver;
+    std::deque<wire::ShardFrame> to_sender;
     uint64_t sent = 0;
-    std::vector<uint64_t> got;
-    const auto frame_of = [&](ReliableChannel& c) {
-      wire::ShardFrame f;
-      f.receive_window_bytes = 1 + random() % 200;  // sometimes hardly any
-      c.FillFrame(f);
-      c.OnFrameSent(f);
-      return f;
+    std::vector<uint64_t> received;
+    const auto frame_of = [&](ReliableChannel& channel) {
+      wire::ShardFrame frame;
+      frame.receive_window_bytes = 1 + random() % 200;  // sometimes hardly any
+      channel.FillFrame(frame);
+      channel.OnFrameSent(frame);
+      return frame;
     };
     for (int step = 0; step < 300; ++step) {
       switch (random() % 6) {
         case 0:
-          if (sent < 60) a.Enqueue(Numbered(++sent));
+          if (sent < 60) sender.Enqueue(Numbered(++sent));
           break;
         case 1:
-          to_b.push_back(frame_of(a));
+          to_receiver.push_back(frame_of(sender));
           break;
         case 2:
-          to_a.push_back(frame_of(b));
+          to_sender.push_back(frame_of(receiver));
           break;
         default: {
-          auto& queue = random() % 2 == 0 ? to_b : to_a;
+          auto& queue = random() % 2 == 0 ? to_receiver : to_sender;
           if (queue.empty()) break;
           const size_t which = random() % queue.size();
-          const wire::ShardFrame f = queue[which];
+          const wire::ShardFrame frame = queue[which];
           if (random() % 3 != 0) queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(which));
           if (random() % 4 == 0) break;  // lost
-          for (const auto& item : (&queue == &to_b ? b : a).Receive(f)) got.push_back(item.count);
+          for (const auto& message : (&queue == &to_receiver ? receiver : sender).Receive(frame))
+            received.push_back(message.count);
         }
       }
     }
     for (int i = 0; i < 200; ++i) {
-      for (const auto& item : b.Receive(frame_of(a))) got.push_back(item.count);
-      a.Receive(frame_of(b));
+      for (const auto& message : receiver.Receive(frame_of(sender)))
+        received.push_back(message.count);
+      sender.Receive(frame_of(receiver));
     }
-    ASSERT_EQ(got.size(), sent);
-    for (uint64_t i = 0; i < sent; ++i) ASSERT_EQ(got[i], i + 1);
-    EXPECT_TRUE(a.idle());
-    EXPECT_EQ(a.bytes(), 0u);
+    ASSERT_EQ(received.size(), sent);
+    for (uint64_t i = 0; i < sent; ++i) ASSERT_EQ(received[i], i + 1);
+    EXPECT_TRUE(sender.idle());
+    EXPECT_EQ(sender.bytes(), 0u);
   }
-  ReliableChannel c;
+  ReliableChannel idle;
   wire::ShardFrame bad;
   bad.acknowledged = 1;
-  EXPECT_THROW(c.Receive(bad), wire::BadMessage);
+  EXPECT_THROW(idle.Receive(bad), wire::BadMessage);
 }
 
 }  // namespace
--- a/tests/resignation_backoff_test.cc
+++ b/tests/resignation_backoff_test.cc
@@ -6,23 +6,23 @@
 namespace mosspath::election {
 namespace {
 
-// Two controllers that could reach no worker passed the leadership to each other all the time.
-TEST(Reluctance, LeadersThatCanDoNothingStayEverLonger) {
-  ResignationBackoff r(3, 26);
-  EXPECT_TRUE(r.MayResign(1000));
+// Two controllers that could reach no agent passed the leadership to each other all the time.
+TEST(ResignationBackoffTest, RepeatedResignationsBackOff) {
+  ResignationBackoff backoff(3, 26);
+  EXPECT_TRUE(backoff.MayResign(1000));
   double now = 1000;
-  double stay = 0;
+  double term_s = 0;
   for (int i = 0; i < 8; ++i) {
-    r.OnResigned(now);
-    r.OnElected(now + 0.1);
+    backoff.OnResigned(now);
+    backoff.OnElected(now + 0.1);
     double until = now + 0.1;
-    while (!r.MayResign(until)) until += 0.1;
-    EXPECT_GE(until - now + 0.2, stay);
-    stay = until - now;
+    while (!backoff.MayResign(until)) until += 0.1;
+    EXPECT_GE(until - now + 0.2, term_s);
+    term_s = until - now;
     now = until;
   }
-  EXPECT_GT(stay, 25);
-  EXPECT_TRUE(r.MayResign(now + 4 * 26 + 1));
+  EXPECT_GT(term_s, 25);
+  EXPECT_TRUE(backoff.MayResign(now + 4 * 26 + 1));
 }
 
 }  // namespace
--- a/tests/reused_address_test.cc
+++ b/tests/reused_address_test.cc
@@ -9,168 +9,168 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Another machine is up under the address of one that is gone, and takes what was meant for it.
-class StrangerTest : public DeafTest {
+// vm-2 is up under the address of vm-1, which is gone, and receives the commands for vm-1.
+class ReusedAddressTest : public OneWayPartitionTest {
  protected:
-  StrangerTest() {
-    Ready("vm-1", 0);
-    Report("vm-1", 0.5);
-    d_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0.5);
-    d_.Place(0.6);
-    auto orders = d_.TakeCommands(0.6);
-    EXPECT_EQ(orders.size(), 1u);
-    order_ = orders.front();
-    told_ = Written("vm-2", 1);
-    told_.tasks = {{order_.commands[0].task, order_.commands[0].attempt, wire::TaskState::kRunning,
-                    wire::ExitReason::kNone, false}};
+  ReusedAddressTest() {
+    AddReadyMachine("vm-1", 0);
+    SendHeartbeat("vm-1", 0.5);
+    scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0.5);
+    scheduler_.Place(0.6);
+    auto batches = scheduler_.TakeCommands(0.6);
+    EXPECT_EQ(batches.size(), 1u);
+    command_batch_ = batches.front();
+    heartbeat_ = NextHeartbeat("vm-2", 1);
+    heartbeat_.tasks = {test::Running(command_batch_.commands[0])};
   }
-  size_t StartsAt(const std::string& id, double now) {
-    while (!d_.TakeRecords(100, 48u << 10).empty()) d_.OnRecordsWritten(++written_, now);
-    return Only(Report(id, now), wire::CommandType::kStart).size();
+  // Makes all records durable, and counts the starts in the answer to the machine's next heartbeat.
+  size_t StartsOn(const std::string& id, double now) {
+    while (!scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty())
+      scheduler_.OnRecordsWritten(++revision_, now);
+    return Starts(SendHeartbeat(id, now)).size();
   }
-  CommandBatch order_;
-  wire::Heartbeat told_;
-  uint64_t written_ = 12;
+  CommandBatch command_batch_;  // the commands for vm-1
+  wire::Heartbeat heartbeat_;   // of vm-2, which executed them
+  uint64_t revision_ = 12;
 };
 
-TEST_F(StrangerTest, WhatItTookIsNotStartedAgainBeforeItHasEnded) {
-  d_.OnCommandOutcome(order_, CommandOutcome::kExecuted, &told_, 0.7);
-  EXPECT_TRUE(d_.machines().contains("vm-2"));
-  Ready("vm-3", 1);
-  d_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsAt("vm-3", 2), 0u);  // it still runs there
-  told_.sequence = ++seq_["vm-2"];
-  EXPECT_EQ(Only(d_.OnHeartbeat(told_, 3), wire::CommandType::kStop).size(), 1u);
-  EXPECT_EQ(StartsAt("vm-3", 3.5), 0u);
-  told_.sequence = ++seq_["vm-2"];
-  told_.tasks[0].state = wire::TaskState::kExited;
-  told_.tasks[0].exit_reason = wire::ExitReason::kStopped;
-  d_.OnHeartbeat(told_, 4);
-  const size_t at_three = StartsAt("vm-3", 5);
-  EXPECT_EQ(at_three + StartsAt("vm-2", 5), 1u);
+TEST_F(ReusedAddressTest, ATaskItExecutedIsNotRestartedBeforeItHasEnded) {
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kExecuted, &heartbeat_, 0.7);
+  EXPECT_TRUE(scheduler_.machines().contains("vm-2"));
+  AddReadyMachine("vm-3", 1);
+  scheduler_.OnMachineDeleted("vm-1", 1.5);
+  EXPECT_EQ(StartsOn("vm-3", 2), 0u);  // it still runs on vm-2
+  heartbeat_.sequence = ++sequences_["vm-2"];
+  EXPECT_EQ(Stops(scheduler_.OnHeartbeat(heartbeat_, 3)).size(), 1u);
+  EXPECT_EQ(StartsOn("vm-3", 3.5), 0u);
+  heartbeat_.sequence = ++sequences_["vm-2"];
+  test::MarkExited(heartbeat_.tasks[0], wire::ExitReason::kStopped);
+  scheduler_.OnHeartbeat(heartbeat_, 4);
+  const size_t on_third = StartsOn("vm-3", 5);
+  EXPECT_EQ(on_third + StartsOn("vm-2", 5), 1u);
 }
 
-// The answer is lost, and its own report tells.
-TEST_F(StrangerTest, ItsReportIsEnough) {
-  d_.OnCommandOutcome(order_, CommandOutcome::kUndetermined, nullptr, 0.7);
-  EXPECT_TRUE(d_.OnHeartbeat(told_, 1).accepted);
-  Ready("vm-3", 1);
-  d_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsAt("vm-3", 2), 0u);
+// The outcome of the command is lost, and a heartbeat of vm-2 shows the task.
+TEST_F(ReusedAddressTest, ItsHeartbeatIsEnough) {
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
+  EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, 1).accepted);
+  AddReadyMachine("vm-3", 1);
+  scheduler_.OnMachineDeleted("vm-1", 1.5);
+  EXPECT_EQ(StartsOn("vm-3", 2), 0u);
 }
 
-// The answer is lost, and the machine that was meant is deleted before the other reports. Started
-// anew at once, the task ran twice: it waits until nobody else can have it.
-TEST_F(StrangerTest, ItIsSoughtAtTheAddressBeforeItIsStartedAgain) {
-  d_.OnCommandOutcome(order_, CommandOutcome::kUndetermined, nullptr, 0.7);
-  Ready("vm-3", 1);
-  d_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsAt("vm-3", 2), 0u);
-  EXPECT_EQ(d_.Counts("req-1").running, 1u);
-  // A list that may not show all that were up when the order left proves nothing.
+// The outcome of the command is lost, and vm-1 is deleted before vm-2 sends a heartbeat. Restarted
+// at once, the task ran twice: it waits until no other machine can run it.
+TEST_F(ReusedAddressTest, TheAddressIsReconciledBeforeTheTaskIsRestarted) {
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
+  AddReadyMachine("vm-3", 1);
+  scheduler_.OnMachineDeleted("vm-1", 1.5);
+  EXPECT_EQ(StartsOn("vm-3", 2), 0u);
+  EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
+  // A list that may not show all machines that were up when the commands were sent proves nothing.
   const wire::ListedMachine third{"vm-3", "vm-3:1", "box", "a", false, wire::MachineState::kRunning,
                                   9};
   wire::ListedMachine other = third;
   other.id = "vm-2";
-  other.address = order_.address;
-  d_.OnMachineList({third}, 0.5 + settings_.machine_list_lag_s, 5);
-  d_.Tick(5);
-  EXPECT_EQ(StartsAt("vm-3", 5.1), 0u);
-  // The other is there, and not heard of.
+  other.address = command_batch_.address;
+  scheduler_.OnMachineList({third}, 0.5 + settings_.machine_list_lag_s, 5);
+  scheduler_.Tick(5);
+  EXPECT_EQ(StartsOn("vm-3", 5.1), 0u);
+  // vm-2 is listed, and has sent no heartbeat.
   const double late = 1 + 2 * settings_.machine_list_lag_s;
-  d_.OnMachineList({third, other}, late, late);
-  d_.Tick(late);
-  EXPECT_EQ(StartsAt("vm-3", late + 0.1), 0u);
-  // Its report tells that it runs there.
-  told_.address = order_.address;
-  EXPECT_TRUE(d_.OnHeartbeat(told_, late + 0.2).accepted);
-  d_.OnMachineList({third}, late + 5, late + 5);
-  d_.Tick(late + 5);
-  EXPECT_EQ(StartsAt("vm-3", late + 5.1), 0u);
-  told_.sequence = ++seq_["vm-2"];
-  told_.tasks[0].state = wire::TaskState::kExited;
-  told_.tasks[0].exit_reason = wire::ExitReason::kStopped;
-  d_.OnHeartbeat(told_, late + 6);
-  EXPECT_EQ(StartsAt("vm-3", late + 7) + StartsAt("vm-2", late + 7), 1u);
+  scheduler_.OnMachineList({third, other}, late, late);
+  scheduler_.Tick(late);
+  EXPECT_EQ(StartsOn("vm-3", late + 0.1), 0u);
+  // Its heartbeat shows that the task runs there.
+  heartbeat_.address = command_batch_.address;
+  EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, late + 0.2).accepted);
+  scheduler_.OnMachineList({third}, late + 5, late + 5);
+  scheduler_.Tick(late + 5);
+  EXPECT_EQ(StartsOn("vm-3", late + 5.1), 0u);
+  heartbeat_.sequence = ++sequences_["vm-2"];
+  test::MarkExited(heartbeat_.tasks[0], wire::ExitReason::kStopped);
+  scheduler_.OnHeartbeat(heartbeat_, late + 6);
+  EXPECT_EQ(StartsOn("vm-3", late + 7) + StartsOn("vm-2", late + 7), 1u);
 }
 
-// Whoever is there may take it yet, until it has shown a higher token.
-TEST_F(StrangerTest, WhoIsAtTheAddressGetsAHigherTokenFirst) {
-  d_.OnCommandOutcome(order_, CommandOutcome::kUndetermined, nullptr, 0.7);
-  Ready("vm-3", 1);
-  told_.tasks.clear();
-  told_.address = order_.address;
-  EXPECT_TRUE(d_.OnHeartbeat(told_, 1).accepted);
-  d_.OnMachineDeleted("vm-1", 1.5);
+// The machine at the address may execute the command yet, until it has confirmed a higher token.
+TEST_F(ReusedAddressTest, TheMachineAtTheAddressGetsAHigherTokenFirst) {
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
+  AddReadyMachine("vm-3", 1);
+  heartbeat_.tasks.clear();
+  heartbeat_.address = command_batch_.address;
+  EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, 1).accepted);
+  scheduler_.OnMachineDeleted("vm-1", 1.5);
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   const auto machine = [&](const char* id, const std::string& address) {
     return wire::ListedMachine{id, address, "box", "a", false, wire::MachineState::kRunning, 9};
   };
-  d_.OnMachineList({machine("vm-3", "vm-3:1"), machine("vm-2", order_.address)}, late, late);
-  d_.Tick(late);
-  EXPECT_EQ(StartsAt("vm-3", late + 0.1), 0u);
-  d_.Tick(late + 0.2);
-  EXPECT_EQ(StartsAt("vm-3", late + 0.2), 0u);
-  d_.Tick(late + 0.3);
-  const uint64_t raised = d_.machines().at("vm-2").fencing_token;
-  EXPECT_GT(raised, order_.fencing_token);
-  EXPECT_EQ(StartsAt("vm-3", late + 0.4), 0u);
-  wire::Heartbeat shown = Written("vm-2", 1);
-  shown.address = order_.address;
-  shown.fencing_token = raised;
-  EXPECT_TRUE(d_.OnHeartbeat(shown, late + 0.5).accepted);
-  d_.Tick(late + 0.6);
-  EXPECT_EQ(d_.FindJob("req-1")->pending.size() + d_.Counts("req-1").running, 1u);
-  const size_t at_three = StartsAt("vm-3", late + 1);
-  wire::Heartbeat again = Written("vm-2", 1);
-  again.address = order_.address;
+  scheduler_.OnMachineList({machine("vm-3", "vm-3:1"), machine("vm-2", command_batch_.address)},
+                           late, late);
+  scheduler_.Tick(late);
+  EXPECT_EQ(StartsOn("vm-3", late + 0.1), 0u);
+  scheduler_.Tick(late + 0.2);
+  EXPECT_EQ(StartsOn("vm-3", late + 0.2), 0u);
+  scheduler_.Tick(late + 0.3);
+  const uint64_t raised = scheduler_.machines().at("vm-2").fencing_token;
+  EXPECT_GT(raised, command_batch_.fencing_token);
+  EXPECT_EQ(StartsOn("vm-3", late + 0.4), 0u);
+  wire::Heartbeat confirming = NextHeartbeat("vm-2", 1);
+  confirming.address = command_batch_.address;
+  confirming.fencing_token = raised;
+  EXPECT_TRUE(scheduler_.OnHeartbeat(confirming, late + 0.5).accepted);
+  scheduler_.Tick(late + 0.6);
+  EXPECT_EQ(scheduler_.FindJob("req-1")->pending.size() + scheduler_.Counts("req-1").running, 1u);
+  const size_t on_third = StartsOn("vm-3", late + 1);
+  wire::Heartbeat again = NextHeartbeat("vm-2", 1);
+  again.address = command_batch_.address;
   again.fencing_token = raised;
-  EXPECT_EQ(at_three + Only(d_.OnHeartbeat(again, late + 1), wire::CommandType::kStart).size(), 1u);
+  EXPECT_EQ(on_third + Starts(scheduler_.OnHeartbeat(again, late + 1)).size(), 1u);
 }
 
-// Nobody else is there, as nearly always: it is started again as soon as a late enough list says
-// so.
-TEST_F(StrangerTest, NobodyElseIsThere) {
+// No other machine is there, as nearly always: the task is restarted as soon as a late enough list
+// says so.
+TEST_F(ReusedAddressTest, NoOtherMachineHasTheAddress) {
   const double late = 1 + 2 * settings_.machine_list_lag_s;
-  d_.OnCommandOutcome(order_, CommandOutcome::kUndetermined, nullptr, 0.7);
-  d_.OnMachineList({}, late, late);
-  Ready("vm-3", late);
-  d_.OnMachineDeleted("vm-1", late + 1);
-  EXPECT_EQ(StartsAt("vm-3", late + 2), 1u);
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
+  scheduler_.OnMachineList({}, late, late);
+  AddReadyMachine("vm-3", late);
+  scheduler_.OnMachineDeleted("vm-1", late + 1);
+  EXPECT_EQ(StartsOn("vm-3", late + 2), 1u);
 }
 
-// The token that it took was raised for the one that is gone: its reports were refused as those of
-// a later leader's machine.
-TEST_F(StrangerTest, ATokenRaisedForAnotherIsOurs) {
-  d_.OnCommandOutcome(order_, CommandOutcome::kUndetermined, nullptr, 0.7);
-  d_.Tick(0.8);
-  d_.OnRecordsWritten(20, 0.9);
-  d_.Tick(1);
-  ASSERT_EQ(d_.machines().at("vm-1").fencing_token, 20u);
-  told_.fencing_token = 20;
-  told_.tasks.clear();
-  EXPECT_TRUE(d_.OnHeartbeat(told_, 1.2).accepted);
-  EXPECT_TRUE(Usable("vm-2", 1.2));
-  wire::Heartbeat later = Written("vm-2", 1);
+// The token that vm-2 confirmed was raised for vm-1: its heartbeats were rejected as those of a
+// later leader's machine.
+TEST_F(ReusedAddressTest, ATokenRaisedForAnotherMachineIsAccepted) {
+  scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
+  scheduler_.Tick(0.8);
+  scheduler_.OnRecordsWritten(20, 0.9);
+  scheduler_.Tick(1);
+  ASSERT_EQ(scheduler_.machines().at("vm-1").fencing_token, 20u);
+  heartbeat_.fencing_token = 20;
+  heartbeat_.tasks.clear();
+  EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, 1.2).accepted);
+  EXPECT_TRUE(IsSchedulable("vm-2", 1.2));
+  wire::Heartbeat later = NextHeartbeat("vm-2", 1);
   later.fencing_token = 21;
-  EXPECT_FALSE(d_.OnHeartbeat(later, 2).accepted);
+  EXPECT_FALSE(scheduler_.OnHeartbeat(later, 2).accepted);
 }
 
-// A successor asks the one that is gone, and the other answers: it stands in no record.
-TEST_F(StrangerTest, ASuccessorLearnsOfIt) {
-  Scheduler successor(settings_, derived_, 20, 10);
-  successor.SetMachineTypes({d_type_});
-  successor.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}}, 1);
-  successor.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0.5);
-  const auto asked = successor.TakeCommands(10);
-  ASSERT_EQ(asked.size(), 1u);
-  told_.fencing_token = 20;
-  successor.OnCommandOutcome(asked[0], CommandOutcome::kExecuted, &told_, 10.1);
-  EXPECT_FALSE(successor.recovery_complete());
-  successor.OnMachineDeleted("vm-1", 11);
-  EXPECT_TRUE(successor.recovery_complete());
-  EXPECT_EQ(successor.Counts("req-1").running, 1u);
-  EXPECT_EQ(successor.FindJob("req-1")->pending.size(), 0u);
+// A new leader probes vm-1, and vm-2, which is in no record, answers.
+TEST_F(ReusedAddressTest, ANewLeaderLearnsOfIt) {
+  Scheduler next(settings_, derived_, 20, 10);
+  next.SetMachineTypes({type_});
+  next.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}}, 1);
+  next.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0.5);
+  const auto probes = next.TakeCommands(10);
+  ASSERT_EQ(probes.size(), 1u);
+  heartbeat_.fencing_token = 20;
+  next.OnCommandOutcome(probes[0], CommandOutcome::kExecuted, &heartbeat_, 10.1);
+  EXPECT_FALSE(next.recovery_complete());
+  next.OnMachineDeleted("vm-1", 11);
+  EXPECT_TRUE(next.recovery_complete());
+  EXPECT_EQ(next.Counts("req-1").running, 1u);
+  EXPECT_EQ(next.FindJob("req-1")->pending.size(), 0u);
 }
 
 }  // namespace
--- a/tests/routing_table_test.cc
+++ b/tests/routing_table_test.cc
@@ -8,22 +8,22 @@
 namespace mosspath::shard {
 namespace {
 
-TEST(BlockRoutes, FollowTheRecords) {
-  RoutingTable r;
+TEST(RoutingTableTest, RoutesFollowTheMachineRecords) {
+  RoutingTable routes;
   const wire::Json pack{{"vm-1", "a:1"}, {"vm-2", "b:1/7"}, {"vm-3", "c:1/8"}, {"vm-4", 5}};
-  r.OnPack(0, &pack, 20);
-  EXPECT_EQ(r.HolderOf("vm-2"), "");
-  r.OnLease("hut-1", 7);
-  EXPECT_EQ(r.HolderOf("vm-2"), "hut-1");
-  EXPECT_EQ(r.HolderOf("vm-1"), "");
-  EXPECT_EQ(r.HolderOf("vm-3"), "");  // of a lease that is over
-  EXPECT_EQ(r.MachinesUnder(7).at("vm-2").address, "b:1");
-  EXPECT_EQ(r.MachinesUnder(7).at("vm-2").version, 20u);
-  r.OnLease("hut-1", 8);
-  EXPECT_EQ(r.HolderOf("vm-2"), "");
-  EXPECT_EQ(r.HolderOf("vm-3"), "hut-1");
-  r.OnPack(0, nullptr, 30);
-  EXPECT_EQ(r.HolderOf("vm-3"), "");
+  routes.OnPack(0, &pack, 20);
+  EXPECT_EQ(routes.HolderOf("vm-2"), "");
+  routes.OnLease("hut-1", 7);
+  EXPECT_EQ(routes.HolderOf("vm-2"), "hut-1");
+  EXPECT_EQ(routes.HolderOf("vm-1"), "");
+  EXPECT_EQ(routes.HolderOf("vm-3"), "");  // of a lease that has ended
+  EXPECT_EQ(routes.MachinesUnder(7).at("vm-2").address, "b:1");
+  EXPECT_EQ(routes.MachinesUnder(7).at("vm-2").version, 20u);
+  routes.OnLease("hut-1", 8);
+  EXPECT_EQ(routes.HolderOf("vm-2"), "");
+  EXPECT_EQ(routes.HolderOf("vm-3"), "hut-1");
+  routes.OnPack(0, nullptr, 30);
+  EXPECT_EQ(routes.HolderOf("vm-3"), "");
 }
 
 }  // namespace
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -3,6 +3,7 @@
 
 #include <string>
 
+#include "builders.h"
 #include "simulation/cluster.h"
 
 namespace mosspath {
@@ -13,17 +14,14 @@
 using simulation::SmallSettings;
 using simulation::SmallType;
 
-// The checker itself: planted violations must be caught.
-class Planted : public ::testing::Test {
+// A cluster without controllers: the test plants violations that the checker must find.
+class RuleCheckerTest : public ::testing::Test {
  protected:
-  Planted() : world(SmallSettings(), {SmallType()}, 1) {
+  RuleCheckerTest() : world(SmallSettings(), {SmallType()}, 1) {
     world.nodes = {"hut-0"};
     world.on_heartbeat = [](const std::string&, const wire::Heartbeat&,
                             const SimulatedEnvironment::HeartbeatResponder&) {};
-    spec_.id = "req-1";
-    spec_.team = "tight";
-    spec_.tasks = 12;
-    spec_.cpus = 1;
+    spec_ = test::MakeJobSpec("req-1", "tight", /*tasks=*/12);
     spec_.image = "i";
     spec_.estimated_run_s = 5;
     spec_.zone = "east";
@@ -32,9 +30,9 @@
   wire::Command Start(uint32_t index) {
     return {wire::CommandType::kStart, {"req-1", index}, 7, 0};
   }
-  bool Caught(const std::string& rule) {
-    for (const auto& b : world.rule_checker.breaches()) {
-      if (b.starts_with(rule)) return true;
+  bool Found(const std::string& rule) {
+    for (const auto& breach : world.rule_checker.breaches()) {
+      if (breach.starts_with(rule)) return true;
     }
     return false;
   }
@@ -43,85 +41,85 @@
   wire::JobSpec spec_;
 };
 
-TEST_F(Planted, RanTwiceIsCaught) {
-  auto& a = world.AddMachine("box", "east", false);
-  auto& b = world.AddMachine("box", "east", false);
-  a.OnCommands(1, 1, {Start(0)});
-  b.OnCommands(1, 1, {Start(0)});
+TEST_F(RuleCheckerTest, DetectsATaskThatRunsTwice) {
+  auto& first = world.AddMachine("box", "east", false);
+  auto& second = world.AddMachine("box", "east", false);
+  first.OnCommands(1, 1, {Start(0)});
+  second.OnCommands(1, 1, {Start(0)});
   world.clock.RunUntil(1.5);
-  EXPECT_TRUE(Caught("ran_twice"));
+  EXPECT_TRUE(Found("ran_twice"));
 }
 
-TEST_F(Planted, WrongPlaceIsCaught) {
+TEST_F(RuleCheckerTest, DetectsATaskInTheWrongZone) {
   world.AddMachine("box", "west", false).OnCommands(1, 1, {Start(0)});
   world.clock.RunUntil(1.5);
-  EXPECT_TRUE(Caught("wrong_place"));
+  EXPECT_TRUE(Found("wrong_place"));
 }
 
-TEST_F(Planted, QuotaIsCaught) {
-  auto& a = world.AddMachine("box", "east", false);
-  auto& b = world.AddMachine("box", "east", false);
-  for (uint32_t i = 0; i < 12; ++i) (i % 2 == 0 ? a : b).OnCommands(1, 1, {Start(i)});
+TEST_F(RuleCheckerTest, DetectsAnExceededQuota) {
+  auto& first = world.AddMachine("box", "east", false);
+  auto& second = world.AddMachine("box", "east", false);
+  for (uint32_t i = 0; i < 12; ++i) (i % 2 == 0 ? first : second).OnCommands(1, 1, {Start(i)});
   world.clock.RunUntil(1.5);
-  EXPECT_TRUE(Caught("quota"));
+  EXPECT_TRUE(Found("quota"));
 }
 
-TEST_F(Planted, CancelledButRunningIsCaught) {
+TEST_F(RuleCheckerTest, DetectsACancelledTaskThatRuns) {
   spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
-  auto& a = world.AddMachine("box", "east", false);
+  auto& agent = world.AddMachine("box", "east", false);
   world.rule_checker.OnCancellationConfirmed("req-1", 0);
-  world.clock.At(25, [&] { a.OnCommands(1, 3, {Start(0)}); });  // its third session by then
+  world.clock.At(25, [&] { agent.OnCommands(1, 3, {Start(0)}); });  // its third epoch by then
   world.clock.RunUntil(27);
   world.rule_checker.CheckNow(27);
-  EXPECT_TRUE(Caught("ran_cancelled"));
+  EXPECT_TRUE(Found("ran_cancelled"));
 }
 
-// Its lease holds, so it goes on with what was cancelled while it hung.
-TEST_F(Planted, CancelledOnAMachineThatHungIsCaught) {
+// Its lease is valid, so it continues the task that was cancelled while it hung.
+TEST_F(RuleCheckerTest, DetectsACancelledTaskOnAMachineThatHung) {
   spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
-  auto& a = world.AddMachine("box", "east", false);
-  world.clock.At(15, [&] {  // its second session by then
-    a.OnCommands(1, 2, {Start(0)});
-    a.Hang(4);
+  auto& agent = world.AddMachine("box", "east", false);
+  world.clock.At(15, [&] {  // its second epoch by then
+    agent.OnCommands(1, 2, {Start(0)});
+    agent.Hang(4);
   });
   world.clock.At(17, [&] { world.rule_checker.OnCancellationConfirmed("req-1", -4); });
   world.clock.RunUntil(19.5);
   world.rule_checker.CheckNow(19.5);
-  EXPECT_TRUE(Caught("ran_cancelled"));
+  EXPECT_TRUE(Found("ran_cancelled"));
 }
 
-TEST_F(Planted, WaitingBesideRoomIsCaught) {
+TEST_F(RuleCheckerTest, DetectsAJobThatWaitsBesideFreeCapacity) {
   world.Submit(spec_);
   world.rule_checker.OnAccepted("req-1", 0);
   for (double now = 0; now <= 88; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-1", "vm-2"}, now);
-  EXPECT_FALSE(Caught("waits"));
-  // Another machine each time is the holes of a fleet that is full.
+  EXPECT_FALSE(Found("waits"));
+  // Another machine each time means fragmented capacity of a full cluster.
   for (double now = 90; now <= 178; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, now);
-  EXPECT_FALSE(Caught("waits"));
+  EXPECT_FALSE(Found("waits"));
   world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, 182);
-  EXPECT_TRUE(Caught("waits"));
+  EXPECT_TRUE(Found("waits"));
 }
 
-TEST_F(Planted, AcceptedThoughItCannotRunIsCaught) {
+TEST_F(RuleCheckerTest, DetectsAnAcceptedJobThatCannotRun) {
   spec_.cpus = 1'000;
   world.Submit(spec_);
   world.rule_checker.OnAccepted("req-1", 0);
-  EXPECT_TRUE(Caught("accepted"));
+  EXPECT_TRUE(Found("accepted"));
 }
 
-TEST_F(Planted, RefusedThoughItWasAcceptedIsCaught) {
+TEST_F(RuleCheckerTest, DetectsARefusedJobThatWasAccepted) {
   world.rule_checker.OnAccepted("req-1", 0);
   world.rule_checker.OnRefused("req-1");
-  EXPECT_TRUE(Caught("forgotten"));
+  EXPECT_TRUE(Found("forgotten"));
 }
 
-TEST_F(Planted, DoneTooEarlyIsCaught) {
+TEST_F(RuleCheckerTest, DetectsAJobDoneTooEarly) {
   world.rule_checker.OnCompletionConfirmed("req-1");
-  EXPECT_TRUE(Caught("not_done"));
+  EXPECT_TRUE(Found("not_done"));
 }
 
 }  // namespace
--- a/tests/scaling_planner_test.cc
+++ b/tests/scaling_planner_test.cc
@@ -11,96 +11,101 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Free room on cheap machines is no reason to return the ordinary one that is kept.
-TEST_F(DispatcherTest, CheapRoomIsNoStandInForOrdinaryRoom) {
-  d_type_.spot_price = 0.3;
-  autoscaler::ScalingInput in;
-  in.types = {d_type_};
+using ScalingPlannerTest = SchedulerTest;
+
+// A machine of the type "box" that is up and takes tasks.
+autoscaler::FleetMachine SchedulableMachine(const std::string& id, const std::string& zone,
+                                            bool spot) {
+  autoscaler::FleetMachine machine;
+  machine.id = id;
+  machine.type = "box";
+  machine.zone = zone;
+  machine.spot = spot;
+  machine.up = machine.schedulable = true;
+  return machine;
+}
+
+// Free capacity of spot machines is no reason to return the on-demand machine that is reserved.
+TEST_F(ScalingPlannerTest, SpotCapacityDoesNotReplaceReservedOnDemandCapacity) {
+  type_.spot_price = 0.3;
+  autoscaler::ScalingInput input;
+  input.types = {type_};
   for (const bool spot : {false, true, true}) {
-    autoscaler::FleetMachine u;
-    u.id = "vm-" + std::to_string(in.machines.size());
-    u.type = "box";
-    u.zone = "a";
-    u.spot = spot;
-    u.up = u.schedulable = u.idle = true;
-    u.idle_s = 1000;
-    in.machines.push_back(u);
+    autoscaler::FleetMachine machine =
+        SchedulableMachine("vm-" + std::to_string(input.machines.size()), "a", spot);
+    machine.idle = true;
+    machine.idle_s = 1000;
+    input.machines.push_back(machine);
   }
-  const auto returned = [&] { return autoscaler::PlanScaling(in, {}).scale_in; };
-  EXPECT_EQ(returned().size(), 3u);
-  in.on_demand_cpus = 2;
-  const auto back = returned();
-  EXPECT_EQ(std::find(back.begin(), back.end(), "vm-0"), back.end());
-  EXPECT_EQ(back.size(), 2u);
+  const auto scale_in = [&] { return autoscaler::PlanScaling(input, {}).scale_in; };
+  EXPECT_EQ(scale_in().size(), 3u);
+  input.on_demand_cpus = 2;
+  const auto with_reservation = scale_in();
+  EXPECT_EQ(std::find(with_reservation.begin(), with_reservation.end(), "vm-0"),
+            with_reservation.end());
+  EXPECT_EQ(with_reservation.size(), 2u);
 }
 
-// With slow reports, waiting for one before anything is stopped missed the aim for starts.
-// Ordinary machines had a CPU free each, a cheap one stood idle that the replica may not use, and
-// nothing was rented: it waited for ever (`simulate addition`, seed 45).
-TEST_F(DispatcherTest, RoomInPiecesIsRentedFor) {
-  d_type_.spot_price = 0.3;
-  autoscaler::ScalingInput in;
-  in.types = {d_type_};
+// On-demand machines had one free CPU each, and an idle spot machine that the replica may not use
+// was counted, so nothing was rented and the replica waited for ever (`simulate addition`, seed
+// 45).
+TEST_F(ScalingPlannerTest, FragmentedCapacityDoesNotCoverDemand) {
+  type_.spot_price = 0.3;
+  autoscaler::ScalingInput input;
+  input.types = {type_};
   for (const bool spot : {false, false, false, false, true}) {
-    autoscaler::FleetMachine u;
-    u.id = "vm-" + std::to_string(in.machines.size());
-    u.type = "box";
-    u.zone = "a";
-    u.spot = spot;
-    u.up = u.schedulable = true;
-    u.used_cpus = spot ? 0 : d_type_.cpus - 1;
-    in.machines.push_back(u);
+    autoscaler::FleetMachine machine =
+        SchedulableMachine("vm-" + std::to_string(input.machines.size()), "a", spot);
+    machine.used_cpus = spot ? 0 : type_.cpus - 1;
+    input.machines.push_back(machine);
   }
-  autoscaler::Demand d;
-  d.spot_allowed = false;
-  d.cpus = 2;
-  d.memory_gb = 1;
-  d.waiting_tasks = 1;
-  d.urgent = true;
-  in.demand = {d};
-  const auto rent = [&] { return autoscaler::PlanScaling(in, {}).scale_out; };
-  ASSERT_EQ(rent().size(), 1u);
-  EXPECT_EQ(rent()[0].count, 1);
-  EXPECT_FALSE(rent()[0].spot);
-  in.machines[0].used_cpus -= 1;
-  EXPECT_TRUE(rent().empty());
+  autoscaler::Demand demand;
+  demand.spot_allowed = false;
+  demand.cpus = 2;
+  demand.memory_gb = 1;
+  demand.waiting_tasks = 1;
+  demand.urgent = true;
+  input.demand = {demand};
+  const auto scale_out = [&] { return autoscaler::PlanScaling(input, {}).scale_out; };
+  ASSERT_EQ(scale_out().size(), 1u);
+  EXPECT_EQ(scale_out()[0].count, 1);
+  EXPECT_FALSE(scale_out()[0].spot);
+  input.machines[0].used_cpus -= 1;
+  EXPECT_TRUE(scale_out().empty());
 }
 
-// Cheap machines and the other zone had room enough, so all that the work may use rested; that room
-// was counted on, so nothing was rented, and it waited for ever (`simulate meetings`, seed 161).
-TEST_F(DispatcherTest, RoomThatWorkWaitsForDoesNotRest) {
-  d_type_.spot_price = 0.3;
-  d_type_.zones = {"a", "b"};
-  autoscaler::ScalingInput in;
-  in.types = {d_type_};
+// Spot machines and the other zone had enough capacity, so every machine that the tasks may use was
+// drained; its capacity was still counted, so nothing was rented and the tasks waited for ever
+// (`simulate meetings`, seed 161).
+TEST_F(ScalingPlannerTest, CapacityThatPendingTasksNeedIsNotDrained) {
+  type_.spot_price = 0.3;
+  type_.zones = {"a", "b"};
+  autoscaler::ScalingInput input;
+  input.types = {type_};
   const auto add = [&](const std::string& zone, bool spot, double used) {
-    autoscaler::FleetMachine u;
-    u.id = zone + std::to_string(in.machines.size());
-    u.type = "box";
-    u.zone = zone;
-    u.spot = spot;
-    u.up = u.schedulable = true;
-    u.used_cpus = used;
-    in.machines.push_back(u);
+    autoscaler::FleetMachine machine =
+        SchedulableMachine(zone + std::to_string(input.machines.size()), zone, spot);
+    machine.used_cpus = used;
+    input.machines.push_back(machine);
   };
   for (const double used : {3.5, 2.0, 3.0}) add("a", false, used);
   for (int i = 0; i < 6; ++i) add("b", i % 2 == 0, 0);
-  autoscaler::Demand d;
-  d.spot_allowed = false;
-  d.zone = "a";
-  d.cpus = 1;
-  d.memory_gb = 1;
-  d.waiting_tasks = 3;
-  d.waiting_run_s = 300;
-  in.demand = {d};
-  const autoscaler::ScalingPlan plan = autoscaler::PlanScaling(in, {});
-  const auto rests = [&](const std::string& id) {
+  autoscaler::Demand demand;
+  demand.spot_allowed = false;
+  demand.zone = "a";
+  demand.cpus = 1;
+  demand.memory_gb = 1;
+  demand.waiting_tasks = 3;
+  demand.waiting_run_s = 300;
+  input.demand = {demand};
+  const autoscaler::ScalingPlan plan = autoscaler::PlanScaling(input, {});
+  const auto drains = [&](const std::string& id) {
     return std::find(plan.cordon.begin(), plan.cordon.end(), id) != plan.cordon.end() ||
            std::find(plan.drain.begin(), plan.drain.end(), id) != plan.drain.end();
   };
-  EXPECT_FALSE(rests("a1"));
-  EXPECT_FALSE(rests("a2"));
-  EXPECT_TRUE(rests("a0"));  // not one task fits
+  EXPECT_FALSE(drains("a1"));
+  EXPECT_FALSE(drains("a2"));
+  EXPECT_TRUE(drains("a0"));  // no task fits
   EXPECT_TRUE(plan.scale_out.empty());
 }
 
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,5 +1,6 @@
-// Fixtures of the scheduler's tests: a scheduler with one machine type whose machines the test
-// plays.
+// Fixtures of the scheduler's tests. The test plays the agents, the state
+// service and the cloud; a suite that needs no more takes SchedulerTest under a
+// name of its own: `using PlacementTest = SchedulerTest;`.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,127 +11,120 @@
 #include <utility>
 #include <vector>
 
+#include "builders.h"
 #include "mosspath/cluster/cluster_state.h"
 #include "mosspath/scheduler/scheduler.h"
 
 namespace mosspath::scheduler {
 
-inline config::Settings BaseSettings() {
-  config::Settings s;
-  s.controller_count = 3;
-  s.zones = {"a", "b"};
-  s.teams = {{"t", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}};
-  s.objectives = {{"wait", "aimed", 900, 0.9, 1}};
-  s.heartbeat_s = 2;
-  s.agent_lease_s = 20;
-  s.cancel_within_s = 40;
-  s.store_requests_per_s = 100;
-  s.store_writes_per_s = 25;
-  s.store_value_kb = 8;
-  s.store_transaction_changes = 8;
-  s.cloud_requests_per_s = 5;
-  s.machine_list_lag_s = 3;
-  return s;
+// Takes and acknowledges batches of records until none is left, at time 0 and
+// under the store revision 1, which is below any that matters.
+inline void MakeRecordsDurable(Scheduler& scheduler) {
+  while (!scheduler.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty()) {
+    scheduler.OnRecordsWritten(1, 0);
+  }
 }
 
-class DispatcherTest : public ::testing::Test {
+// A leader elected under the token 10 at time 0, with one machine type of 4
+// CPUs.
+class SchedulerTest : public ::testing::Test {
  protected:
-  DispatcherTest()
-      : settings_(BaseSettings()), derived_(settings_), d_(settings_, derived_, 10, 0) {
-    wire::MachineType t;
-    t.name = "box";
-    t.cpus = 4;
-    t.memory_gb = 16;
-    t.cache_gb = 10;
-    t.fetch_gb_per_s = 1;
-    t.price = 1;
-    t.boot_s = 10;
-    t.zones = {"a", "b"};
-    d_.SetMachineTypes({t});
-    d_type_ = t;
+  SchedulerTest()
+      : settings_(test::SchedulerSettings()),
+        derived_(settings_),
+        scheduler_(settings_, derived_, kToken, 0),
+        type_(test::BoxType(/*cpus=*/4, /*memory_gb=*/16)) {
+    type_.price = 1;
+    type_.boot_s = 10;
+    type_.zones = {"a", "b"};
+    scheduler_.SetMachineTypes({type_});
   }
 
-  wire::JobSpec Job(int number, uint32_t tasks, double cpus, wire::Priority rank) {
-    wire::JobSpec s;
-    s.id = "req-" + std::to_string(number);
-    s.job_class = "c";
-    s.team = "t";
-    s.tasks = tasks;
-    s.cpus = cpus;
-    s.memory_gb = 1;
-    s.priority = rank;
-    s.image = "img";
-    s.image_gb = 1;
-    s.estimated_run_s = 30;
-    return s;
+  // A job of the team "t" and of a class without an objective.
+  wire::JobSpec Job(int number, uint32_t tasks, double cpus, wire::Priority priority) {
+    wire::JobSpec spec = test::MakeJobSpec("req-" + std::to_string(number), "t", tasks, cpus);
+    spec.job_class = "c";
+    spec.memory_gb = 1;
+    spec.priority = priority;
+    spec.image = "img";
+    spec.image_gb = 1;
+    spec.estimated_run_s = 30;
+    return spec;
   }
 
-  // The machine's next report, of no tasks.
-  wire::Heartbeat Written(const std::string& id, uint64_t session) {
-    wire::Heartbeat r;
-    r.machine = id;
-    r.address = "10.0.0.9:1";
-    r.type = "box";
-    r.zone = "a";
-    r.agent_epoch = session;
-    r.sequence = ++seq_[id];
-    r.fencing_token = 10;
-    return r;
+  // The machine's next heartbeat, without tasks.
+  wire::Heartbeat NextHeartbeat(const std::string& id, uint64_t agent_epoch) {
+    wire::Heartbeat heartbeat =
+        test::MakeHeartbeat(id, agent_epoch, ++sequences_[id], /*fencing_token=*/kToken);
+    heartbeat.address = "10.0.0.9:1";
+    heartbeat.zone = "a";
+    return heartbeat;
   }
 
-  // A report of what the machine has; (session, seq) count up by themselves.
-  HeartbeatAnswer Report(const std::string& id, double now,
-                         std::vector<wire::TaskStatus> tasks = {}, uint64_t token = 10) {
-    wire::Heartbeat r = Written(id, 1);
-    r.fencing_token = token;
-    r.tasks = std::move(tasks);
-    d_.Place(now);  // the leader's duty
-    return d_.OnHeartbeat(r, now);
+  // Delivers the machine's next heartbeat of its first epoch and returns the
+  // leader's answer.
+  HeartbeatAnswer SendHeartbeat(const std::string& id, double now,
+                                std::vector<wire::TaskStatus> tasks = {}, uint64_t token = kToken) {
+    wire::Heartbeat heartbeat = NextHeartbeat(id, 1);
+    heartbeat.fencing_token = token;
+    heartbeat.tasks = std::move(tasks);
+    scheduler_.Place(now);  // the leader's duty
+    return scheduler_.OnHeartbeat(heartbeat, now);
   }
 
   // Makes the machine known, recorded and ready for starts.
-  void Ready(const std::string& id, double now) {
-    Report(id, now);
-    d_.Tick(now);
-    Flush();
+  void AddReadyMachine(const std::string& id, double now) {
+    SendHeartbeat(id, now);
+    scheduler_.Tick(now);
+    MakeRecordsDurable(scheduler_);
   }
 
-  // All records that want writing are durable, under a revision below any that matters.
-  void Flush() {
-    while (!d_.TakeRecords(100, 48u << 10).empty()) d_.OnRecordsWritten(1, 0);
+  // The commands of one type in the leader's answer.
+  static std::vector<wire::Command> Starts(const HeartbeatAnswer& answer) {
+    return CommandsOfType(answer, wire::CommandType::kStart);
   }
-
-  static std::vector<wire::Command> Only(const HeartbeatAnswer& a, wire::CommandType op) {
-    std::vector<wire::Command> out;
-    for (const auto& c : a.commands) {
-      if (c.type == op) out.push_back(c);
+  static std::vector<wire::Command> Stops(const HeartbeatAnswer& answer) {
+    return CommandsOfType(answer, wire::CommandType::kStop);
+  }
+  static std::vector<wire::Command> Forgets(const HeartbeatAnswer& answer) {
+    return CommandsOfType(answer, wire::CommandType::kForget);
+  }
+  static std::vector<wire::Command> CommandsOfType(const HeartbeatAnswer& answer,
+                                                   wire::CommandType type) {
+    std::vector<wire::Command> commands;
+    for (const auto& command : answer.commands) {
+      if (command.type == type) commands.push_back(command);
     }
-    return out;
+    return commands;
   }
 
+  static constexpr uint64_t kToken = 10;
+
   config::Settings settings_;
   config::DerivedSettings derived_;
-  Scheduler d_;
-  wire::MachineType d_type_;
-  std::map<std::string, uint64_t> seq_;
+  Scheduler scheduler_;
+  wire::MachineType type_;
+  std::map<std::string, uint64_t> sequences_;  // of each machine's last heartbeat
 };
 
-// A machine's reports arrive, but nothing reaches it.
-class DeafTest : public DispatcherTest {
+// A machine whose heartbeats arrive while nothing reaches it.
+class OneWayPartitionTest : public SchedulerTest {
  protected:
-  // Its list is what it had; it never shows a token that it was not told before.
-  HeartbeatAnswer Deaf(const std::string& id, double now, uint64_t session, uint64_t token) {
-    wire::Heartbeat r = Written(id, session);
-    r.fencing_token = token;
-    d_.Place(now);
-    return d_.OnHeartbeat(r, now);
+  // The heartbeat lists no tasks and confirms no token later than `token`.
+  HeartbeatAnswer UnansweredHeartbeat(const std::string& id, double now, uint64_t agent_epoch,
+                                      uint64_t token) {
+    wire::Heartbeat heartbeat = NextHeartbeat(id, agent_epoch);
+    heartbeat.fencing_token = token;
+    scheduler_.Place(now);
+    return scheduler_.OnHeartbeat(heartbeat, now);
   }
-  bool Returns(const std::string& id, double now) {
-    const auto back = d_.PlanScaling(now).scale_in;
-    return std::find(back.begin(), back.end(), id) != back.end();
+  bool IsScaledIn(const std::string& id, double now) {
+    const auto scale_in = scheduler_.PlanScaling(now).scale_in;
+    return std::find(scale_in.begin(), scale_in.end(), id) != scale_in.end();
   }
-  bool Usable(const std::string& id, double now) {
-    return cluster::ClusterState(settings_, derived_).IsSchedulable(d_.machines().at(id), now);
+  bool IsSchedulable(const std::string& id, double now) {
+    return cluster::ClusterState(settings_, derived_)
+        .IsSchedulable(scheduler_.machines().at(id), now);
   }
 };
 
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -8,7 +8,7 @@
 namespace mosspath {
 namespace {
 
-const char* const kGood = R"(
+const char* const kValidFile = R"(
 label = "hut-0"
 domain = "a"
 public_addr = "127.0.0.1:8080"
@@ -54,27 +54,28 @@
 sockets = 3000
 )";
 
-TEST(Settings, GoodFileIsRead) {
-  const auto s = config::Parse(kGood);
-  EXPECT_EQ(s.name, "hut-0");
-  EXPECT_EQ(s.peers.size(), 1u);
-  EXPECT_EQ(s.store_writes_per_s, 25);
-  const config::DerivedSettings d(s);
-  EXPECT_LT(d.store_lease_s, s.agent_lease_s);
-  EXPECT_GT(d.agent_lease_over_s, s.agent_lease_s * (1 + config::kMaxClockDrift));
-  EXPECT_LT(d.store_lease_renew_s * 2, d.store_lease_s);
+TEST(SettingsTest, AValidFileIsRead) {
+  const auto settings = config::Parse(kValidFile);
+  EXPECT_EQ(settings.name, "hut-0");
+  EXPECT_EQ(settings.peers.size(), 1u);
+  EXPECT_EQ(settings.store_writes_per_s, 25);
+  const config::DerivedSettings derived(settings);
+  EXPECT_LT(derived.store_lease_s, settings.agent_lease_s);
+  EXPECT_GT(derived.agent_lease_over_s, settings.agent_lease_s * (1 + config::kMaxClockDrift));
+  EXPECT_LT(derived.store_lease_renew_s * 2, derived.store_lease_s);
 }
 
-struct Broken {
+// A valid file with `from` replaced by `to`, and the key that the error must name.
+struct BrokenFile {
   const char* from;
   const char* to;
-  const char* names;
+  const char* key;
 };
 
-class BrokenSettings : public ::testing::TestWithParam<Broken> {};
+class BrokenSettingsTest : public ::testing::TestWithParam<BrokenFile> {};
 
-TEST_P(BrokenSettings, OneLineNamesTheKey) {
-  std::string text = kGood;
+TEST_P(BrokenSettingsTest, TheErrorNamesTheKeyInOneLine) {
+  std::string text = kValidFile;
   const size_t at = text.find(GetParam().from);
   ASSERT_NE(at, std::string::npos);
   text.replace(at, std::string(GetParam().from).size(), GetParam().to);
@@ -82,33 +83,33 @@
     config::Parse(text);
     FAIL() << "accepted";
   } catch (const config::SettingsError& e) {
-    EXPECT_NE(std::string(e.what()).find(GetParam().names), std::string::npos) << e.what();
+    EXPECT_NE(std::string(e.what()).find(GetParam().key), std::string::npos) << e.what();
     EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, BrokenSettings,
-    ::testing::Values(Broken{"label = \"hut-0\"", "", "label"},
-                      Broken{"label = \"hut-0\"", "label = 3", "label"},
-                      Broken{"127.0.0.1:8080", "127.0.0.1", "public_addr"},
-                      Broken{"127.0.0.1:8081", "127.0.0.1:99999", "back"},
-                      Broken{"address = \"127.0.0.1:8082\"", "", "seeds[0].address"},
-                      Broken{"cloud = \"127.0.0.1:1\"", "cloud = 1", "outside.cloud"},
-                      Broken{"zones = [\"a\"]", "zones = []", "facts.zones"},
-                      Broken{"initial_size = 3", "initial_size = 0", "facts.initial_size"},
-                      Broken{"lease_s = 26.0", "lease_s = 2.0", "facts.workers.lease_s"},
-                      Broken{"lease_s = 26.0", "lease_s = nan", "facts.workers.lease_s"},
-                      Broken{"txn_ops = 8", "txn_ops = 8.5", "facts.state.txn_ops"},
-                      Broken{"rps = 4.0", "rps = \"4\"", "facts.cloud.rps"},
-                      Broken{"cpus_max = 0.0", "cpus_max = -1.0", "facts.teams[0].cpus_max"},
-                      Broken{"sockets = 3000", "sockets = 3", "facts.limits.sockets"},
-                      Broken{"[facts.cloud]", "[facts.clouds]", "facts.cloud"},
-                      Broken{"back = \"127.0.0.1:8081\"", "back = \"127.0.0.1:8080\"", "back"},
-                      Broken{"address = \"127.0.0.1:8082\"", "address = \"127.0.0.1:8081\"",
-                             "seeds[0].address"},
-                      Broken{"label = \"hut-1\"", "label = \"hut-0\"", "seeds[0].label"},
-                      Broken{"[outside]", "[outside", "line"}));
+    All, BrokenSettingsTest,
+    ::testing::Values(BrokenFile{"label = \"hut-0\"", "", "label"},
+                      BrokenFile{"label = \"hut-0\"", "label = 3", "label"},
+                      BrokenFile{"127.0.0.1:8080", "127.0.0.1", "public_addr"},
+                      BrokenFile{"127.0.0.1:8081", "127.0.0.1:99999", "back"},
+                      BrokenFile{"address = \"127.0.0.1:8082\"", "", "seeds[0].address"},
+                      BrokenFile{"cloud = \"127.0.0.1:1\"", "cloud = 1", "outside.cloud"},
+                      BrokenFile{"zones = [\"a\"]", "zones = []", "facts.zones"},
+                      BrokenFile{"initial_size = 3", "initial_size = 0", "facts.initial_size"},
+                      BrokenFile{"lease_s = 26.0", "lease_s = 2.0", "facts.workers.lease_s"},
+                      BrokenFile{"lease_s = 26.0", "lease_s = nan", "facts.workers.lease_s"},
+                      BrokenFile{"txn_ops = 8", "txn_ops = 8.5", "facts.state.txn_ops"},
+                      BrokenFile{"rps = 4.0", "rps = \"4\"", "facts.cloud.rps"},
+                      BrokenFile{"cpus_max = 0.0", "cpus_max = -1.0", "facts.teams[0].cpus_max"},
+                      BrokenFile{"sockets = 3000", "sockets = 3", "facts.limits.sockets"},
+                      BrokenFile{"[facts.cloud]", "[facts.clouds]", "facts.cloud"},
+                      BrokenFile{"back = \"127.0.0.1:8081\"", "back = \"127.0.0.1:8080\"", "back"},
+                      BrokenFile{"address = \"127.0.0.1:8082\"", "address = \"127.0.0.1:8081\"",
+                                 "seeds[0].address"},
+                      BrokenFile{"label = \"hut-1\"", "label = \"hut-0\"", "seeds[0].label"},
+                      BrokenFile{"[outside]", "[outside", "line"}));
 
 }  // namespace
 }  // namespace mosspath
--- a/tests/shard_frame_test.cc
+++ b/tests/shard_frame_test.cc
@@ -10,35 +10,37 @@
 namespace mosspath::shard {
 namespace {
 
-using Item = wire::ShardMessage;
-using Kind = wire::ShardMessage::Kind;
+using wire::ShardMessage;
 
-TEST(BlockFrame, RoundTripsAndRefusesWhatNobodyWrote) {
-  Item item{
-      .kind = Kind::kMachineStatus, .name = "vm-1", .job = "req-1", .tasks = {0, 1, 2, 7, 99'999}};
-  item.seconds = 12.25;
-  item.count = 1ULL << 40;
-  item.machine = Item::MachineStatus{"10.0.0.1:9", "box", "east", true, true, false, true,
-                                     false,        3.5,   8.25,   2,    0,    6.5};
-  const std::string text = wire::Encode(item);
-  EXPECT_EQ(wire::DecodeShardMessage(text), item);
+TEST(ShardFrameTest, RoundTripsAndRefusesMalformedFrames) {
+  ShardMessage message{.kind = ShardMessage::Kind::kMachineStatus,
+                       .name = "vm-1",
+                       .job = "req-1",
+                       .tasks = {0, 1, 2, 7, 99'999}};
+  message.seconds = 12.25;
+  message.count = 1ULL << 40;
+  message.machine = ShardMessage::MachineStatus{
+      "10.0.0.1:9", "box", "east", true, true, false, true, false, 3.5, 8.25, 2, 0, 6.5};
+  const std::string encoded = wire::Encode(message);
+  EXPECT_EQ(wire::DecodeShardMessage(encoded), message);
   wire::ShardFrame frame;
   frame.node = "hut-1";
   frame.leader_token = 7;
   frame.lease = 12;
   frame.from_leader = true;
   frame.first_sequence = 3;
-  frame.messages = {text, text};
-  const std::string whole = wire::Encode(frame);
-  EXPECT_EQ(wire::DecodeShardFrame(whole).messages, frame.messages);
-  // Cut anywhere, or with any byte changed, it is refused or is another frame; it never crashes.
-  for (size_t n = 0; n < whole.size(); ++n) {
-    EXPECT_THROW(wire::DecodeShardFrame(whole.substr(0, n)), wire::BadMessage);
+  frame.messages = {encoded, encoded};
+  const std::string encoded_frame = wire::Encode(frame);
+  EXPECT_EQ(wire::DecodeShardFrame(encoded_frame).messages, frame.messages);
+  // Truncated anywhere, or with any byte changed, it is refused or decodes to other values;
+  // decoding never crashes.
+  for (size_t size = 0; size < encoded_frame.size(); ++size) {
+    EXPECT_THROW(wire::DecodeShardFrame(encoded_frame.substr(0, size)), wire::BadMessage);
   }
-  for (size_t n = 0; n < text.size(); ++n) {
-    EXPECT_THROW(wire::DecodeShardMessage(text.substr(0, n)), wire::BadMessage);
-    std::string changed = text;
-    changed[n] = static_cast<char>(changed[n] ^ 0x55);
+  for (size_t size = 0; size < encoded.size(); ++size) {
+    EXPECT_THROW(wire::DecodeShardMessage(encoded.substr(0, size)), wire::BadMessage);
+    std::string changed = encoded;
+    changed[size] = static_cast<char>(changed[size] ^ 0x55);
     try {
       wire::DecodeShardMessage(changed);
     } catch (const wire::BadMessage&) {
