--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -1,8 +1,8 @@
 // Golden values as two whole controllers write them: what only the service itself composes, namely
-// the leader key, what a controller speaks, offers to hold a block and the lease of a block, and
-// the keys and grants under which all records stand. The controllers run in this process against
-// the stand-ins of the state service and the cloud; the test waits for what must happen and asserts
-// nothing about how long it takes.
+// the leader key, the record formats that a controller supports, offers to hold a shard and shard
+// leases, and the keys and store leases under which all records stand. The controllers run in this
+// process against fakes of the state service and the cloud; the test waits for what must happen and
+// asserts nothing about how long it takes.
 #include <gtest/gtest.h>
 
 #include <asio/io_context.hpp>
@@ -114,8 +114,8 @@
     const auto it = state_.pairs().find(key);
     return it == state_.pairs().end() ? "" : it->second.at("v").dump();
   }
-  // The grant that the value hangs on; 0: none.
-  uint64_t GrantOf(const std::string& key) const {
+  // The store lease that the value is attached to; 0: none.
+  uint64_t StoreLeaseOf(const std::string& key) const {
     const auto it = state_.pairs().find(key);
     return it == state_.pairs().end() ? 0 : it->second.value("berth", uint64_t{0});
   }
@@ -170,32 +170,32 @@
   std::string last_id_;
 };
 
-TEST_F(GoldenCluster, LeaderSpeaksHoldersAndBlocks) {
+TEST_F(GoldenCluster, LeaderRecordFormatsAndShards) {
   const std::string leader_key = "mosspath/live/leader";
   ASSERT_TRUE(Until([&] { return Has(leader_key); }));
   const bool first_leads = Stored(leader_key) == R"({"grant":)" +
-                                                     std::to_string(GrantOf(leader_key)) +
+                                                     std::to_string(StoreLeaseOf(leader_key)) +
                                                      R"(,"node":"hut-0"})";
   const std::string leader = first_leads ? "hut-0" : "hut-1";
   const std::string holder = first_leads ? "hut-1" : "hut-0";
-  EXPECT_NE(GrantOf(leader_key), 0u);
-  EXPECT_EQ(Stored(leader_key), R"({"grant":)" + std::to_string(GrantOf(leader_key)) +
+  EXPECT_NE(StoreLeaseOf(leader_key), 0u);
+  EXPECT_EQ(Stored(leader_key), R"({"grant":)" + std::to_string(StoreLeaseOf(leader_key)) +
                                     R"(,"node":")" + leader + R"("})");
   for (const std::string node : {"hut-0", "hut-1"}) {
     const std::string speaks = "mosspath/live/speaks/" + node;
     ASSERT_TRUE(Until([&] { return Has(speaks); }));
     EXPECT_EQ(Stored(speaks), R"({"batches":1,"marks":1})");
-    EXPECT_EQ(GrantOf(speaks), 0u);
+    EXPECT_EQ(StoreLeaseOf(speaks), 0u);
   }
   const std::string offer = "mosspath/live/holders/" + holder;
-  const std::string block = "mosspath/live/blocks/" + holder;
-  ASSERT_TRUE(Until([&] { return Has(block); }));
+  const std::string shard_lease = "mosspath/live/blocks/" + holder;
+  ASSERT_TRUE(Until([&] { return Has(shard_lease); }));
   ASSERT_TRUE(Has(offer));
-  EXPECT_NE(GrantOf(offer), 0u);
-  EXPECT_NE(GrantOf(offer), GrantOf(leader_key));
-  EXPECT_EQ(Stored(offer), R"({"grant":)" + std::to_string(GrantOf(offer)) + "}");
-  EXPECT_EQ(GrantOf(block), GrantOf(offer));
-  EXPECT_EQ(Stored(block), R"({"grant":)" + std::to_string(GrantOf(offer)) + "}");
+  EXPECT_NE(StoreLeaseOf(offer), 0u);
+  EXPECT_NE(StoreLeaseOf(offer), StoreLeaseOf(leader_key));
+  EXPECT_EQ(Stored(offer), R"({"grant":)" + std::to_string(StoreLeaseOf(offer)) + "}");
+  EXPECT_EQ(StoreLeaseOf(shard_lease), StoreLeaseOf(offer));
+  EXPECT_EQ(Stored(shard_lease), R"({"grant":)" + std::to_string(StoreLeaseOf(offer)) + "}");
 }
 
 TEST_F(GoldenCluster, Types) {
@@ -203,7 +203,7 @@
   EXPECT_EQ(Stored("mosspath/live/types"),
             R"({"builds":[{"cards":0.0,"hourly":1.0,"local_gb":20.0,"low_price":0.0,"mem_gb":32.0,)"
             R"("name":"box","pull_gb_per_s":1.0,"shores":["a"],"startup_s":1.0,"vcpus":8.0}]})");
-  EXPECT_EQ(GrantOf("mosspath/live/types"), 0u);
+  EXPECT_EQ(StoreLeaseOf("mosspath/live/types"), 0u);
 }
 
 TEST_F(GoldenCluster, JobsInBothFormsAndTheOperatorsSettings) {
@@ -211,7 +211,7 @@
   EXPECT_TRUE(std::regex_match(batch, std::regex(R"(mosspath/live/batch/hut-0\.\d+\.1)"))) << batch;
   const json shared = state_.pairs().at(batch).at("v");
   EXPECT_EQ(shared.dump(), R"({"jobs":[)" + LastEntry(shared["jobs"][0]["at"]) + "]}");
-  EXPECT_EQ(GrantOf(batch), 0u);
+  EXPECT_EQ(StoreLeaseOf(batch), 0u);
 
   const std::string settings =
       R"({"begin_share":0.1,"epsilon":0.001,"gamma":2.5,"give_ahead":0.15,"horizon_boots":2.0,)"
@@ -223,7 +223,7 @@
           R"({"version":0,"settings":{"gamma":2.5,"share_acceptances":false}})");
   EXPECT_EQ(changed.status, 200);
   EXPECT_EQ(Stored("mosspath/live/settings"), settings);
-  EXPECT_EQ(GrantOf("mosspath/live/settings"), 0u);
+  EXPECT_EQ(StoreLeaseOf("mosspath/live/settings"), 0u);
   const uint64_t version = state_.pairs().at("mosspath/live/settings").at("mark").get<uint64_t>();
   EXPECT_EQ(changed.body,
             R"({"settings":)" + settings + R"(,"version":)" + std::to_string(version) + "}");
@@ -233,18 +233,18 @@
   EXPECT_EQ(job, "mosspath/live/job/" + last_id_);
   const json entry = state_.pairs().at(job).at("v");
   EXPECT_EQ(entry.dump(), LastEntry(entry["at"]));
-  EXPECT_EQ(GrantOf(job), 0u);
+  EXPECT_EQ(StoreLeaseOf(job), 0u);
 }
 
 TEST_F(GoldenCluster, PacksAndFinalRecords) {
   ASSERT_EQ(Submit("req-1", "array").status, 201);
   ASSERT_TRUE(Until([&] { return Has("mosspath/final/req-1"); }));
   EXPECT_EQ(Stored("mosspath/final/req-1"), R"({"stage":"done"})");
-  EXPECT_EQ(GrantOf("mosspath/final/req-1"), 0u);
+  EXPECT_EQ(StoreLeaseOf("mosspath/final/req-1"), 0u);
   EXPECT_EQ(Ask(*public_clients_[0], "GET", "/api/jobs/req-1").body,
             R"({"id":"req-1","stage":"done"})");
   EXPECT_TRUE(Has("mosspath/live/machines/0"));
-  EXPECT_EQ(GrantOf("mosspath/live/machines/0"), 0u);
+  EXPECT_EQ(StoreLeaseOf("mosspath/live/machines/0"), 0u);
 
   ASSERT_EQ(Submit("req-2", "daemon").status, 201);
   const net::HttpResult cancelled = Ask(*public_clients_[0], "POST", "/api/jobs/req-2/cancel");
--- a/tests/golden_frames_test.cc
+++ b/tests/golden_frames_test.cc
@@ -1,7 +1,7 @@
-// Golden bytes of every frame between controllers: the digest, the presence and the plan that
-// answers it, the question whether a peer vouches and its answer, the frames about blocks and each
-// kind of item in them. Controllers of different versions talk to each other during an upgrade, so
-// the bytes must stay the same whatever the code's own names are.
+// Golden bytes of every frame between controllers: the status snapshot, the peer heartbeat and the
+// admission plan that answers it, the promise request and its response, the shard frames and each
+// kind of message in them. Controllers of different versions talk to each other during an upgrade,
+// so the bytes must stay the same whatever the code's own names are.
 //
 // The expected bytes stand as hexadecimal digits, one field a line. Numbers are unsigned LEB128
 // varints, strings are preceded by their length, amounts travel in thousandths. Every field has a
@@ -22,7 +22,7 @@
 namespace mosspath::wire {
 namespace {
 
-constexpr const char* kDigest =
+constexpr const char* kStatusSnapshot =
     "81e0b503"                      // frame kind 0x6d7001
     "02"                            // version of the layout
     "056875742d31"                  // leader
@@ -64,7 +64,7 @@
     "9d07"                          // share
     "0e"                            // met
     "0f"                            // of
-    "01"                            // one trouble:
+    "01"                            // one incident:
     "b219"                          // ago_s
     "0d766d2d3120776173206c6f7374"  // what
     "02"                            // two jobs:
@@ -75,16 +75,16 @@
     "12"                            // done
     "13";                           // running
 
-constexpr const char* kEmptyDigest =
+constexpr const char* kEmptyStatusSnapshot =
     "81e0b503"       // frame kind
     "02"             // version of the layout
     "00"             // leader
     "00"             // token
     "00"             // settled
     "00"             // leading_s
-    "000000000000";  // no queues, teams, machines, progress, troubles, jobs
+    "000000000000";  // no queues, teams, machines, progress, incidents, jobs
 
-constexpr const char* kPresence =
+constexpr const char* kPeerHeartbeat =
     "82e0b503"       // frame kind 0x6d7002
     "01"             // version
     "056875742d31"   // node
@@ -98,7 +98,7 @@
     "056875742d32"   // node
     "80a094a58d1d";  // ago_s: never
 
-constexpr const char* kPresenceWithDemand =
+constexpr const char* kPeerHeartbeatWithDemand =
     "82e0b503"      // frame kind 0x6d7002
     "02"            // version
     "056875742d31"  // node
@@ -113,7 +113,7 @@
     "80a094a58d1d"  // ago_s: never
     "dccf13";       // demand
 
-constexpr const char* kEmptyPresence =
+constexpr const char* kEmptyPeerHeartbeat =
     "82e0b503"  // frame kind
     "01"        // version
     "00"        // node
@@ -121,7 +121,7 @@
     "000000"    // ages
     "00";       // no peers
 
-constexpr const char* kPlan =
+constexpr const char* kAdmissionPlan =
     "84e0b503"     // frame kind 0x6d7004
     "01"           // version
     "29"           // token
@@ -129,18 +129,18 @@
     "c413"         // life_s
     "c097e8b201";  // part: 0.375 in units of 1e-9
 
-constexpr const char* kNoPlan =
+constexpr const char* kEmptyAdmissionPlan =
     "84e0b503"   // frame kind
     "01"         // version
     "00000000";  // token, version, life_s, part
 
-constexpr const char* kVouchQuestion =
+constexpr const char* kPromiseRequest =
     "02"            // version
     "056875742d31"  // node
     "29"            // token
     "ac02";         // seen
 
-constexpr const char* kVouchAnswer =
+constexpr const char* kPromiseResponse =
     "02"                      // version
     "01"                      // promised
     "b102"                    // newest
@@ -152,13 +152,13 @@
     "057265712d37"            // id
     "af02";                   // revision
 
-constexpr const char* kVouchRefusal =
+constexpr const char* kPromiseRefusal =
     "02"      // version
     "00"      // promised
     "000000"  // newest, from, upto
     "00";     // no cancellations
 
-constexpr const char* kFullItem =
+constexpr const char* kFullMessage =
     "18"                            // kind: kMachine
     "04766d2d31"                    // name
     "0a7265712d303030343132"        // job
@@ -188,7 +188,7 @@
     "e209"                            // view_age_s
     "ae02"                            // cancelled
     "af02"                            // first
-    "02"                              // two items:
+    "02"                              // two messages:
     "0e01057265712d3700010001000000"  // kGive of task 0 of req-7
     "0715000000000000";               // kSynced, empty
 
@@ -199,7 +199,7 @@
     "0000000000"    // leader, lease, from_leader, heard, room
     "80a094a58d1d"  // view_age_s: never
     "0000"          // cancelled, first
-    "00";           // no items
+    "00";           // no messages
 
 std::string ToHex(std::string_view bytes) {
   constexpr char kDigits[] = "0123456789abcdef";
@@ -220,198 +220,198 @@
   return bytes;
 }
 
-StatusSnapshot FullDigest() {
-  StatusSnapshot d;
-  d.leader = "hut-1";
-  d.token = 1234567890123;
-  d.recovery_complete = true;
-  d.leader_for_s = 12.5;
-  d.queues = {{"train", 300, 301, 302, 303.5, 304.5, 305.5, "no room"}};
-  d.teams = {{"vision", 400, 401, 402, 403.5, 404.5, 405.5, "its limit"}};
-  d.machines = {{"g8", "zone-a", true, 11, 12, 13, 160.5, 120.25}};
-  d.progress = {{"finished", "serve", 200.5, 1.5, 0.925, 14, 15}};
-  d.incidents = {{3.25, "vm-1 was lost"}};
-  d.jobs = {{"req-000412", 16, 17}, {"req-7", 18, 19}};
-  return d;
+StatusSnapshot FullStatusSnapshot() {
+  StatusSnapshot snapshot;
+  snapshot.leader = "hut-1";
+  snapshot.token = 1234567890123;
+  snapshot.recovery_complete = true;
+  snapshot.leader_for_s = 12.5;
+  snapshot.queues = {{"train", 300, 301, 302, 303.5, 304.5, 305.5, "no room"}};
+  snapshot.teams = {{"vision", 400, 401, 402, 403.5, 404.5, 405.5, "its limit"}};
+  snapshot.machines = {{"g8", "zone-a", true, 11, 12, 13, 160.5, 120.25}};
+  snapshot.progress = {{"finished", "serve", 200.5, 1.5, 0.925, 14, 15}};
+  snapshot.incidents = {{3.25, "vm-1 was lost"}};
+  snapshot.jobs = {{"req-000412", 16, 17}, {"req-7", 18, 19}};
+  return snapshot;
 }
 
-TEST(GoldenFrames, Digest) {
-  EXPECT_EQ(ToHex(Encode(FullDigest())), kDigest);
-  const wire::StatusSnapshot d = DecodeStatusSnapshot(FromHex(kDigest));
-  EXPECT_EQ(d.leader, "hut-1");
-  EXPECT_EQ(d.token, 1234567890123u);
-  EXPECT_TRUE(d.recovery_complete);
-  EXPECT_EQ(d.leader_for_s, 12.5);
-  ASSERT_EQ(d.queues.size(), 1u);
-  EXPECT_EQ(d.queues[0].job_class, "train");
-  EXPECT_EQ(d.queues[0].jobs, 300u);
-  EXPECT_EQ(d.queues[0].waiting, 301u);
-  EXPECT_EQ(d.queues[0].running, 302u);
-  EXPECT_EQ(d.queues[0].started_ago_s, 303.5);
-  EXPECT_EQ(d.queues[0].finished_ago_s, 304.5);
-  EXPECT_EQ(d.queues[0].oldest_s, 305.5);
-  EXPECT_EQ(d.queues[0].waiting_reason, "no room");
-  ASSERT_EQ(d.teams.size(), 1u);
-  EXPECT_EQ(d.teams[0].job_class, "vision");
-  EXPECT_EQ(d.teams[0].jobs, 400u);
-  EXPECT_EQ(d.teams[0].waiting, 401u);
-  EXPECT_EQ(d.teams[0].running, 402u);
-  EXPECT_EQ(d.teams[0].started_ago_s, 403.5);
-  EXPECT_EQ(d.teams[0].finished_ago_s, 404.5);
-  EXPECT_EQ(d.teams[0].oldest_s, 405.5);
-  EXPECT_EQ(d.teams[0].waiting_reason, "its limit");
-  ASSERT_EQ(d.machines.size(), 1u);
-  EXPECT_EQ(d.machines[0].type, "g8");
-  EXPECT_EQ(d.machines[0].zone, "zone-a");
-  EXPECT_TRUE(d.machines[0].spot);
-  EXPECT_EQ(d.machines[0].up, 11u);
-  EXPECT_EQ(d.machines[0].draining, 12u);
-  EXPECT_EQ(d.machines[0].booting, 13u);
-  EXPECT_EQ(d.machines[0].cpus, 160.5);
-  EXPECT_EQ(d.machines[0].used_cpus, 120.25);
-  ASSERT_EQ(d.progress.size(), 1u);
-  EXPECT_EQ(d.progress[0].kind, "finished");
-  EXPECT_EQ(d.progress[0].job_class, "serve");
-  EXPECT_EQ(d.progress[0].within_s, 200.5);
-  EXPECT_EQ(d.progress[0].times, 1.5);
-  EXPECT_EQ(d.progress[0].share, 0.925);
-  EXPECT_EQ(d.progress[0].met, 14u);
-  EXPECT_EQ(d.progress[0].of, 15u);
-  ASSERT_EQ(d.incidents.size(), 1u);
-  EXPECT_EQ(d.incidents[0].ago_s, 3.25);
-  EXPECT_EQ(d.incidents[0].description, "vm-1 was lost");
-  ASSERT_EQ(d.jobs.size(), 2u);
-  EXPECT_EQ(d.jobs[0].id, "req-000412");
-  EXPECT_EQ(d.jobs[0].done, 16u);
-  EXPECT_EQ(d.jobs[0].running, 17u);
-  EXPECT_EQ(d.jobs[1].id, "req-7");
-  EXPECT_EQ(d.jobs[1].done, 18u);
-  EXPECT_EQ(d.jobs[1].running, 19u);
+TEST(GoldenFrames, StatusSnapshot) {
+  EXPECT_EQ(ToHex(Encode(FullStatusSnapshot())), kStatusSnapshot);
+  const wire::StatusSnapshot decoded = DecodeStatusSnapshot(FromHex(kStatusSnapshot));
+  EXPECT_EQ(decoded.leader, "hut-1");
+  EXPECT_EQ(decoded.token, 1234567890123u);
+  EXPECT_TRUE(decoded.recovery_complete);
+  EXPECT_EQ(decoded.leader_for_s, 12.5);
+  ASSERT_EQ(decoded.queues.size(), 1u);
+  EXPECT_EQ(decoded.queues[0].job_class, "train");
+  EXPECT_EQ(decoded.queues[0].jobs, 300u);
+  EXPECT_EQ(decoded.queues[0].waiting, 301u);
+  EXPECT_EQ(decoded.queues[0].running, 302u);
+  EXPECT_EQ(decoded.queues[0].started_ago_s, 303.5);
+  EXPECT_EQ(decoded.queues[0].finished_ago_s, 304.5);
+  EXPECT_EQ(decoded.queues[0].oldest_s, 305.5);
+  EXPECT_EQ(decoded.queues[0].waiting_reason, "no room");
+  ASSERT_EQ(decoded.teams.size(), 1u);
+  EXPECT_EQ(decoded.teams[0].job_class, "vision");
+  EXPECT_EQ(decoded.teams[0].jobs, 400u);
+  EXPECT_EQ(decoded.teams[0].waiting, 401u);
+  EXPECT_EQ(decoded.teams[0].running, 402u);
+  EXPECT_EQ(decoded.teams[0].started_ago_s, 403.5);
+  EXPECT_EQ(decoded.teams[0].finished_ago_s, 404.5);
+  EXPECT_EQ(decoded.teams[0].oldest_s, 405.5);
+  EXPECT_EQ(decoded.teams[0].waiting_reason, "its limit");
+  ASSERT_EQ(decoded.machines.size(), 1u);
+  EXPECT_EQ(decoded.machines[0].type, "g8");
+  EXPECT_EQ(decoded.machines[0].zone, "zone-a");
+  EXPECT_TRUE(decoded.machines[0].spot);
+  EXPECT_EQ(decoded.machines[0].up, 11u);
+  EXPECT_EQ(decoded.machines[0].draining, 12u);
+  EXPECT_EQ(decoded.machines[0].booting, 13u);
+  EXPECT_EQ(decoded.machines[0].cpus, 160.5);
+  EXPECT_EQ(decoded.machines[0].used_cpus, 120.25);
+  ASSERT_EQ(decoded.progress.size(), 1u);
+  EXPECT_EQ(decoded.progress[0].kind, "finished");
+  EXPECT_EQ(decoded.progress[0].job_class, "serve");
+  EXPECT_EQ(decoded.progress[0].within_s, 200.5);
+  EXPECT_EQ(decoded.progress[0].times, 1.5);
+  EXPECT_EQ(decoded.progress[0].share, 0.925);
+  EXPECT_EQ(decoded.progress[0].met, 14u);
+  EXPECT_EQ(decoded.progress[0].of, 15u);
+  ASSERT_EQ(decoded.incidents.size(), 1u);
+  EXPECT_EQ(decoded.incidents[0].ago_s, 3.25);
+  EXPECT_EQ(decoded.incidents[0].description, "vm-1 was lost");
+  ASSERT_EQ(decoded.jobs.size(), 2u);
+  EXPECT_EQ(decoded.jobs[0].id, "req-000412");
+  EXPECT_EQ(decoded.jobs[0].done, 16u);
+  EXPECT_EQ(decoded.jobs[0].running, 17u);
+  EXPECT_EQ(decoded.jobs[1].id, "req-7");
+  EXPECT_EQ(decoded.jobs[1].done, 18u);
+  EXPECT_EQ(decoded.jobs[1].running, 19u);
 }
 
-TEST(GoldenFrames, EmptyDigest) {
-  EXPECT_EQ(ToHex(Encode(wire::StatusSnapshot())), kEmptyDigest);
-  EXPECT_EQ(DecodeStatusSnapshot(FromHex(kEmptyDigest)), wire::StatusSnapshot());
+TEST(GoldenFrames, EmptyStatusSnapshot) {
+  EXPECT_EQ(ToHex(Encode(wire::StatusSnapshot())), kEmptyStatusSnapshot);
+  EXPECT_EQ(DecodeStatusSnapshot(FromHex(kEmptyStatusSnapshot)), wire::StatusSnapshot());
 }
 
-PeerHeartbeat FullPresence() {
-  PeerHeartbeat p;
-  p.node = "hut-1";
-  p.is_leader = true;
-  p.state_ago_s = 0.25;
-  p.cloud_ago_s = kNeverS;
-  p.workers_ago_s = 1.5;
-  p.peers = {{"hut-0", 0.5}, {"hut-2", kNeverS}};
-  return p;
+PeerHeartbeat FullPeerHeartbeat() {
+  PeerHeartbeat heartbeat;
+  heartbeat.node = "hut-1";
+  heartbeat.is_leader = true;
+  heartbeat.state_ago_s = 0.25;
+  heartbeat.cloud_ago_s = kNeverS;
+  heartbeat.workers_ago_s = 1.5;
+  heartbeat.peers = {{"hut-0", 0.5}, {"hut-2", kNeverS}};
+  return heartbeat;
 }
 
-void ExpectFullPresence(const PeerHeartbeat& p) {
-  EXPECT_EQ(p.node, "hut-1");
-  EXPECT_TRUE(p.is_leader);
-  EXPECT_EQ(p.state_ago_s, 0.25);
-  EXPECT_EQ(p.cloud_ago_s, kNeverS);
-  EXPECT_EQ(p.workers_ago_s, 1.5);
-  ASSERT_EQ(p.peers.size(), 2u);
-  EXPECT_EQ(p.peers[0].node, "hut-0");
-  EXPECT_EQ(p.peers[0].ago_s, 0.5);
-  EXPECT_EQ(p.peers[1].node, "hut-2");
-  EXPECT_EQ(p.peers[1].ago_s, kNeverS);
+void ExpectFullPeerHeartbeat(const PeerHeartbeat& heartbeat) {
+  EXPECT_EQ(heartbeat.node, "hut-1");
+  EXPECT_TRUE(heartbeat.is_leader);
+  EXPECT_EQ(heartbeat.state_ago_s, 0.25);
+  EXPECT_EQ(heartbeat.cloud_ago_s, kNeverS);
+  EXPECT_EQ(heartbeat.workers_ago_s, 1.5);
+  ASSERT_EQ(heartbeat.peers.size(), 2u);
+  EXPECT_EQ(heartbeat.peers[0].node, "hut-0");
+  EXPECT_EQ(heartbeat.peers[0].ago_s, 0.5);
+  EXPECT_EQ(heartbeat.peers[1].node, "hut-2");
+  EXPECT_EQ(heartbeat.peers[1].ago_s, kNeverS);
 }
 
-TEST(GoldenFrames, Presence) {
-  EXPECT_EQ(ToHex(Encode(FullPresence())), kPresence);
-  const wire::PeerHeartbeat p = DecodePeerHeartbeat(FromHex(kPresence));
-  ExpectFullPresence(p);
-  EXPECT_FALSE(p.demand);
+TEST(GoldenFrames, PeerHeartbeat) {
+  EXPECT_EQ(ToHex(Encode(FullPeerHeartbeat())), kPeerHeartbeat);
+  const wire::PeerHeartbeat decoded = DecodePeerHeartbeat(FromHex(kPeerHeartbeat));
+  ExpectFullPeerHeartbeat(decoded);
+  EXPECT_FALSE(decoded.demand);
 }
 
-TEST(GoldenFrames, PresenceWithDemand) {
-  wire::PeerHeartbeat full = FullPresence();
+TEST(GoldenFrames, PeerHeartbeatWithDemand) {
+  wire::PeerHeartbeat full = FullPeerHeartbeat();
   full.demand = 321.5;
-  EXPECT_EQ(ToHex(Encode(full)), kPresenceWithDemand);
-  const wire::PeerHeartbeat p = DecodePeerHeartbeat(FromHex(kPresenceWithDemand));
-  ExpectFullPresence(p);
-  EXPECT_EQ(p.demand, 321.5);
+  EXPECT_EQ(ToHex(Encode(full)), kPeerHeartbeatWithDemand);
+  const wire::PeerHeartbeat decoded = DecodePeerHeartbeat(FromHex(kPeerHeartbeatWithDemand));
+  ExpectFullPeerHeartbeat(decoded);
+  EXPECT_EQ(decoded.demand, 321.5);
 }
 
-TEST(GoldenFrames, EmptyPresence) {
-  EXPECT_EQ(ToHex(Encode(wire::PeerHeartbeat())), kEmptyPresence);
-  EXPECT_EQ(DecodePeerHeartbeat(FromHex(kEmptyPresence)), wire::PeerHeartbeat());
+TEST(GoldenFrames, EmptyPeerHeartbeat) {
+  EXPECT_EQ(ToHex(Encode(wire::PeerHeartbeat())), kEmptyPeerHeartbeat);
+  EXPECT_EQ(DecodePeerHeartbeat(FromHex(kEmptyPeerHeartbeat)), wire::PeerHeartbeat());
 }
 
-TEST(GoldenFrames, Plan) {
-  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan{41, 42, 2.5, 0.375})), kPlan);
-  const admission::AdmissionPlan p = DecodeAdmissionPlan(FromHex(kPlan));
-  EXPECT_EQ(p.token, 41u);
-  EXPECT_EQ(p.version, 42u);
-  EXPECT_EQ(p.life_s, 2.5);
-  EXPECT_EQ(p.share, 0.375);
+TEST(GoldenFrames, AdmissionPlan) {
+  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan{41, 42, 2.5, 0.375})), kAdmissionPlan);
+  const admission::AdmissionPlan decoded = DecodeAdmissionPlan(FromHex(kAdmissionPlan));
+  EXPECT_EQ(decoded.token, 41u);
+  EXPECT_EQ(decoded.version, 42u);
+  EXPECT_EQ(decoded.life_s, 2.5);
+  EXPECT_EQ(decoded.share, 0.375);
 }
 
 // What a controller that does not lead answers.
-TEST(GoldenFrames, NoPlan) {
-  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan())), kNoPlan);
-  EXPECT_EQ(DecodeAdmissionPlan(FromHex(kNoPlan)), admission::AdmissionPlan());
+TEST(GoldenFrames, EmptyAdmissionPlan) {
+  EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan())), kEmptyAdmissionPlan);
+  EXPECT_EQ(DecodeAdmissionPlan(FromHex(kEmptyAdmissionPlan)), admission::AdmissionPlan());
 }
 
-TEST(GoldenFrames, VouchQuestion) {
-  EXPECT_EQ(ToHex(Encode(wire::PromiseRequest{"hut-1", 41, 300})), kVouchQuestion);
-  const wire::PromiseRequest q = DecodePromiseRequest(FromHex(kVouchQuestion));
-  EXPECT_EQ(q.node, "hut-1");
-  EXPECT_EQ(q.token, 41u);
-  EXPECT_EQ(q.read_revision, 300u);
+TEST(GoldenFrames, PromiseRequest) {
+  EXPECT_EQ(ToHex(Encode(wire::PromiseRequest{"hut-1", 41, 300})), kPromiseRequest);
+  const wire::PromiseRequest request = DecodePromiseRequest(FromHex(kPromiseRequest));
+  EXPECT_EQ(request.node, "hut-1");
+  EXPECT_EQ(request.token, 41u);
+  EXPECT_EQ(request.read_revision, 300u);
 }
 
-TEST(GoldenFrames, VouchAnswer) {
-  wire::PromiseResponse answer;
-  answer.promised = true;
-  answer.cancellations = {305, 300, 304, {{"req-000412", 302}, {"req-7", 303}}};
-  EXPECT_EQ(ToHex(Encode(answer)), kVouchAnswer);
-  const wire::PromiseResponse a = DecodePromiseResponse(FromHex(kVouchAnswer));
-  EXPECT_TRUE(a.promised);
-  EXPECT_EQ(a.cancellations.newest, 305u);
-  EXPECT_EQ(a.cancellations.from_revision, 300u);
-  EXPECT_EQ(a.cancellations.to_revision, 304u);
-  ASSERT_EQ(a.cancellations.entries.size(), 2u);
-  EXPECT_EQ(a.cancellations.entries[0].id, "req-000412");
-  EXPECT_EQ(a.cancellations.entries[0].revision, 302u);
-  EXPECT_EQ(a.cancellations.entries[1].id, "req-7");
-  EXPECT_EQ(a.cancellations.entries[1].revision, 303u);
+TEST(GoldenFrames, PromiseResponse) {
+  wire::PromiseResponse response;
+  response.promised = true;
+  response.cancellations = {305, 300, 304, {{"req-000412", 302}, {"req-7", 303}}};
+  EXPECT_EQ(ToHex(Encode(response)), kPromiseResponse);
+  const wire::PromiseResponse decoded = DecodePromiseResponse(FromHex(kPromiseResponse));
+  EXPECT_TRUE(decoded.promised);
+  EXPECT_EQ(decoded.cancellations.newest, 305u);
+  EXPECT_EQ(decoded.cancellations.from_revision, 300u);
+  EXPECT_EQ(decoded.cancellations.to_revision, 304u);
+  ASSERT_EQ(decoded.cancellations.entries.size(), 2u);
+  EXPECT_EQ(decoded.cancellations.entries[0].id, "req-000412");
+  EXPECT_EQ(decoded.cancellations.entries[0].revision, 302u);
+  EXPECT_EQ(decoded.cancellations.entries[1].id, "req-7");
+  EXPECT_EQ(decoded.cancellations.entries[1].revision, 303u);
 }
 
-TEST(GoldenFrames, VouchRefusal) {
-  EXPECT_EQ(ToHex(Encode(wire::PromiseResponse())), kVouchRefusal);
-  const wire::PromiseResponse a = DecodePromiseResponse(FromHex(kVouchRefusal));
-  EXPECT_FALSE(a.promised);
-  EXPECT_EQ(a.cancellations.newest, 0u);
-  EXPECT_EQ(a.cancellations.from_revision, 0u);
-  EXPECT_EQ(a.cancellations.to_revision, 0u);
-  EXPECT_TRUE(a.cancellations.entries.empty());
+TEST(GoldenFrames, PromiseRefusal) {
+  EXPECT_EQ(ToHex(Encode(wire::PromiseResponse())), kPromiseRefusal);
+  const wire::PromiseResponse response = DecodePromiseResponse(FromHex(kPromiseRefusal));
+  EXPECT_FALSE(response.promised);
+  EXPECT_EQ(response.cancellations.newest, 0u);
+  EXPECT_EQ(response.cancellations.from_revision, 0u);
+  EXPECT_EQ(response.cancellations.to_revision, 0u);
+  EXPECT_TRUE(response.cancellations.entries.empty());
 }
 
-TEST(GoldenFrames, BlockItemWithAllFields) {
-  ShardMessage item;
-  item.kind = ShardMessage::Kind::kMachineStatus;
-  item.name = "vm-1";
-  item.job = "req-000412";
-  item.tasks = {3, 4, 5, 10};
-  item.seconds = 6.5;
-  item.count = 777;
-  item.machine = ShardMessage::MachineStatus{.address = "10.0.0.1:9001",
-                                             .type = "g8",
-                                             .zone = "zone-a",
-                                             .spot = true,
-                                             .schedulable = true,
-                                             .idle = true,
-                                             .has_on_demand_work = true,
-                                             .unresponsive = true,
-                                             .idle_s = 1.5,
-                                             .remaining_cpu_s = 2.5,
-                                             .used_cpus = 3.5,
-                                             .used_gpus = 4.5,
-                                             .used_memory_gb = 5.5};
-  EXPECT_EQ(ToHex(Encode(item)), kFullItem);
-  const ShardMessage read = DecodeShardMessage(FromHex(kFullItem));
+TEST(GoldenFrames, ShardMessageWithAllFields) {
+  ShardMessage message;
+  message.kind = ShardMessage::Kind::kMachineStatus;
+  message.name = "vm-1";
+  message.job = "req-000412";
+  message.tasks = {3, 4, 5, 10};
+  message.seconds = 6.5;
+  message.count = 777;
+  message.machine = ShardMessage::MachineStatus{.address = "10.0.0.1:9001",
+                                                .type = "g8",
+                                                .zone = "zone-a",
+                                                .spot = true,
+                                                .schedulable = true,
+                                                .idle = true,
+                                                .has_on_demand_work = true,
+                                                .unresponsive = true,
+                                                .idle_s = 1.5,
+                                                .remaining_cpu_s = 2.5,
+                                                .used_cpus = 3.5,
+                                                .used_gpus = 4.5,
+                                                .used_memory_gb = 5.5};
+  EXPECT_EQ(ToHex(Encode(message)), kFullMessage);
+  const ShardMessage read = DecodeShardMessage(FromHex(kFullMessage));
   EXPECT_EQ(read.kind, ShardMessage::Kind::kMachineStatus);
   EXPECT_EQ(read.name, "vm-1");
   EXPECT_EQ(read.job, "req-000412");
@@ -434,8 +434,8 @@
   EXPECT_EQ(read.machine->used_memory_gb, 5.5);
 }
 
-// Each kind's number, in an item that has nothing else.
-TEST(GoldenFrames, KindsOfBlockItems) {
+// Each kind's number, in a message that has nothing else.
+TEST(GoldenFrames, KindsOfShardMessages) {
   using Kind = ShardMessage::Kind;
   const std::vector<std::pair<Kind, const char*>> kinds{
       {Kind::kDelegateTasks, "01"},      {Kind::kHandOverTasks, "02"},
@@ -449,16 +449,16 @@
   // No name, job, tasks, seconds, count or machine.
   constexpr const char* kNothingElse = "000000000000";
   for (const auto& [kind, number] : kinds) {
-    ShardMessage item;
-    item.kind = kind;
+    ShardMessage message;
+    message.kind = kind;
     const std::string hex = std::string(number) + kNothingElse;
-    EXPECT_EQ(ToHex(Encode(item)), hex);
-    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), item) << hex;
+    EXPECT_EQ(ToHex(Encode(message)), hex);
+    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), message) << hex;
   }
 }
 
 // Each flag of a machine has a bit of its own.
-TEST(GoldenFrames, FlagsOfBlockMachines) {
+TEST(GoldenFrames, FlagsOfMachineStatus) {
   using Machine = ShardMessage::MachineStatus;
   const std::vector<std::pair<bool Machine::*, const char*>> flags{
       {&Machine::spot, "01"},
@@ -470,17 +470,17 @@
   const std::string before = "18000000000001000000";
   const std::string after = "0000000000";  // no amounts
   for (const auto& [flag, bits] : flags) {
-    ShardMessage item;
-    item.kind = ShardMessage::Kind::kMachineStatus;
-    item.machine = Machine();
-    (*item.machine).*flag = true;
+    ShardMessage message;
+    message.kind = ShardMessage::Kind::kMachineStatus;
+    message.machine = Machine();
+    (*message.machine).*flag = true;
     const std::string hex = before + bits + after;
-    EXPECT_EQ(ToHex(Encode(item)), hex);
-    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), item) << hex;
+    EXPECT_EQ(ToHex(Encode(message)), hex);
+    EXPECT_EQ(DecodeShardMessage(FromHex(hex)), message) << hex;
   }
 }
 
-TEST(GoldenFrames, BlockFrame) {
+TEST(GoldenFrames, ShardFrame) {
   EXPECT_STREQ(service::kShardFramePath, "/peer/v1/block");
   ShardMessage give;
   give.kind = ShardMessage::Kind::kDelegateTasks;
@@ -515,7 +515,7 @@
   EXPECT_EQ(DecodeShardMessage(read.messages[1]), synced);
 }
 
-TEST(GoldenFrames, EmptyBlockFrame) {
+TEST(GoldenFrames, EmptyShardFrame) {
   EXPECT_EQ(ToHex(Encode(wire::ShardFrame())), kEmptyFrame);
   const wire::ShardFrame read = DecodeShardFrame(FromHex(kEmptyFrame));
   EXPECT_EQ(read.node, "");
--- a/tests/golden_json_test.cc
+++ b/tests/golden_json_test.cc
@@ -1,7 +1,7 @@
-// Golden JSON of the public interfaces: answers to users, reports of workers and commands to them,
-// requests to the cloud, and the status document. Users, workers and the cloud know these texts;
-// they must stay the same whatever the code's own names are. Every field is given a distinct value
-// that is not its default, so that a field dropped, swapped or renamed shows.
+// Golden JSON of the public interfaces: answers to users, heartbeats of agents and commands to
+// them, requests to the cloud, and the status document. Users, agents and the cloud know these
+// texts; they must stay the same whatever the code's own names are. Every field is given a distinct
+// value that is not its default, so that a field dropped, swapped or renamed shows.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -38,7 +38,7 @@
   EXPECT_EQ(later.retry_after_s, 1.0);
 }
 
-TEST(GoldenJson, Report) {
+TEST(GoldenJson, Heartbeat) {
   constexpr const char* kText =
       R"({"baton":41,"build":"g8","crates":[)"
       R"({"crate":"req-000412/0","stage":"fetching","try":101},)"
@@ -48,22 +48,22 @@
       R"({"cause":"done","crate":"req-000412/4","stage":"ended","try":105}],)"
       R"("endpoint":"10.0.0.1:9001","loaners":true,"rig":"vm-1","shift":21,"shore":"zone-a",)"
       R"("tick":88,"warning_s":30.5})";
-  wire::Heartbeat report;
-  report.machine = "vm-1";
-  report.address = "10.0.0.1:9001";
-  report.type = "g8";
-  report.zone = "zone-a";
-  report.spot = true;
-  report.agent_epoch = 21;
-  report.sequence = 88;
-  report.fencing_token = 41;
-  report.reclaim_notice_s = 30.5;
-  report.tasks = {{{"req-000412", 0}, 101, TaskState::kFetching, ExitReason::kNone, false},
-                  {{"req-000412", 1}, 102, TaskState::kWaitingForGang, ExitReason::kNone, false},
-                  {{"req-000412", 2}, 103, TaskState::kRunning, ExitReason::kNone, false},
-                  {{"req-000412", 3}, 104, TaskState::kCheckpointing, ExitReason::kNone, true},
-                  {{"req-000412", 4}, 105, TaskState::kExited, ExitReason::kSucceeded, false}};
-  EXPECT_EQ(ToJson(report).dump(), kText);
+  wire::Heartbeat heartbeat;
+  heartbeat.machine = "vm-1";
+  heartbeat.address = "10.0.0.1:9001";
+  heartbeat.type = "g8";
+  heartbeat.zone = "zone-a";
+  heartbeat.spot = true;
+  heartbeat.agent_epoch = 21;
+  heartbeat.sequence = 88;
+  heartbeat.fencing_token = 41;
+  heartbeat.reclaim_notice_s = 30.5;
+  heartbeat.tasks = {{{"req-000412", 0}, 101, TaskState::kFetching, ExitReason::kNone, false},
+                     {{"req-000412", 1}, 102, TaskState::kWaitingForGang, ExitReason::kNone, false},
+                     {{"req-000412", 2}, 103, TaskState::kRunning, ExitReason::kNone, false},
+                     {{"req-000412", 3}, 104, TaskState::kCheckpointing, ExitReason::kNone, true},
+                     {{"req-000412", 4}, 105, TaskState::kExited, ExitReason::kSucceeded, false}};
+  EXPECT_EQ(ToJson(heartbeat).dump(), kText);
   for (const wire::Heartbeat& read : {ParseHeartbeat(ParseObject(kText)), ReadHeartbeat(kText)}) {
     EXPECT_EQ(read.machine, "vm-1");
     EXPECT_EQ(read.address, "10.0.0.1:9001");
@@ -74,23 +74,23 @@
     EXPECT_EQ(read.sequence, 88u);
     EXPECT_EQ(read.fencing_token, 41u);
     EXPECT_EQ(read.reclaim_notice_s, 30.5);
-    ASSERT_EQ(read.tasks.size(), report.tasks.size());
+    ASSERT_EQ(read.tasks.size(), heartbeat.tasks.size());
     for (size_t i = 0; i < read.tasks.size(); ++i) {
-      EXPECT_EQ(read.tasks[i].task, report.tasks[i].task) << i;
-      EXPECT_EQ(read.tasks[i].attempt, report.tasks[i].attempt) << i;
-      EXPECT_EQ(read.tasks[i].state, report.tasks[i].state) << i;
-      EXPECT_EQ(read.tasks[i].exit_reason, report.tasks[i].exit_reason) << i;
-      EXPECT_EQ(read.tasks[i].checkpointed, report.tasks[i].checkpointed) << i;
+      EXPECT_EQ(read.tasks[i].task, heartbeat.tasks[i].task) << i;
+      EXPECT_EQ(read.tasks[i].attempt, heartbeat.tasks[i].attempt) << i;
+      EXPECT_EQ(read.tasks[i].state, heartbeat.tasks[i].state) << i;
+      EXPECT_EQ(read.tasks[i].exit_reason, heartbeat.tasks[i].exit_reason) << i;
+      EXPECT_EQ(read.tasks[i].checkpointed, heartbeat.tasks[i].checkpointed) << i;
     }
   }
-  report.reclaim_notice_s.reset();
-  report.tasks.clear();
-  EXPECT_EQ(ToJson(report).dump(),
+  heartbeat.reclaim_notice_s.reset();
+  heartbeat.tasks.clear();
+  EXPECT_EQ(ToJson(heartbeat).dump(),
             R"({"baton":41,"build":"g8","crates":[],"endpoint":"10.0.0.1:9001","loaners":true,)"
             R"("rig":"vm-1","shift":21,"shore":"zone-a","tick":88,"warning_s":null})");
 }
 
-TEST(GoldenJson, WhyATaskEnded) {
+TEST(GoldenJson, ExitReasons) {
   const std::vector<std::pair<ExitReason, const char*>> names{
       {ExitReason::kSucceeded, "done"},
       {ExitReason::kStopped, "stopped"},
@@ -101,10 +101,10 @@
       {ExitReason::kGangMemberEnded, "peers"},
       {ExitReason::kGangIncomplete, "incomplete"}};
   for (const auto& [why, name] : names) {
-    wire::Heartbeat report;
-    report.machine = report.address = report.type = report.zone = "x";
-    report.tasks = {{{"req-1", 2}, 3, TaskState::kExited, why, false}};
-    const Json json = ToJson(report);
+    wire::Heartbeat heartbeat;
+    heartbeat.machine = heartbeat.address = heartbeat.type = heartbeat.zone = "x";
+    heartbeat.tasks = {{{"req-1", 2}, 3, TaskState::kExited, why, false}};
+    const Json json = ToJson(heartbeat);
     EXPECT_EQ(
         json.at("crates").at(0).dump(),
         R"({"cause":")" + std::string(name) + R"(","crate":"req-1/2","stage":"ended","try":3})");
@@ -113,7 +113,7 @@
   }
 }
 
-TEST(GoldenJson, CommandsToWorkers) {
+TEST(GoldenJson, CommandsToAgents) {
   constexpr const char* kCalls = R"([{"call":"run","crate":"req-1/11","try":101},)"
                                  R"({"call":"halt","crate":"req-2/12","leeway_s":4.5,"try":102},)"
                                  R"({"call":"reap","crate":"req-3/13","try":103}])";
@@ -218,7 +218,7 @@
       R"("waits_for":null}],"token":41,"troubles":[{"ago_s":20.5,"what":"machine vm-1 was lost"}]})");
 }
 
-TEST(GoldenJson, StatusDocumentOfOneThatKnowsNothing) {
+TEST(GoldenJson, StatusDocumentWithoutASnapshot) {
   wire::Status s;
   s.snapshot_age_s = kNeverS;
   EXPECT_EQ(StatusJson(s).dump(),
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -155,7 +155,7 @@
   ExpectSmallSpec(wire::ParseJob(wire::ParseObject(kSmallSpec)));
 }
 
-TEST(GoldenRecords, NamesOfKindsAndRanks) {
+TEST(GoldenRecords, NamesOfKindsAndPriorities) {
   const std::vector<std::pair<wire::JobKind, const char*>> kinds{
       {wire::JobKind::kArray, "array"},
       {wire::JobKind::kGang, "group"},
@@ -167,17 +167,17 @@
     EXPECT_EQ(json.at("catch"), name);
     EXPECT_EQ(wire::ParseJob(json).kind, kind);
   }
-  const std::vector<std::pair<wire::Priority, const char*>> ranks{
+  const std::vector<std::pair<wire::Priority, const char*>> priorities{
       {wire::Priority::kLow, "low"},
       {wire::Priority::kNormal, "standard"},
       {wire::Priority::kHigh, "high"},
       {wire::Priority::kCritical, "critical"}};
-  for (const auto& [rank, name] : ranks) {
+  for (const auto& [priority, name] : priorities) {
     wire::JobSpec spec = SmallSpec();
-    spec.priority = rank;
+    spec.priority = priority;
     const Json json = wire::ToJson(spec);
     EXPECT_EQ(json.at("rank"), name);
-    EXPECT_EQ(wire::ParseJob(json).priority, rank);
+    EXPECT_EQ(wire::ParseJob(json).priority, priority);
   }
 }
 
@@ -185,18 +185,18 @@
 TEST(GoldenRecords, Job) {
   constexpr uint64_t kVersion = 17;
   EXPECT_EQ(jobs::JobRecords::EncodeEntry(FullSpec(), kFullSubmitted).dump(), FullEntry());
-  jobs::JobRecords ledger(service::keys::kJobs, service::keys::kBatches);
+  jobs::JobRecords records(service::keys::kJobs, service::keys::kBatches);
   const Json value = Json::parse(FullEntry());
-  const auto change = ledger.OnRecord("mosspath/live/job/req-000412", &value, kVersion);
+  const auto change = records.OnRecord("mosspath/live/job/req-000412", &value, kVersion);
   EXPECT_EQ(change.accepted, std::vector<std::string>{"req-000412"});
-  const jobs::AcceptedJob* accepted = ledger.Find("req-000412");
+  const jobs::AcceptedJob* accepted = records.Find("req-000412");
   ASSERT_NE(accepted, nullptr);
   ExpectFullSpec(accepted->spec);
   EXPECT_EQ(accepted->version, kVersion);
   EXPECT_EQ(accepted->submitted_wall_s, kFullSubmitted);
 }
 
-// Several jobs in a record, under batch/; first as accepted, then with one of them over.
+// Several jobs in a record, under batch/; first as accepted, then with one of them ended.
 TEST(GoldenRecords, Batch) {
   constexpr uint64_t kAcceptedVersion = 17;
   constexpr uint64_t kEndedVersion = 23;
@@ -207,10 +207,10 @@
                                      jobs::JobRecords::EncodeEntry(SmallSpec(), kSmallSubmitted)})
           .dump(),
       as_accepted);
-  jobs::JobRecords ledger(service::keys::kJobs, service::keys::kBatches);
+  jobs::JobRecords records(service::keys::kJobs, service::keys::kBatches);
   Json value = Json::parse(as_accepted);
-  ledger.OnRecord(key, &value, kAcceptedVersion);
-  const jobs::AcceptedJob* full = ledger.Find("req-000412");
+  records.OnRecord(key, &value, kAcceptedVersion);
+  const jobs::AcceptedJob* full = records.Find("req-000412");
   ASSERT_NE(full, nullptr);
   ExpectFullSpec(full->spec);
   EXPECT_EQ(full->version, kAcceptedVersion);
@@ -218,7 +218,7 @@
 
   const std::string one_over =
       R"({"born":17,"jobs":[)" + SmallEntry() + R"(],"over":["req-000412"]})";
-  const auto changes = ledger.PlanEnd({"req-000412"}, kAcceptedVersion);
+  const auto changes = records.PlanEnd({"req-000412"}, kAcceptedVersion);
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].key, key);
   EXPECT_EQ(changes[0].version, kAcceptedVersion);
@@ -235,7 +235,7 @@
   EXPECT_EQ(small->version, kAcceptedVersion);  // `born`, not the version that the record has now
   EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
-  // `over` was read: another home of that job brings it up no more.
+  // `over` was read: another record of that job does not make it live again.
   value = Json::parse(FullEntry());
   reader.OnRecord("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
@@ -246,16 +246,16 @@
   constexpr const char* kCancelled = R"({"stage":"aborted"})";
   EXPECT_EQ(jobs::EncodeFinalRecord(jobs::JobStatus::kDone).dump(), kDone);
   EXPECT_EQ(jobs::EncodeFinalRecord(jobs::JobStatus::kCancelled).dump(), kCancelled);
-  jobs::JobIndex directory(service::keys::kJobs, service::keys::kBatches,
-                           {.finals = 8, .cancellations = 8});
-  directory.OnFinalRecord("req-1", Json::parse(kDone), 31);
-  directory.OnFinalRecord("req-2", Json::parse(kCancelled), 32);
-  EXPECT_EQ(directory.FindEnded("req-1"), jobs::JobStatus::kDone);
-  EXPECT_EQ(directory.FindEnded("req-2"), jobs::JobStatus::kCancelled);
-  EXPECT_EQ(directory.cancellations().newest(), 32u);
+  jobs::JobIndex index(service::keys::kJobs, service::keys::kBatches,
+                       {.finals = 8, .cancellations = 8});
+  index.OnFinalRecord("req-1", Json::parse(kDone), 31);
+  index.OnFinalRecord("req-2", Json::parse(kCancelled), 32);
+  EXPECT_EQ(index.FindEnded("req-1"), jobs::JobStatus::kDone);
+  EXPECT_EQ(index.FindEnded("req-2"), jobs::JobStatus::kCancelled);
+  EXPECT_EQ(index.cancellations().newest(), 32u);
 }
 
-// Progress and machines packs, as the leader writes them and as its successor takes them over.
+// Progress and machines packs, as the leader writes them and as the next leader reads them.
 class GoldenPacks : public ::testing::Test {
  protected:
   static constexpr uint64_t kToken = 41;
@@ -291,9 +291,9 @@
 };
 
 TEST_F(GoldenPacks, Written) {
-  cluster::ClusterState picture(settings_, derived_);
+  cluster::ClusterState state(settings_, derived_);
   scheduler::DurableState records(settings_, kToken);
-  jobs::Job& job = *(picture.jobs["req-000412"] = NewJob());
+  jobs::Job& job = *(state.jobs["req-000412"] = NewJob());
   for (const uint32_t index : kDoneTasks) {
     job.MarkDone(index);
     records.OnTaskDone(job, index);
@@ -301,11 +301,11 @@
   records.RecordCrashLoop("req-000412", kTries);
   records.RequestStartMarker(job);
   records.AddMachine("vm-1", "10.0.0.1:9001");
-  cluster::Machine lent;
-  lent.id = "vm-2";
-  records.AssignMachine(lent, "10.0.0.2:9002", kLease);
+  cluster::Machine leased;
+  leased.id = "vm-2";
+  records.AssignMachine(leased, "10.0.0.2:9002", kLease);
 
-  const auto batch = records.TakeBatch(kMostPacks, kMostBytes, picture);
+  const auto batch = records.TakeBatch(kMostPacks, kMostBytes, state);
   ASSERT_EQ(batch.machines.size(), 1u);
   EXPECT_EQ(batch.machines[0].pack, 0);
   EXPECT_EQ(batch.machines[0].value.dump(), kMachines);
@@ -316,7 +316,7 @@
   EXPECT_EQ(batch.progress[1].value.dump(), kProgress);
 }
 
-TEST_F(GoldenPacks, ProgressTakenOver) {
+TEST_F(GoldenPacks, ProgressAfterFailover) {
   scheduler::DurableState records(settings_, kToken);
   records.LoadProgressPack(0, Json::parse(kProgress), 51);
   records.LoadProgressPack(kMarksPack, Json::parse(kMarks), 52);
@@ -338,12 +338,12 @@
   EXPECT_EQ(own.lease, 0u);
   EXPECT_EQ(own.handover_revision, 0u);
   EXPECT_EQ(scheduler::EncodeMachineRecord(own), "10.0.0.1:9001");
-  const scheduler::MachineRecord lent = scheduler::DecodeMachineRecord(machines.at("vm-2"));
-  EXPECT_EQ(lent.address, "10.0.0.2:9002");
-  EXPECT_EQ(lent.lease, kLease);
-  EXPECT_EQ(lent.handover_revision, kToken);
-  EXPECT_EQ(scheduler::EncodeMachineRecord(lent), "10.0.0.2:9002/77/41");
-  // Of a version that did not say which time the machine was handed over.
+  const scheduler::MachineRecord leased = scheduler::DecodeMachineRecord(machines.at("vm-2"));
+  EXPECT_EQ(leased.address, "10.0.0.2:9002");
+  EXPECT_EQ(leased.lease, kLease);
+  EXPECT_EQ(leased.handover_revision, kToken);
+  EXPECT_EQ(scheduler::EncodeMachineRecord(leased), "10.0.0.2:9002/77/41");
+  // Of a version that did not record the revision of the handover.
   const scheduler::MachineRecord older = scheduler::DecodeMachineRecord("10.0.0.3:9003/78");
   EXPECT_EQ(older.address, "10.0.0.3:9003");
   EXPECT_EQ(older.lease, 78u);
