--- a/tests/peer_heartbeat_test.cc
+++ b/tests/peer_heartbeat_test.cc
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "builders.h"
+#include "mosspath/wire/json.h"
 
 namespace mosspath::wire {
 namespace {
--- a/tests/promise_frame_test.cc
+++ b/tests/promise_frame_test.cc
@@ -6,6 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "mosspath/wire/json.h"
+
 namespace mosspath::election {
 namespace {
 
--- a/tests/reliable_channel_test.cc
+++ b/tests/reliable_channel_test.cc
@@ -7,6 +7,8 @@
 #include <random>
 #include <vector>
 
+#include "mosspath/wire/json.h"
+
 namespace mosspath::shard {
 namespace {
 
