--- a/include/mosspath/election/cancellation_log.h
+++ b/include/mosspath/election/cancellation_log.h
@@ -1,15 +1,15 @@
-// The cancellations that a controller may have told its users of, and what a leader that has read
-// less needs to hear of them. Pure.
+// The cancellations that a controller may have confirmed to its users, and the part of them that a
+// leader has not read yet. A peer sends that part with its promise (docs/design.md, "The state
+// service refuses the leader alone, and then everybody"). Pure.
 //
-// Invariant: whatever this process has told, and whatever the process before it may have told, has
-// a revision of at most newest(); of those after listed_from() the ids are here.
+// Invariant: whatever this process has confirmed, and whatever the process before it may have
+// confirmed, has a revision of at most newest(); of those after listed_from() the ids are here.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "mosspath/wire/promise_frame.h"
 
@@ -17,25 +17,38 @@
 
 class CancellationLog {
  public:
-  // Keeps at most so many ids: the latest.
-  explicit CancellationLog(size_t most) : max_entries_(most) {}
+  // Keeps the latest `max_entries` ids.
+  explicit CancellationLog(size_t max_entries) : max_entries_(max_entries) {}
 
-  // The process before this one may have told of any cancellation up to this revision.
+  // The process before this one may have confirmed any cancellation up to `revision`.
   void AssumeReportedUpTo(uint64_t revision);
-  // This one is durable since that revision, and may be told from now on.
+  // The cancellation of job `id` is durable since `revision`. Must be called before any user is
+  // told of it.
   void Add(const std::string& id, uint64_t revision);
 
-  uint64_t newest() const { return newest_; }
-  uint64_t listed_from() const { return listed_from_; }
-  // For somebody who knows all up to `seen`: what came since, the earliest first, as many as an
-  // answer may hold.
-  wire::CancellationLogSlice Since(uint64_t seen) const;
+  [[nodiscard]] uint64_t newest() const { return newest_; }
+  [[nodiscard]] uint64_t listed_from() const { return listed_from_; }
+  // What came after the revision `seen`, ascending, as far as one answer can hold it; the slice
+  // says over which revisions it is complete.
+  [[nodiscard]] wire::CancellationLogSlice Since(uint64_t seen) const;
 
  private:
+  struct LogEntry {
+    uint64_t revision = 0;
+    std::string id;
+    friend auto operator<=>(const LogEntry&, const LogEntry&) = default;
+  };
+  using Entries = std::set<LogEntry>;
+
+  // The first entry after `revision`.
+  [[nodiscard]] Entries::const_iterator FirstAfter(uint64_t revision) const {
+    return entries_.lower_bound(LogEntry{revision + 1, {}});
+  }
+
   const size_t max_entries_;
   uint64_t newest_ = 0;
   uint64_t listed_from_ = 0;
-  std::set<std::pair<uint64_t, std::string>> entries_;
+  Entries entries_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -1,6 +1,7 @@
-// Leadership over the state service's grants: obtains and renews the grant, campaigns for the
-// leader key, which hangs on it and whose version is the token under which the leader commands
-// workers. What it decides stands in election/leadership.
+// Leader election over the state service's leases (etcd: lease, election): obtains and renews this
+// controller's store lease, and campaigns for the leader key, which hangs on that lease and whose
+// version is the fencing token of the term. This class does the I/O and the timers; the decisions
+// are election/leadership's.
 #pragma once
 
 #include <functional>
@@ -14,60 +15,74 @@
 
 namespace mosspath::election {
 
+// Lives on the thread of its io_context, as `client` does, which must outlive it.
 class Elector {
  public:
   struct Handlers {
+    // This controller leads from now on, under `token`.
     std::function<void(uint64_t token)> elected;
+    // It no longer leads, and must command nothing more.
     std::function<void()> lost;
   };
 
+  // `key` is the leader key.
   Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
           const config::DerivedSettings& derived, std::string key, Handlers handlers);
 
+  // Asks for a store lease. To be called once.
   void Start();
-  // The mirror's view of the leader key.
-  void OnLeaderKey(const kvstore::Event& e);
+
+  // --- What the watch cache reads ---
+  void OnLeaderKey(const kvstore::Event& event);
   void OnReset() { leadership_.Reset(); }
-  // `fresh`: there is nothing in it, so nobody has led yet.
+  // `fresh`: the cache is empty, so nobody has ever led.
   void OnCacheLoaded(bool fresh);
-  // The mirror holds all that was written before this moment, which is up to that revision.
+  // The cache holds all that was written before `as_of`, which is up to `revision`.
   void OnReadUpTo(double as_of, uint64_t revision) { leadership_.OnReadUpTo(as_of, revision); }
-  // Taken over from who leads.
+  // The leader has sent its view as of `as_of`.
   void OnLeaderView(double as_of) { leadership_.OnLeaderView(as_of); }
 
-  // Gives the leadership up at once, for another controller to take.
-  void Resign(const char* why);
-  bool MayResign(double now) const { return leadership_.MayResign(now); }
+  // Gives the leadership up at once, for another controller to take. No effect on a follower.
+  void Resign(LeadershipLossReason reason);
+  [[nodiscard]] bool MayResign(double now) const { return leadership_.MayResign(now); }
 
-  // See election::Leadership.
-  bool MayAct(double now) const { return leadership_.MayAct(now); }
-  bool IsStale(double now) const { return leadership_.IsStale(now); }
-  bool ViewIsFresh(double now) const { return leadership_.ViewIsFresh(now); }
-  double view_age_s(double now) const { return leadership_.view_age_s(now); }
-  std::optional<uint64_t> BeginPromiseRound(double now) {
+  // --- See election::Leadership for the contracts ---
+  [[nodiscard]] bool MayAct(double now) const { return leadership_.MayAct(now); }
+  [[nodiscard]] bool IsStale(double now) const { return leadership_.IsStale(now); }
+  [[nodiscard]] bool ViewIsFresh(double now) const { return leadership_.ViewIsFresh(now); }
+  [[nodiscard]] double view_age_s(double now) const { return leadership_.view_age_s(now); }
+  [[nodiscard]] std::optional<uint64_t> BeginPromiseRound(double now) {
     return leadership_.BeginPromiseRound(client_.last_contact(), now);
   }
-  wire::PromiseRequest MakePromiseRequest() const { return leadership_.MakePromiseRequest(); }
-  bool OnPromiseResponse(uint64_t round, const std::string& peer,
-                         const wire::PromiseResponse& answer, double now,
-                         std::vector<wire::CancellationLogSlice::Entry>& learned) {
-    return leadership_.OnPromiseResponse(round, peer, answer, now, learned);
+  [[nodiscard]] wire::PromiseRequest MakePromiseRequest() const {
+    return leadership_.MakePromiseRequest();
+  }
+  [[nodiscard]] PromiseResponseResult OnPromiseResponse(
+      uint64_t round, const std::string& peer, const wire::PromiseResponse& response, double now,
+      std::vector<wire::CancellationLogSlice::Entry>& learned) {
+    return leadership_.OnPromiseResponse(round, peer, response, now, learned);
   }
-  Leadership::PromiseDecision OnPromiseRequest(const wire::PromiseRequest& question, double now);
-  uint64_t token() const { return leadership_.token(); }
-  const std::string& leader() const { return leadership_.leader(); }
-  // The present leader's, as far as is known; 0: nobody leads.
-  uint64_t leader_token() const { return leadership_.leader_token(); }
-  // This node's, 0 while it has none.
-  uint64_t store_lease() const { return leadership_.store_lease(); }
-  const std::string& key() const { return key_; }
+  // Calls Handlers::lost if the request shows that this controller's term is over.
+  [[nodiscard]] Leadership::PromiseDecision OnPromiseRequest(const wire::PromiseRequest& request,
+                                                             double now);
+  // kNoToken while this controller does not lead.
+  [[nodiscard]] uint64_t token() const { return leadership_.token(); }
+  // Who leads, as far as is known; empty: nobody.
+  [[nodiscard]] const std::string& leader() const { return leadership_.leader(); }
+  // The present leader's token, as far as is known; kNoToken: nobody leads.
+  [[nodiscard]] uint64_t leader_token() const { return leadership_.leader_token(); }
+  // This controller's store lease; kvstore::kNoLease while it has none.
+  [[nodiscard]] uint64_t store_lease() const { return leadership_.store_lease(); }
+  [[nodiscard]] const std::string& key() const { return key_; }
 
  private:
   void GrantStoreLease();
   void RenewStoreLease();
+  void OnRenewal(kvstore::Outcome outcome, double sent);
+  void LogLapse();
   void Evaluate();
   void Campaign(uint64_t version);
-  void HandleLoss(const Leadership::MaybeLoss& lost);
+  void HandleLoss(const Leadership::MaybeLoss& loss);
 
   kvstore::Client& client_;
   const config::DerivedSettings derived_;
@@ -79,7 +94,7 @@
   net::Timer evaluate_timer_;
   net::Backoff backoff_;
   Leadership leadership_;
-  bool lapse_logged_ = false;
+  bool lapse_logged_ = false;  // in this term, and not renewed since
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/failure_detector.h
+++ b/include/mosspath/election/failure_detector.h
@@ -1,8 +1,10 @@
-// Who of the controllers is there, and what each lacks, by what they tell each other. Nothing that
-// must be safe is decided on it: silence proves nothing. Pure.
+// A heartbeat failure detector between controllers: which of them are up, and what each can't
+// reach. Its verdicts are hints for routing and for the status page. Nothing that must be safe is
+// decided on them, since silence proves nothing. Pure.
 #pragma once
 
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -11,49 +13,62 @@
 
 namespace mosspath::election {
 
+// All times are seconds on this controller's steady clock.
 class FailureDetector {
  public:
   explicit FailureDetector(const config::Settings& settings);
 
-  void OnHeartbeat(const wire::PeerHeartbeat& p, double now);
-  // This process did not run from then until now: nobody was silent for that.
+  // Heartbeats of controllers that are not in the settings are ignored.
+  void OnHeartbeat(const wire::PeerHeartbeat& heartbeat, double now);
+  // This process did not run between `from` and `now`: no peer was silent for that time.
   void OnProcessStall(double from, double now);
 
-  // Not heard of for several times as long as they are to be heard of; false for one never heard.
-  bool IsSuspected(const std::string& node, double now) const;
-  // The last time the state service answered any of the others, as far as they told.
-  double state_contact() const { return state_contact_; }
-  // All others were heard, and none is any more.
-  bool IsIsolated(double now) const;
-  // Whether users should be sent here, by when the state service last answered this controller; it
-  // may fail to for `patience_s`. In an outage that everybody has, leaving the load balancer would
-  // only delay the users after it. One that is refused alone leaves, since the others can serve;
-  // and so does one that is cut off from the others too: it can't tell these apart, and kept
-  // answering 503 to users that others would have served for as long as it had them and its
-  // workers.
-  bool ShouldServeUsers(double state_contact, double patience_s, double now) const;
-  std::vector<wire::PeerHeartbeat::PeerContact> PeerContacts(double now) const;
-  // All of them, this one by what it says of itself.
-  std::vector<wire::ControllerState> ControllerStates(const wire::PeerHeartbeat& own,
-                                                      double now) const;
-
-  double interval_s() const { return interval_s_; }
+  // No heartbeat has come for several intervals; false for a peer that was never heard.
+  [[nodiscard]] bool IsSuspected(const std::string& node, double now) const;
+  // When the state service last answered any peer, as far as their heartbeats say.
+  [[nodiscard]] std::optional<double> state_contact() const { return state_contact_; }
+  // All peers were heard, and all are suspected now.
+  [[nodiscard]] bool IsIsolated(double now) const;
+  // Whether the load balancer should send users here. `state_contact` is when the state service
+  // last answered this controller, which may be up to `patience_s` ago.
+  //
+  // In an outage that everybody has, leaving the load balancer would only send the users after it.
+  // A controller that is refused alone leaves, since the others can serve. So does one that is cut
+  // off from the others too: it can't tell the two cases apart, and it would answer 503 to users
+  // whom the others could serve.
+  [[nodiscard]] bool ShouldServeUsers(double state_contact, double patience_s, double now) const;
+  // How long ago each peer was heard; wire::kNeverS if it never was.
+  [[nodiscard]] std::vector<wire::PeerHeartbeat::PeerContact> PeerContacts(double now) const;
+  // The state of all controllers by name; this one's from its own heartbeat.
+  [[nodiscard]] std::vector<wire::ControllerState> ControllerStates(const wire::PeerHeartbeat& own,
+                                                                    double now) const;
+
+  // Seconds between two heartbeats.
+  [[nodiscard]] double interval_s() const { return interval_s_; }
 
  private:
   struct Peer {
     std::string zone;
-    double heard_at = -1e18;
-    wire::PeerHeartbeat heartbeat;
+    std::optional<double> heard_at;
+    wire::PeerHeartbeat heartbeat;  // valid once it was heard
   };
-  void AddUnreachable(const wire::PeerHeartbeat& p, double later_s,
-                      wire::ControllerState& out) const;
+
+  // How long ago the peer was heard; at most wire::kNeverS.
+  [[nodiscard]] static double SilenceOf(const Peer& peer, double now);
+  [[nodiscard]] wire::ControllerState StateOf(const std::string& name, const Peer& peer,
+                                              double now) const;
+  // Takes a later contact over from what the other peers say of the controller.
+  void ApplyIndirectContacts(double now, wire::ControllerState& state) const;
+  // Adds what the sender of a heartbeat could not reach when it was received `age_s` ago.
+  void AddUnreachable(const wire::PeerHeartbeat& heartbeat, double age_s,
+                      wire::ControllerState& state) const;
 
   const std::string node_;
   const std::string zone_;
   const double interval_s_;
-  const double report_s_;
+  const double agent_heartbeat_s_;
   std::map<std::string, Peer> peers_;
-  double state_contact_ = -1e18;
+  std::optional<double> state_contact_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/leadership_promises.h
+++ b/include/mosspath/election/leadership_promises.h
@@ -1,5 +1,6 @@
-// Going on while the state service is down for everybody: the other controllers promise the leader
-// not to lead for a moment. Pure; docs/design.md says why it is safe.
+// Leading on while the state service is down for everybody: the other controllers promise the
+// leader not to lead for a short time. docs/design.md, "State outages longer than a grant", says
+// why it is safe. Pure.
 #pragma once
 
 #include <algorithm>
@@ -12,47 +13,59 @@
 
 namespace mosspath::election {
 
+// The promises that this controller gives as a peer and collects as the leader. All times are
+// seconds on this controller's steady clock.
 class LeadershipPromises {
  public:
-  LeadershipPromises(double promise_s, size_t peers) : promise_s_(promise_s), peers_(peers) {}
+  // Each promise lasts `promise_s`; a round is complete once `peer_count` peers have promised.
+  LeadershipPromises(double promise_s, size_t peer_count)
+      : promise_s_(promise_s), peer_count_(peer_count) {}
 
   // --- As a peer ---
-  // Called when this node may lead again only after whatever it has promised, or may have promised
-  // before it was started anew.
-  void Promise(double now) { promised_until_ = std::max(promised_until_, now + promise_s_); }
-  double promised_until() const { return promised_until_; }
+  // From `now` on this controller does not lead for `promise_s`. Also called at the start of a
+  // process, which does not know what the process before it promised.
+  void Promise(double now) {
+    promised_until_ = std::max(promised_until_, std::optional(now + promise_s_));
+  }
+  // How long this controller is still bound by what it promised; zero or less: not at all.
+  [[nodiscard]] double RemainingPromise(double now) const {
+    return promised_until_ ? *promised_until_ - now : 0;
+  }
 
   // --- As the leader ---
-  // Begins a round of questions, sent at `now`.
-  uint64_t BeginRound(double now) {
+  // Begins a round of requests that are sent at `now`, and returns its number. Answers to earlier
+  // rounds no longer count.
+  [[nodiscard]] uint64_t BeginRound(double now) {
     round_began_at_ = now;
-    promised_.clear();
+    promised_peers_.clear();
     return ++round_;
   }
-  // When the round was asked for, once all have promised.
+  // Counts a peer's promise. Returns when the round was begun once all peers have promised in it.
   std::optional<double> OnPromise(uint64_t round, const std::string& peer) {
     if (round != round_) return std::nullopt;
-    promised_.insert(peer);
-    // A promise counts from when the question was received, which is after it was sent.
-    if (peers_ == 0 || promised_.size() != peers_) return std::nullopt;
-    until_ = std::max(until_, round_began_at_ + promise_s_ * (1 - 4 * config::kMaxClockDrift));
+    promised_peers_.insert(peer);
+    if (peer_count_ == 0 || promised_peers_.size() != peer_count_) return std::nullopt;
+    // A promise counts from when the request was received, which is after it was sent.
+    const double usable_s = promise_s_ * (1 - 4 * config::kMaxClockDrift);
+    held_until_ = std::max(held_until_, std::optional(round_began_at_ + usable_s));
     return round_began_at_;
   }
-  // Nobody else can lead now.
-  bool Holds(double now) const { return now < until_; }
+  // All peers are bound, so nobody else can lead.
+  [[nodiscard]] bool Holds(double now) const { return held_until_ && now < *held_until_; }
+  // What was promised to this controller no longer counts, nor do answers that are under way.
   void Invalidate() {
-    until_ = -1e18;
+    held_until_.reset();
     ++round_;
   }
 
  private:
   const double promise_s_;
-  const size_t peers_;
-  double promised_until_ = -1e18;
+  const size_t peer_count_;
+  std::optional<double> promised_until_;
   double round_began_at_ = 0;
   uint64_t round_ = 0;
-  std::set<std::string> promised_;
-  double until_ = -1e18;
+  std::set<std::string> promised_peers_;
+  std::optional<double> held_until_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/staleness_bound.h
+++ b/include/mosspath/election/staleness_bound.h
@@ -1,28 +1,35 @@
-// How old the leader's view of the jobs may be while it acts on it. A worker that is answered keeps
-// its tasks for a lease, whether the leader knows that their job was cancelled or not. Pure.
+// How old the leader's view of the jobs may be while it acts on it (docs/design.md, rule 12). An
+// agent that is answered keeps its tasks for a lease, whether or not the leader knows that their
+// job was cancelled. Pure: the caller passes the time.
 #pragma once
 
 #include <algorithm>
+#include <limits>
+#include <optional>
 
 namespace mosspath::election {
 
+// All times are seconds on one steady clock.
 class StalenessBound {
  public:
-  // `most_s`: a view older than this (seconds) must not be acted on.
-  explicit StalenessBound(double most_s) : most_s_(most_s) {}
+  // A view older than `max_age_s` must not be acted on.
+  explicit StalenessBound(double max_age_s) : max_age_s_(max_age_s) {}
 
-  // Everything that anybody was told before this moment is known here. Moments may come in any
-  // order.
-  void AdvanceTo(double as_of) { as_of_ = std::max(as_of_, as_of); }
+  // Everything that any user was told before `as_of` is known here. Calls may come in any order:
+  // the latest moment counts.
+  void AdvanceTo(double as_of) { as_of_ = std::max(as_of_, std::optional(as_of)); }
 
-  bool IsFresh(double now) const { return now - as_of_ <= most_s_; }
-  // Half of what is allowed is used up: somebody who sees more should act instead.
-  bool IsAging(double now) const { return now - as_of_ > most_s_ / 2; }
-  double age_s(double now) const { return now - as_of_; }
+  [[nodiscard]] bool IsFresh(double now) const { return age_s(now) <= max_age_s_; }
+  // More than half of the bound is used up: a controller that reads more should lead instead.
+  [[nodiscard]] bool IsAging(double now) const { return age_s(now) > max_age_s_ / 2; }
+  // Infinite before the first AdvanceTo.
+  [[nodiscard]] double age_s(double now) const {
+    return as_of_ ? now - *as_of_ : std::numeric_limits<double>::infinity();
+  }
 
  private:
-  double most_s_;
-  double as_of_ = -1e18;
+  double max_age_s_;
+  std::optional<double> as_of_;
 };
 
 }  // namespace mosspath::election
--- a/simulation/controller_election.cc
+++ b/simulation/controller_election.cc
@@ -135,7 +135,7 @@
 
 void SimulatedController::Resign() {
   const uint64_t lease = leadership_->store_lease();
-  OnLeadershipChange(leadership_->Resign("", Now()));
+  OnLeadershipChange(leadership_->Resign(election::LeadershipLossReason::kViewIsStale, Now()));
   ++resignations_;
   CallStore<bool>(
       [this, lease] {
--- a/src/election/cancellation_log.cc
+++ b/src/election/cancellation_log.cc
@@ -7,36 +7,36 @@
 void CancellationLog::AssumeReportedUpTo(uint64_t revision) {
   newest_ = std::max(newest_, revision);
   listed_from_ = std::max(listed_from_, revision);
-  entries_.erase(entries_.begin(), entries_.lower_bound({listed_from_ + 1, ""}));
+  entries_.erase(entries_.begin(), FirstAfter(listed_from_));
 }
 
 void CancellationLog::Add(const std::string& id, uint64_t revision) {
   newest_ = std::max(newest_, revision);
   if (revision <= listed_from_) return;
-  entries_.emplace(revision, id);
+  entries_.insert(LogEntry{revision, id});
   while (entries_.size() > max_entries_) {
-    // All of that revision: the list is complete from there on, or says so of nothing.
-    listed_from_ = entries_.begin()->first;
-    entries_.erase(entries_.begin(), entries_.lower_bound({listed_from_ + 1, ""}));
+    // All entries of that revision go: the list stays complete after listed_from_.
+    listed_from_ = entries_.begin()->revision;
+    entries_.erase(entries_.begin(), FirstAfter(listed_from_));
   }
 }
 
 wire::CancellationLogSlice CancellationLog::Since(uint64_t seen) const {
-  wire::CancellationLogSlice part;
-  part.newest = newest_;
-  part.from_revision = std::max(seen, listed_from_);
-  part.to_revision = std::max(part.from_revision, newest_);
-  for (auto it = entries_.lower_bound({part.from_revision + 1, ""}); it != entries_.end(); ++it) {
-    if (part.entries.size() == wire::kMaxCancelledIds) {
-      // The list ends before it, and says so; nothing is said of what shares its revision.
-      const uint64_t next = it->first;
-      std::erase_if(part.entries, [&](const auto& e) { return e.revision >= next; });
-      part.to_revision = next - 1;
+  wire::CancellationLogSlice slice;
+  slice.newest = newest_;
+  slice.from_revision = std::max(seen, listed_from_);
+  slice.to_revision = std::max(slice.from_revision, newest_);
+  for (auto it = FirstAfter(slice.from_revision); it != entries_.end(); ++it) {
+    if (slice.entries.size() == wire::kMaxCancelledIds) {
+      // The slice ends before this revision, of which some entries may already be in it.
+      const uint64_t next = it->revision;
+      std::erase_if(slice.entries, [&](const auto& entry) { return entry.revision >= next; });
+      slice.to_revision = next - 1;
       break;
     }
-    part.entries.push_back({it->second, it->first});
+    slice.entries.push_back({it->id, it->revision});
   }
-  return part;
+  return slice;
 }
 
 }  // namespace mosspath::election
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -5,6 +5,18 @@
 #include <utility>
 
 namespace mosspath::election {
+namespace {
+
+constexpr double kFirstGrantRetryS = 0.1;
+constexpr double kFailedCampaignPauseS = 0.3;
+// A renewal that failed is repeated after this part of the renewal interval.
+constexpr double kRenewRetryRatio = 0.25;
+
+// The fields of the leader key's value, as they are stored.
+constexpr const char* kNodeField = "node";
+constexpr const char* kStoreLeaseField = "grant";
+
+}  // namespace
 
 Elector::Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
                  const config::DerivedSettings& derived, std::string key, Handlers handlers)
@@ -16,7 +28,7 @@
       renew_timer_(io),
       campaign_timer_(io),
       evaluate_timer_(io),
-      backoff_(0.1, derived.store_lease_renew_s),
+      backoff_(kFirstGrantRetryS, derived.store_lease_renew_s),
       leadership_(settings, derived, net::Now()) {}
 
 void Elector::Start() { GrantStoreLease(); }
@@ -24,14 +36,14 @@
 void Elector::GrantStoreLease() {
   const double sent = net::Now();
   client_.GrantLease(
-      derived_.store_lease_s, [this, sent](kvstore::Outcome outcome, uint64_t grant) {
-        if (leadership_.store_lease() != 0) return;
+      derived_.store_lease_s, [this, sent](kvstore::Outcome outcome, uint64_t store_lease) {
+        if (leadership_.store_lease() != kvstore::kNoLease) return;
         if (outcome != kvstore::Outcome::kDone) {
           renew_timer_.After(backoff_.Next(), [this] { GrantStoreLease(); });
           return;
         }
         backoff_.Reset();
-        leadership_.OnStoreLeaseGranted(grant, sent);
+        leadership_.OnStoreLeaseGranted(store_lease, sent);
         renew_timer_.After(derived_.store_lease_renew_s, [this] { RenewStoreLease(); });
         Evaluate();
       });
@@ -39,37 +51,50 @@
 
 void Elector::RenewStoreLease() {
   const double sent = net::Now();
-  client_.RenewLease(leadership_.store_lease(), [this, sent, grant = leadership_.store_lease()](
-                                                    kvstore::Outcome outcome) {
-    if (grant != leadership_.store_lease()) return;  // resigned meanwhile
-    if (outcome == kvstore::Outcome::kLeaseNotFound) {
-      HandleLoss(leadership_.OnStoreLeaseEnded());
-      return GrantStoreLease();
-    }
-    if (outcome == kvstore::Outcome::kDone) {
-      if (lapse_logged_) spdlog::info("lease: resumed token={}", leadership_.token());
-      lapse_logged_ = false;
-      leadership_.OnStoreLeaseRenewed(sent);
-    } else if (const double now = net::Now();
-               leadership_.token() != 0 && !leadership_.StoreLeaseHolds(now) && !lapse_logged_) {
-      lapse_logged_ = true;
-      spdlog::info("lease: the grant of token={} may be over, {}", leadership_.token(),
-                   MayAct(now) ? "going on as all peers vouch" : "commanding nothing");
-    }
-    const double pause = outcome == kvstore::Outcome::kDone ? derived_.store_lease_renew_s
-                                                            : derived_.store_lease_renew_s / 4;
-    renew_timer_.After(sent + pause - net::Now(), [this] { RenewStoreLease(); });
+  const uint64_t store_lease = leadership_.store_lease();
+  client_.RenewLease(store_lease, [this, sent, store_lease](kvstore::Outcome outcome) {
+    if (store_lease != leadership_.store_lease()) return;  // resigned meanwhile
+    OnRenewal(outcome, sent);
   });
 }
 
+void Elector::OnRenewal(kvstore::Outcome outcome, double sent) {
+  if (outcome == kvstore::Outcome::kLeaseNotFound) {
+    HandleLoss(leadership_.OnStoreLeaseEnded());
+    return GrantStoreLease();
+  }
+  const bool renewed = outcome == kvstore::Outcome::kDone;
+  if (renewed) {
+    if (lapse_logged_) spdlog::info("election: store_lease_resumed token={}", token());
+    lapse_logged_ = false;
+    leadership_.OnStoreLeaseRenewed(sent);
+  } else {
+    LogLapse();
+  }
+  const double pause_s = derived_.store_lease_renew_s * (renewed ? 1 : kRenewRetryRatio);
+  renew_timer_.After(sent + pause_s - net::Now(), [this] { RenewStoreLease(); });
+}
+
+void Elector::LogLapse() {
+  const double now = net::Now();
+  if (token() == kNoToken || leadership_.StoreLeaseHolds(now) || lapse_logged_) return;
+  lapse_logged_ = true;
+  spdlog::info("election: store_lease_lapsed token={} acting={}", token(),
+               MayAct(now) ? "under_promises" : "no");
+}
+
 void Elector::OnCacheLoaded(bool fresh) {
   HandleLoss(leadership_.OnLoaded(fresh));
   Evaluate();
 }
 
-void Elector::OnLeaderKey(const kvstore::Event& e) {
+void Elector::OnLeaderKey(const kvstore::Event& event) {
   Leadership::LeaderKey key;
-  if (e.value) key = {e.value->value("node", ""), e.value->value("grant", uint64_t{0}), e.version};
+  if (event.value) {
+    key.node = event.value->value(kNodeField, "");
+    key.store_lease = event.value->value(kStoreLeaseField, kvstore::kNoLease);
+    key.version = event.version;
+  }
   HandleLoss(leadership_.OnLeaderKey(key));
   Evaluate();
 }
@@ -86,48 +111,50 @@
     case Kind::kCampaign:
       return Campaign(step.version);
     case Kind::kElected:
-      spdlog::info("lease: elected node={} token={}", node_, leadership_.token());
-      return handlers_.elected(leadership_.token());
+      spdlog::info("election: elected node={} token={}", node_, token());
+      return handlers_.elected(token());
   }
 }
 
 void Elector::Campaign(uint64_t version) {
   leadership_.SetCampaigning(true);
-  kvstore::Transaction txn;
-  txn.conditions.push_back({key_, version});
-  txn.changes.push_back(
-      {key_, wire::Json{{"node", node_}, {"grant", store_lease()}}, store_lease()});
-  client_.Commit(std::move(txn), derived_.call_timeout_s, [this](kvstore::TransactionResult r) {
-    // The mirror tells how it went; try again if it shows the key free for a while.
-    const double pause = r.outcome == kvstore::Outcome::kDone ? derived_.call_timeout_s : 0.3;
-    campaign_timer_.After(pause, [this] {
+  kvstore::Transaction transaction;
+  transaction.conditions.push_back({key_, version});
+  transaction.changes.push_back(
+      {key_, wire::Json{{kNodeField, node_}, {kStoreLeaseField, store_lease()}}, store_lease()});
+  const auto on_committed = [this](const kvstore::TransactionResult& result) {
+    // The watch cache shows whether the key was put; until then no other campaign begins.
+    const bool done = result.outcome == kvstore::Outcome::kDone;
+    const double pause_s = done ? derived_.call_timeout_s : kFailedCampaignPauseS;
+    campaign_timer_.After(pause_s, [this] {
       leadership_.SetCampaigning(false);
       Evaluate();
     });
-  });
+  };
+  client_.Commit(std::move(transaction), derived_.call_timeout_s, on_committed);
 }
 
-void Elector::Resign(const char* why) {
-  if (token() == 0) return;
-  const uint64_t grant = leadership_.store_lease();
-  HandleLoss(leadership_.Resign(why, net::Now()));
-  client_.RevokeLease(grant);
+void Elector::Resign(LeadershipLossReason reason) {
+  if (token() == kNoToken) return;
+  const uint64_t store_lease = leadership_.store_lease();
+  HandleLoss(leadership_.Resign(reason, net::Now()));
+  client_.RevokeLease(store_lease);
   renew_timer_.Cancel();
   GrantStoreLease();
 }
 
-Leadership::PromiseDecision Elector::OnPromiseRequest(const wire::PromiseRequest& question,
+Leadership::PromiseDecision Elector::OnPromiseRequest(const wire::PromiseRequest& request,
                                                       double now) {
-  Leadership::PromiseDecision promise =
-      leadership_.OnPromiseRequest(question, client_.last_contact(), now);
-  HandleLoss(promise.loss);
-  return promise;
+  Leadership::PromiseDecision decision =
+      leadership_.OnPromiseRequest(request, client_.last_contact(), now);
+  HandleLoss(decision.loss);
+  return decision;
 }
 
-void Elector::HandleLoss(const Leadership::MaybeLoss& lost) {
-  if (!lost) return;
+void Elector::HandleLoss(const Leadership::MaybeLoss& loss) {
+  if (!loss) return;
   lapse_logged_ = false;
-  spdlog::info("lease: lost token={}: {}", lost->token, lost->reason);
+  spdlog::info("election: lost token={} reason={}", loss->token, ToString(loss->reason));
   handlers_.lost();
 }
 
--- a/src/election/failure_detector.cc
+++ b/src/election/failure_detector.cc
@@ -5,99 +5,125 @@
 namespace mosspath::election {
 namespace {
 
-constexpr double kSilentIntervals = 3;
-constexpr double kLackReports = 3;        // report intervals without the state service or a worker
-constexpr double kLackCloudReports = 20;  // the cloud is asked less often
+constexpr double kMinIntervalS = 0.5;
+constexpr double kIntervalsPerAgentHeartbeat = 4;
+constexpr double kSuspectIntervals = 3;  // a peer that is silent for longer is suspected
+// A controller that had no contact for this many agent heartbeat intervals can't reach ...
+constexpr double kUnreachableHeartbeats = 3;        // ... the state service, or the agents
+constexpr double kUnreachableCloudHeartbeats = 20;  // ... the cloud, which is asked less often
+
+// Texts of the status page.
+constexpr const char* kStateService = "state service";
+constexpr const char* kWorkers = "workers";
+constexpr const char* kCloud = "cloud";
+constexpr const char* kNoHeartbeat = "word from it here";
 
 }  // namespace
 
 FailureDetector::FailureDetector(const config::Settings& settings)
     : node_(settings.name),
       zone_(settings.zone),
-      interval_s_(std::max(0.5, settings.heartbeat_s / 4)),
-      report_s_(settings.heartbeat_s) {
-  for (const auto& p : settings.peers) peers_[p.name].zone = p.zone;
+      interval_s_(std::max(kMinIntervalS, settings.heartbeat_s / kIntervalsPerAgentHeartbeat)),
+      agent_heartbeat_s_(settings.heartbeat_s) {
+  for (const auto& peer : settings.peers) peers_[peer.name].zone = peer.zone;
 }
 
-void FailureDetector::OnHeartbeat(const wire::PeerHeartbeat& p, double now) {
-  const auto it = peers_.find(p.node);
-  if (it == peers_.end()) return;  // not one of ours
+void FailureDetector::OnHeartbeat(const wire::PeerHeartbeat& heartbeat, double now) {
+  const auto it = peers_.find(heartbeat.node);
+  if (it == peers_.end()) return;
   it->second.heard_at = now;
-  it->second.heartbeat = p;
-  state_contact_ = std::max(state_contact_, now - p.state_ago_s);
+  it->second.heartbeat = heartbeat;
+  state_contact_ = std::max(state_contact_, std::optional(now - heartbeat.state_ago_s));
 }
 
 void FailureDetector::OnProcessStall(double from, double now) {
-  for (auto& [name, p] : peers_) {
-    if (from - p.heard_at < kSilentIntervals * interval_s_) p.heard_at += now - from;
+  for (auto& [name, peer] : peers_) {
+    if (!peer.heard_at || from - *peer.heard_at >= kSuspectIntervals * interval_s_) continue;
+    *peer.heard_at += now - from;
   }
 }
 
 bool FailureDetector::IsSuspected(const std::string& node, double now) const {
   const auto it = peers_.find(node);
-  return it != peers_.end() && it->second.heard_at > 0 &&
-         now - it->second.heard_at > kSilentIntervals * interval_s_;
+  if (it == peers_.end() || !it->second.heard_at) return false;
+  return now - *it->second.heard_at > kSuspectIntervals * interval_s_;
 }
 
 bool FailureDetector::IsIsolated(double now) const {
-  return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(),
-                                        [&](const auto& p) { return IsSuspected(p.first, now); });
+  return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
+    return IsSuspected(entry.first, now);
+  });
 }
 
 bool FailureDetector::ShouldServeUsers(double state_contact, double patience_s, double now) const {
   if (now - state_contact < patience_s) return true;
-  return state_contact_ < state_contact + patience_s / 2 && !IsIsolated(now);
+  const bool peers_are_answered =
+      state_contact_ && *state_contact_ >= state_contact + patience_s / 2;
+  return !peers_are_answered && !IsIsolated(now);
+}
+
+double FailureDetector::SilenceOf(const Peer& peer, double now) {
+  return peer.heard_at ? std::min(wire::kNeverS, now - *peer.heard_at) : wire::kNeverS;
 }
 
 std::vector<wire::PeerHeartbeat::PeerContact> FailureDetector::PeerContacts(double now) const {
-  std::vector<wire::PeerHeartbeat::PeerContact> out;
-  for (const auto& [name, p] : peers_)
-    out.push_back({name, std::min(wire::kNeverS, now - p.heard_at)});
-  return out;
+  std::vector<wire::PeerHeartbeat::PeerContact> contacts;
+  for (const auto& [name, peer] : peers_) contacts.push_back({name, SilenceOf(peer, now)});
+  return contacts;
 }
 
-void FailureDetector::AddUnreachable(const wire::PeerHeartbeat& p, double later_s,
-                                     wire::ControllerState& out) const {
-  if (p.state_ago_s + later_s > kLackReports * report_s_)
-    out.unreachable.emplace_back("state service");
-  if (p.is_leader && p.workers_ago_s + later_s > kLackReports * report_s_) {
-    out.unreachable.emplace_back("workers");
+void FailureDetector::AddUnreachable(const wire::PeerHeartbeat& heartbeat, double age_s,
+                                     wire::ControllerState& state) const {
+  const double limit_s = kUnreachableHeartbeats * agent_heartbeat_s_;
+  if (heartbeat.state_ago_s + age_s > limit_s) state.unreachable.emplace_back(kStateService);
+  if (heartbeat.is_leader && heartbeat.workers_ago_s + age_s > limit_s) {
+    state.unreachable.emplace_back(kWorkers);
   }
-  if (p.is_leader && p.cloud_ago_s + later_s > kLackCloudReports * report_s_) {
-    out.unreachable.emplace_back("cloud");
+  const double cloud_limit_s = kUnreachableCloudHeartbeats * agent_heartbeat_s_;
+  if (heartbeat.is_leader && heartbeat.cloud_ago_s + age_s > cloud_limit_s) {
+    state.unreachable.emplace_back(kCloud);
   }
-  for (const auto& heard : p.peers) {
-    if (heard.ago_s + later_s > kSilentIntervals * interval_s_)
-      out.unreachable.push_back(heard.node);
+  for (const auto& contact : heartbeat.peers) {
+    if (contact.ago_s + age_s > kSuspectIntervals * interval_s_) {
+      state.unreachable.push_back(contact.node);
+    }
+  }
+}
+
+void FailureDetector::ApplyIndirectContacts(double now, wire::ControllerState& state) const {
+  for (const auto& [witness_name, witness] : peers_) {
+    if (witness_name == state.node || !witness.heard_at) continue;
+    for (const auto& contact : witness.heartbeat.peers) {
+      const double ago_s = contact.ago_s + now - *witness.heard_at;
+      if (contact.node != state.node || ago_s >= state.heard_ago_s) continue;
+      state.heard_ago_s = ago_s;
+      state.heard_by = witness_name;
+    }
   }
 }
 
+wire::ControllerState FailureDetector::StateOf(const std::string& name, const Peer& peer,
+                                               double now) const {
+  const double silence_s = SilenceOf(peer, now);
+  wire::ControllerState state{name, peer.zone, peer.heartbeat.is_leader, silence_s, node_, {}};
+  ApplyIndirectContacts(now, state);
+  if (silence_s < wire::kNeverS) AddUnreachable(peer.heartbeat, silence_s, state);
+  if (state.heard_ago_s >= wire::kNeverS) state.heard_by.clear();
+  // A heartbeat describes its sender at the time it was received; later it may be in any state.
+  if (IsSuspected(name, now) || silence_s >= wire::kNeverS) state.unreachable = {kNoHeartbeat};
+  return state;
+}
+
 std::vector<wire::ControllerState> FailureDetector::ControllerStates(const wire::PeerHeartbeat& own,
                                                                      double now) const {
-  std::vector<wire::ControllerState> out;
+  std::vector<wire::ControllerState> states;
   wire::ControllerState self{node_, zone_, own.is_leader, 0, node_, {}};
   AddUnreachable(own, 0, self);
-  out.push_back(std::move(self));
-  for (const auto& [name, p] : peers_) {
-    wire::ControllerState s{
-        name, p.zone, p.heartbeat.is_leader, std::min(wire::kNeverS, now - p.heard_at), node_, {}};
-    for (const auto& [other, q] : peers_) {
-      for (const auto& heard : q.heartbeat.peers) {
-        const double ago = heard.ago_s + now - q.heard_at;
-        if (other == name || heard.node != name || ago >= s.heard_ago_s) continue;
-        s.heard_ago_s = ago;
-        s.heard_by = other;
-      }
-    }
-    const double here = now - p.heard_at;
-    if (here < wire::kNeverS) AddUnreachable(p.heartbeat, here, s);
-    if (s.heard_ago_s >= wire::kNeverS) s.heard_by.clear();
-    // What it said of itself is of when it was heard: later it may be anything.
-    if (IsSuspected(name, now) || here >= wire::kNeverS) s.unreachable = {"word from it here"};
-    out.push_back(std::move(s));
-  }
-  std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) { return a.node < b.node; });
-  return out;
+  states.push_back(std::move(self));
+  for (const auto& [name, peer] : peers_) states.push_back(StateOf(name, peer, now));
+  std::sort(states.begin(), states.end(),
+            [](const auto& left, const auto& right) { return left.node < right.node; });
+  return states;
 }
 
 }  // namespace mosspath::election
--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -1,47 +1,72 @@
 #include "mosspath/election/leadership.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace mosspath::election {
 namespace {
 
-// A revision is counted once a change, and changes are limited for all controllers together; grants
-// that end count too. More than that many times as many can't have come since the last look.
+// Each change takes one revision, and changes are limited for all controllers together; leases that
+// end take revisions too. More than this many times the limit can't have come since the last read.
 constexpr double kRevisionsPerChange = 4;
+// A burst of this many seconds' worth of changes is allowed on top.
+constexpr double kRevisionBurstS = 1;
+// After resigning a controller lets others campaign first for this many lives of a store lease.
+constexpr double kHoldBackLeases = 2;
+// A leader that resigned before stays for at least this many lives of a store lease.
+constexpr double kMinTenureLeases = 2;
 
 }  // namespace
 
+std::string_view ToString(LeadershipLossReason reason) {
+  switch (reason) {
+    case LeadershipLossReason::kStoreLeaseEnded:
+      return "store_lease_ended";
+    case LeadershipLossReason::kLeaderKeyChanged:
+      return "leader_key_changed";
+    case LeadershipLossReason::kLeaderKeyNotOwn:
+      return "leader_key_not_own";
+    case LeadershipLossReason::kLaterLeaderAsked:
+      return "later_leader_asked";
+    case LeadershipLossReason::kViewIsStale:
+      return "view_is_stale";
+    case LeadershipLossReason::kAgentsPartitioned:
+      return "agents_partitioned";
+  }
+  return "unknown";
+}
+
 Leadership::Leadership(const config::Settings& settings, const config::DerivedSettings& derived,
                        double now)
     : node_(settings.name),
       derived_(derived),
-      most_revisions_per_s_(kRevisionsPerChange * settings.store_writes_per_s),
+      max_revisions_per_s_(kRevisionsPerChange * settings.store_writes_per_s),
       store_lease_clock_(derived.store_lease_s, derived.lapse_margin_s),
       promises_(derived.promise_s, settings.peers.size()),
-      resignation_backoff_(2 * derived.store_lease_s, settings.agent_lease_s),
+      resignation_backoff_(kMinTenureLeases * derived.store_lease_s, settings.agent_lease_s),
       staleness_(derived.max_view_age_s),
       read_at_(now) {
-  for (const auto& p : settings.peers) peers_.insert(p.name);
+  for (const auto& peer : settings.peers) peers_.insert(peer.name);
   promises_.Promise(now);  // whatever the process before this one promised
 }
 
-void Leadership::OnStoreLeaseGranted(uint64_t grant, double sent) {
-  store_lease_ = grant;
+void Leadership::OnStoreLeaseGranted(uint64_t store_lease, double sent) {
+  store_lease_ = store_lease;
   store_lease_clock_.OnRenewed(sent);
 }
 
 Leadership::MaybeLoss Leadership::OnStoreLeaseEnded() {
   store_lease_clock_.OnLost();
-  store_lease_ = 0;
-  return StepDown("the grant has ended");
+  store_lease_ = kvstore::kNoLease;
+  return StepDown(LeadershipLossReason::kStoreLeaseEnded);
 }
 
-Leadership::MaybeLoss Leadership::Resign(const char* why, double now) {
+Leadership::MaybeLoss Leadership::Resign(LeadershipLossReason reason, double now) {
   store_lease_clock_.OnLost();
-  store_lease_ = 0;
-  hold_back_until_ = now + 2 * derived_.store_lease_s;
+  store_lease_ = kvstore::kNoLease;
+  hold_back_until_ = now + kHoldBackLeases * derived_.store_lease_s;
   resignation_backoff_.OnResigned(now);
-  return StepDown(why);
+  return StepDown(reason);
 }
 
 void Leadership::Reset() {
@@ -51,116 +76,141 @@
 
 Leadership::MaybeLoss Leadership::OnLeaderKey(const LeaderKey& key) {
   leader_key_ = key;
-  had_leader_before_ = had_leader_before_ || (key.version != 0 && key.store_lease != store_lease_);
-  if (token_ != 0 && token_ != key.version) return StepDown("the leader key has changed");
+  const bool is_led = key.version != kvstore::kKeyAbsent;
+  had_leader_before_ = had_leader_before_ || (is_led && key.store_lease != store_lease_);
+  if (leads() && token_ != key.version) return StepDown(LeadershipLossReason::kLeaderKeyChanged);
   return std::nullopt;
 }
 
 Leadership::MaybeLoss Leadership::OnLoaded(bool fresh) {
   loaded_ = true;
   had_leader_before_ = had_leader_before_ || !fresh;
-  if (token_ != 0 && leader_key_.store_lease != store_lease_)
-    return StepDown("the leader key is not ours");
+  if (leads() && leader_key_.store_lease != store_lease_) {
+    return StepDown(LeadershipLossReason::kLeaderKeyNotOwn);
+  }
   return std::nullopt;
 }
 
 void Leadership::OnReadUpTo(double as_of, uint64_t revision) {
   staleness_.AdvanceTo(as_of);
-  if (revision >= read_revision_) {
-    read_revision_ = revision;
-    read_at_ = std::max(read_at_, as_of);
-  }
+  if (revision < read_revision_) return;
+  read_revision_ = revision;
+  read_at_ = std::max(read_at_, as_of);
 }
 
 Leadership::Step Leadership::NextStep(double now) {
   using Kind = Step::Kind;
-  if (!loaded_ || store_lease_ == 0) return {};
-  if (leader_key_.version != 0 && leader_key_.store_lease == store_lease_) {
-    // It was read, and with it all that earlier leaders wrote.
-    if (token_ == leader_key_.version) return {};
-    const double left = promises_.promised_until() - now;
-    if (left > 0 && had_leader_before_) return {Kind::kWait, 0, left};
-    token_ = leader_key_.version;
-    resignation_backoff_.OnElected(now);
-    return {Kind::kElected, 0, 0};
+  if (!loaded_ || store_lease_ == kvstore::kNoLease) return {};
+  if (HoldsLeaderKey()) return TakeOffice(now);
+  if (const auto wait_s = HoldBack(now)) {
+    return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = *wait_s};
+  }
+  // A key of this node under another store lease was left by an earlier process of it: nobody else
+  // may take it over before that lease ends.
+  const bool led_by_other = leader_key_.version != kvstore::kKeyAbsent && leader_key_.node != node_;
+  if (led_by_other || campaigning_ || !store_lease_clock_.Holds(now)) return {};
+  return {.kind = Kind::kCampaign, .version = leader_key_.version, .wait_s = 0};
+}
+
+// The key was read, and with it all that earlier leaders wrote.
+Leadership::Step Leadership::TakeOffice(double now) {
+  using Kind = Step::Kind;
+  if (token_ == leader_key_.version) return {};
+  const double bound_s = promises_.RemainingPromise(now);
+  if (bound_s > 0 && had_leader_before_) {
+    return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = bound_s};
   }
-  if (now < hold_back_until_) {
-    // Others go first; but somebody must lead, so it looks again soon.
-    const double look = derived_.store_lease_s / 2;
-    if (leader_key_.version != 0) {
-      key_free_since_.reset();
-      return {Kind::kWait, 0, std::min(hold_back_until_ - now, look)};
-    }
-    if (!key_free_since_) key_free_since_ = now;
-    if (now < *key_free_since_ + look) return {Kind::kWait, 0, *key_free_since_ + look - now};
+  token_ = leader_key_.version;
+  resignation_backoff_.OnElected(now);
+  return {.kind = Kind::kElected, .version = kvstore::kKeyAbsent, .wait_s = 0};
+}
+
+// Others campaign first; but somebody must lead, so this controller campaigns early once the key
+// has been free for half a lease.
+std::optional<double> Leadership::HoldBack(double now) {
+  if (!hold_back_until_ || now >= *hold_back_until_) return std::nullopt;
+  const double look_again_s = derived_.store_lease_s / 2;
+  if (leader_key_.version != kvstore::kKeyAbsent) {
+    key_free_since_.reset();
+    return std::min(*hold_back_until_ - now, look_again_s);
   }
-  // A key of our own node under another grant is a dead predecessor's: nobody else may use it.
-  if (leader_key_.version != 0 && leader_key_.node != node_) return {};
-  if (campaigning_ || !store_lease_clock_.Holds(now)) return {};
-  return {Kind::kCampaign, leader_key_.version, 0};
+  if (!key_free_since_) key_free_since_ = now;
+  const double campaign_at = *key_free_since_ + look_again_s;
+  if (now < campaign_at) return campaign_at - now;
+  return std::nullopt;
 }
 
-Leadership::MaybeLoss Leadership::StepDown(const char* why) {
+Leadership::MaybeLoss Leadership::StepDown(LeadershipLossReason reason) {
   promises_.Invalidate();
-  if (token_ == 0) return std::nullopt;
-  return LeadershipLoss{std::exchange(token_, 0), why};
+  if (!leads()) return std::nullopt;
+  return LeadershipLoss{std::exchange(token_, kNoToken), reason};
 }
 
 bool Leadership::IsPlausibleRevision(uint64_t revision, double now) const {
-  const double since = std::max(0.0, now - read_at_) + 1;  // bursts of a second's worth
-  return revision <= read_revision_ ||
-         static_cast<double>(revision - read_revision_) <= most_revisions_per_s_ * since;
+  if (revision <= read_revision_) return true;
+  const double elapsed_s = std::max(0.0, now - read_at_) + kRevisionBurstS;
+  return static_cast<double>(revision - read_revision_) <= max_revisions_per_s_ * elapsed_s;
 }
 
 std::optional<uint64_t> Leadership::BeginPromiseRound(double contact, double now) {
-  // While it is read anew, what has ended since is not known here, whatever the revision says.
-  if (token_ == 0 || !loaded_ || !IsDisconnected(contact, now)) return std::nullopt;
+  // While everything is read anew, what has ended since is not known here, whatever the revision
+  // says.
+  if (!leads() || !loaded_ || !IsDisconnected(contact, now)) return std::nullopt;
   return promises_.BeginRound(now);
 }
 
-bool Leadership::OnPromiseResponse(uint64_t round, const std::string& peer,
-                                   const wire::PromiseResponse& answer, double now,
-                                   std::vector<wire::CancellationLogSlice::Entry>& learned) {
-  const wire::CancellationLogSlice& part = answer.cancellations;
-  if (!IsPlausibleRevision(std::max(part.newest, part.to_revision), now)) return false;
-  learned = part.entries;
-  // A cancellation that was told and that is not known here: its tasks must not go on. Only what
-  // was read here is known up to a revision: a peer may learn of an earlier cancellation after a
-  // later one, when the answers to its changes come in another order, so each answer lists all of
-  // them.
-  const bool all = part.from_revision <= read_revision_ &&
-                   part.newest <= std::max(read_revision_, part.to_revision);
-  if (!answer.promised || !all || !loaded_ || token_ == 0) return true;
-  // What any of them had told when it was asked is known here, so all promises together are as good
-  // as a look at the state service when they were asked for.
-  if (const auto asked = promises_.OnPromise(round, peer)) staleness_.AdvanceTo(*asked);
-  return true;
-}
-
-Leadership::PromiseDecision Leadership::OnPromiseRequest(const wire::PromiseRequest& question,
+PromiseResponseResult Leadership::OnPromiseResponse(
+    uint64_t round, const std::string& peer, const wire::PromiseResponse& response, double now,
+    std::vector<wire::CancellationLogSlice::Entry>& learned) {
+  const wire::CancellationLogSlice& slice = response.cancellations;
+  if (!IsPlausibleRevision(std::max(slice.newest, slice.to_revision), now)) {
+    return PromiseResponseResult::kImplausible;
+  }
+  learned = slice.entries;
+  // The tasks of a job whose cancellation was confirmed but is not known here must not go on. Only
+  // what was read here is known up to a revision: a peer may learn of an earlier cancellation after
+  // a later one, when the answers to its changes come in another order. So each response lists all
+  // of them since read_revision_.
+  const bool all_known = slice.from_revision <= read_revision_ &&
+                         slice.newest <= std::max(read_revision_, slice.to_revision);
+  if (!response.promised || !all_known || !loaded_ || !leads()) {
+    return PromiseResponseResult::kNotCounted;
+  }
+  // Whatever any peer had confirmed when it was asked is known here, so the promises of all peers
+  // together are as good as a read of the state service at the time they were asked for.
+  if (const auto asked_at = promises_.OnPromise(round, peer)) staleness_.AdvanceTo(*asked_at);
+  return PromiseResponseResult::kCounted;
+}
+
+bool Leadership::IsWellFormed(const wire::PromiseRequest& request, double now) const {
+  return peers_.contains(request.node) && request.token != kNoToken &&
+         IsPlausibleRevision(std::max(request.token, request.read_revision), now);
+}
+
+Leadership::PromiseDecision Leadership::OnPromiseRequest(const wire::PromiseRequest& request,
                                                          double contact, double now) {
-  PromiseDecision out;
-  // Before all was read it is not known what the process before this one may have told.
-  if (!loaded_) return out;
-  if (!peers_.contains(question.node) || question.token == 0 ||
-      !IsPlausibleRevision(std::max(question.token, question.read_revision), now)) {
-    out.well_formed = false;
-    return out;
+  PromiseDecision decision;
+  // Before everything was read it is not known what the process before this one may have confirmed.
+  if (!loaded_) return decision;
+  if (!IsWellFormed(request, now)) {
+    decision.well_formed = false;
+    return decision;
   }
-  if (!IsDisconnected(contact, now)) return out;
-  if (question.token != leader_key_.version) {
-    // Of a key that was put after all that was read here, so whatever key was read is gone, ours
-    // too; who asks has read it. One that is older than what was read is a leader of the past.
-    if (question.token <= read_revision_ || question.token <= leader_key_.version) return out;
-    leader_key_ = {question.node, 0, question.token};
+  if (!IsDisconnected(contact, now)) return decision;
+  if (request.token != leader_key_.version) {
+    // A token that is not above all that was read here is a former leader's. A later one belongs to
+    // a key that was put after all that was read, so the key that was read is gone, even an own
+    // one.
+    if (request.token <= read_revision_ || request.token <= leader_key_.version) return decision;
+    leader_key_ = {request.node, kvstore::kNoLease, request.token};
     had_leader_before_ = true;
-    if (token_ != 0) out.loss = StepDown("another leads, as it says");
+    if (leads()) decision.loss = StepDown(LeadershipLossReason::kLaterLeaderAsked);
     promises_.Invalidate();
   }
-  if (token_ != 0) return out;
+  if (leads()) return decision;
   promises_.Promise(now);
-  out.promised = true;
-  return out;
+  decision.promised = true;
+  return decision;
 }
 
 }  // namespace mosspath::election
--- a/src/service/leader_service.cc
+++ b/src/service/leader_service.cc
@@ -91,22 +91,22 @@
 // The resignation is posted: it ends this service, which must not happen within its own call.
 bool LeaderService::ResignIfUnfit() {
   const double now = net::Now();
-  if (!elector_.MayResign(now)) return false;
-  if (elector_.IsStale(now)) {
+  if (elector_.IsStale(now) && elector_.MayResign(now)) {
     asio::post(io_, term_.Guard([this] {
       spdlog::info("election: view_stale age_s={:.1f}", elector_.view_age_s(net::Now()));
-      elector_.Resign("changes can't be read");
+      elector_.Resign(election::LeadershipLossReason::kViewIsStale);
     }));
     return true;
   }
-  if (term_.MayAct() && scheduler_.IsPartitionedFromAgents(now)) {
-    // Agents would lose their leases and tasks while another controller may well reach them.
-    asio::post(io_, term_.Guard([this] {
-      if (term_.MayAct()) elector_.Resign("most agents can't be reached");
-    }));
-    return true;
-  }
-  return false;
+  if (!term_.MayAct()) return false;
+  // Asked at every tick, whether it may resign or not: it measures for how long that has lasted.
+  const bool partitioned = scheduler_.IsPartitionedFromAgents(now);
+  if (!partitioned || !elector_.MayResign(now)) return false;
+  // Agents would lose their leases and tasks while another controller may well reach them.
+  asio::post(io_, term_.Guard([this] {
+    if (term_.MayAct()) elector_.Resign(election::LeadershipLossReason::kAgentsPartitioned);
+  }));
+  return true;
 }
 
 void LeaderService::RunDuties() {
--- a/src/service/peer_service.cc
+++ b/src/service/peer_service.cc
@@ -192,7 +192,8 @@
     return malformed(e.what());
   }
   std::vector<wire::CancellationLogSlice::Entry> learned;
-  if (!elector_.OnPromiseResponse(round, link.node, answer, net::Now(), learned)) {
+  if (elector_.OnPromiseResponse(round, link.node, answer, net::Now(), learned) ==
+      election::PromiseResponseResult::kImplausible) {
     return malformed("a revision above any");
   }
   link.bad_promise_logged = false;
