--- a/include/mosspath/kvstore/client.h
+++ b/include/mosspath/kvstore/client.h
@@ -1,117 +1,69 @@
-// The state service: requests within the shared budgets, transactions, grants, lists and watches.
+// The client of the state service: reads, transactions, watches and leases (as an etcd client), all
+// within this controller's share of the service's request rates.
 #pragma once
 
 #include <asio/io_context.hpp>
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <optional>
+#include <memory>
 #include <string>
-#include <vector>
 
 #include "mosspath/config/settings.h"
+#include "mosspath/kvstore/request_budget.h"
+#include "mosspath/kvstore/transaction_committer.h"
+#include "mosspath/kvstore/transport.h"
+#include "mosspath/kvstore/types.h"
 #include "mosspath/net/http_client.h"
 #include "mosspath/net/malformed_message.h"
-#include "mosspath/net/rate_limit.h"
 #include "mosspath/net/timer.h"
-#include "mosspath/wire/json.h"
 
 namespace mosspath::kvstore {
 
-struct Condition {
-  std::string key;
-  uint64_t version = 0;  // 0: the key must not exist
-};
-
-struct Change {
-  std::string key;
-  std::optional<wire::Json> value;  // none: delete
-  uint64_t lease = 0;               // 0: attached to none
-};
-
-struct Transaction {
-  std::vector<Condition> conditions;
-  std::vector<Change> changes;
-};
-
-enum class Outcome {
-  kDone,           // 200
-  kConflict,       // 409: a condition failed
-  kLeaseNotFound,  // 400 or 404: the grant has ended
-  kRefused,        // certainly not executed (429, 503, never sent)
-  kUndetermined,   // no answer: executed, or not, or later
-};
-
-struct TransactionResult {
-  Outcome outcome = Outcome::kUndetermined;
-  uint64_t revision = 0;
-};
-
-struct Event {
-  std::string key;
-  std::optional<wire::Json> value;  // none: deleted
-  uint64_t version = 0;
-};
-
-struct ListResult {
-  bool ok = false;
-  std::vector<Event> items;
-  bool more = false;
-  uint64_t revision = 0;
-};
-
-struct WatchResult {
-  enum class Kind { kOk, kTooOld, kFailed } kind = Kind::kFailed;
-  uint64_t revision = 0;
-  std::vector<Event> events;
-};
-
-struct GetResult {
-  enum class Kind { kFound, kMissing, kFailed } kind = Kind::kFailed;
-  wire::Json value;
-  uint64_t version = 0;
-};
-
+// Lives on the thread of `io`. Callbacks run there, once each, and never before the call returns.
 class Client {
  public:
   Client(asio::io_context& io, const config::Settings& settings,
          const config::DerivedSettings& derived, const std::shared_ptr<net::SocketBudget>& sockets);
 
-  // Waits for the shared budget until the deadline; an outage and an unsure outcome are reported at
-  // once.
-  void Commit(Transaction txn, double deadline_s, std::function<void(TransactionResult)> done);
+  // See TransactionCommitter::Commit. `deadline_s` is in seconds from now.
+  void Commit(const Transaction& transaction, double deadline_s,
+              std::function<void(TransactionResult)> done);
+  // Fails at once when the budget has no room.
   void Get(const std::string& key, std::function<void(GetResult)> done);
+  // The page of keys under `prefix` after the key `after`; empty: the first page.
   void List(const std::string& prefix, const std::string& after,
             std::function<void(ListResult)> done);
+  // Changes under `prefix` after the revision `since`. If there are none, the service answers after
+  // `wait_s` seconds; 0: at once, which makes this a read of all that was written before.
   void Watch(const std::string& prefix, uint64_t since, double wait_s,
              std::function<void(WatchResult)> done);
-  void GrantLease(double life_s, std::function<void(Outcome, uint64_t grant)> done);
-  void RenewLease(uint64_t grant, std::function<void(Outcome)> done);
-  void RevokeLease(uint64_t grant);
 
-  // Seconds until the budgets have room for so many changes.
-  double WriteDelay(double changes);
+  // A new lease that lives for `life_s` seconds after each renewal; kNoLease unless done.
+  void GrantLease(double life_s, std::function<void(Outcome, uint64_t lease)> done);
+  void RenewLease(uint64_t lease, std::function<void(Outcome)> done);
+  // Ends the lease now rather than when it runs out; nothing tells whether that worked.
+  void RevokeLease(uint64_t lease);
 
-  // When the last request was sent that the service answered (other than 503).
-  double last_contact() const { return last_contact_; }
-  uint64_t throttled_requests() const { return throttled_requests_; }
+  // Seconds until the budgets have room for a transaction with so many changes.
+  [[nodiscard]] double WriteDelay(double changes);
 
+  // When the last request was sent that the service answered (other than with 503), in seconds on
+  // the steady clock; far in the past if there was none.
+  [[nodiscard]] double last_contact() const { return transport_.last_contact(); }
+  [[nodiscard]] uint64_t throttled_requests() const { return transport_.throttled_requests(); }
+
+  // Called for each answer that can't be understood.
   net::OnMalformed on_malformed;
 
  private:
-  void Send(net::HttpClient& through, std::string method, std::string target, std::string body,
-            double timeout_s, std::function<void(int status, wire::Json body)> done);
-  void TryCommit(std::shared_ptr<struct CommitJob> job);
-
   asio::io_context& io_;
   const config::DerivedSettings derived_;
   net::HttpClient requests_;
   net::HttpClient watches_;
-  net::HttpClient renewals_;  // never queues behind other requests
-  net::TokenBucket reads_;
-  net::TokenBucket writes_;
-  double last_contact_ = -1e9;
-  uint64_t throttled_requests_ = 0;
+  net::HttpClient renewals_;  // never queue behind other requests
+  RequestBudget budget_;
+  Transport transport_;
+  TransactionCommitter committer_;
 };
 
 }  // namespace mosspath::kvstore
--- /dev/null
+++ b/include/mosspath/kvstore/types.h
@@ -0,0 +1,81 @@
+// Requests to and results of the state service, a versioned key-value store with transactions,
+// watches and leases (as etcd: revision, mod_revision, txn, watch, lease).
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "mosspath/kvstore/ids.h"
+#include "mosspath/wire/json.h"
+
+namespace mosspath::kvstore {
+
+// A compare of a transaction: the key must have this version.
+struct Condition {
+  std::string key;
+  uint64_t version = kKeyAbsent;
+};
+
+// A put or a delete of a transaction.
+struct Change {
+  std::string key;
+  std::optional<wire::Json> value;  // none: the key is deleted
+  uint64_t lease = kNoLease;        // the key is deleted when this lease ends
+};
+
+// A compare-and-swap: all changes are made at once if all conditions hold, else none is.
+struct Transaction {
+  std::vector<Condition> conditions;
+  std::vector<Change> changes;
+};
+
+enum class Outcome {
+  kDone,
+  kConflict,       // a condition failed; nothing was changed
+  kLeaseNotFound,  // the lease has ended; nothing was changed
+  kRefused,        // certainly not executed: over budget, unavailable, or never sent
+  kUndetermined,   // no usable answer: executed, or not, or later
+};
+
+struct TransactionResult {
+  Outcome outcome = Outcome::kUndetermined;
+  uint64_t revision = 0;  // of the changes; only when done
+};
+
+// The state of a key, as a list or a watch shows it.
+struct Event {
+  std::string key;
+  std::optional<wire::Json> value;  // none: the key was deleted
+  uint64_t version = kKeyAbsent;    // the revision of this change
+};
+
+// A page of the keys under a prefix.
+struct ListResult {
+  bool ok = false;  // false: no usable answer, and the other fields are void
+  std::vector<Event> items;
+  bool more = false;  // there are keys after the last item
+  uint64_t revision = 0;
+};
+
+// The changes under a prefix since a revision.
+struct WatchResult {
+  enum class Kind {
+    kOk,
+    kTooOld,  // the log no longer reaches back, or is too large: everything must be listed anew
+    kFailed,
+  };
+  Kind kind = Kind::kFailed;
+  uint64_t revision = 0;  // up to which the events are complete
+  std::vector<Event> events;
+};
+
+struct GetResult {
+  enum class Kind { kFound, kMissing, kFailed };
+  Kind kind = Kind::kFailed;
+  wire::Json value;
+  uint64_t version = kKeyAbsent;
+};
+
+}  // namespace mosspath::kvstore
--- /dev/null
+++ b/src/kvstore/codec.h
@@ -0,0 +1,34 @@
+// The state service's HTTP targets and JSON bodies. Its field names stand here and nowhere else.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "mosspath/kvstore/types.h"
+
+namespace mosspath::kvstore {
+
+// The source of malformed answers in logs and metrics.
+inline constexpr const char* kMalformedSource = "state";
+
+inline constexpr const char* kTransactionTarget = "/multi";
+inline constexpr const char* kLeasesTarget = "/grants";
+[[nodiscard]] std::string GetTarget(const std::string& key);
+// The page of keys under `prefix` after the key `after`; empty: the first page.
+[[nodiscard]] std::string ListTarget(const std::string& prefix, const std::string& after);
+// Changes after `since`; the service answers after `wait_s` seconds at the latest.
+[[nodiscard]] std::string WatchTarget(const std::string& prefix, uint64_t since, double wait_s);
+[[nodiscard]] std::string LeaseTarget(uint64_t lease);
+[[nodiscard]] std::string RenewalTarget(uint64_t lease);
+
+[[nodiscard]] std::string EncodeTransaction(const Transaction& transaction);
+[[nodiscard]] std::string EncodeLeaseRequest(double life_s);
+
+// Each throws an exception on what is not an answer of its kind.
+[[nodiscard]] uint64_t DecodeRevision(const wire::Json& body);
+[[nodiscard]] uint64_t DecodeLease(const wire::Json& body);
+void DecodeValue(const wire::Json& body, GetResult& result);
+void DecodeList(const wire::Json& body, ListResult& result);
+void DecodeEvents(const wire::Json& body, WatchResult& result);
+
+}  // namespace mosspath::kvstore
--- a/src/kvstore/watch_cache.cc
+++ b/src/kvstore/watch_cache.cc
@@ -6,120 +6,138 @@
 #include <utility>
 
 namespace mosspath::kvstore {
+namespace {
+
+constexpr double kFirstRetryS = 0.1;
+constexpr double kLongestRetryS = 1.0;
+constexpr double kNoWait = 0;
+
+}  // namespace
 
 WatchCache::WatchCache(asio::io_context& io, Client& client, const config::DerivedSettings& derived,
-                       std::string loaded, std::string followed, Handlers handlers)
+                       std::string loaded_prefix, std::string followed_prefix, Handlers handlers)
     : client_(client),
       derived_(derived),
-      loaded_prefix_(std::move(loaded)),
-      followed_prefix_(std::move(followed)),
+      loaded_prefix_(std::move(loaded_prefix)),
+      followed_prefix_(std::move(followed_prefix)),
       handlers_(std::move(handlers)),
-      retry_(io),
-      follow_gap_(io),
-      read_gap_(io),
-      backoff_(0.1, 1.0) {}
+      retry_timer_(io),
+      follow_timer_(io),
+      read_timer_(io),
+      backoff_(kFirstRetryS, kLongestRetryS) {}
 
 void WatchCache::Start() { Load(); }
 
 void WatchCache::Load() {
   ++generation_;
   loaded_ = false;
-  read_gap_.Cancel();
+  read_timer_.Cancel();
   read_planned_ = false;
-  auto waiting = std::move(waiting_);
-  waiting_.clear();
-  for (const auto& done : waiting) done(false);
-  revision_ = 0;
+  const Waiters waiters = std::exchange(waiting_, {});
+  for (const auto& done : waiters) done(false);
+  revision_.reset();
   handlers_.reset();
-  load_began_ = net::Now();
+  load_began_at_ = net::Now();
   LoadPage("");
 }
 
 void WatchCache::LoadPage(const std::string& after) {
-  client_.List(loaded_prefix_, after, [this, after](ListResult page) {
-    if (!page.ok) {
-      retry_.After(backoff_.Next(), [this, after] { LoadPage(after); });
-      return;
-    }
-    // Changes made while the pages are read are replayed from the first page's revision.
-    if (revision_ == 0) revision_ = page.revision;
-    for (const Event& e : page.items) handlers_.changed(e);
-    if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
-    backoff_.Reset();
-    loaded_ = true;
-    spdlog::info("state: loaded {} at revision {}", loaded_prefix_, revision_);
-    handlers_.loaded();
-    handlers_.current(load_began_);
-    handlers_.advanced();
-    Follow();
-  });
+  client_.List(loaded_prefix_, after,
+               [this, after](const ListResult& page) { OnPage(page, after); });
 }
 
-bool WatchCache::ApplyEvents(const WatchResult& log, double asked) {
-  if (log.kind == WatchResult::Kind::kTooOld) {
-    if (loaded_) {
-      spdlog::info("state: fell too far behind, loading again");
-      Load();
-    }
-    return false;
+void WatchCache::OnPage(const ListResult& page, const std::string& after) {
+  if (!page.ok) {
+    retry_timer_.After(backoff_.Next(), [this, after] { LoadPage(after); });
+    return;
   }
-  if (log.kind != WatchResult::Kind::kOk) return false;
-  // The watch and the catch-up reads overlap: what was applied already is passed over.
-  const uint64_t known = revision_;
-  bool any = false;
-  for (const Event& e : log.events) {
-    if (e.version <= known) continue;
-    handlers_.changed(e);
-    any = true;
+  // Changes made while the pages are read are replayed from the first page's revision.
+  if (!revision_) revision_ = page.revision;
+  for (const Event& event : page.items) handlers_.changed(event);
+  if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
+  OnLoaded();
+}
+
+void WatchCache::OnLoaded() {
+  backoff_.Reset();
+  loaded_ = true;
+  spdlog::info("kvstore: cache_loaded prefix={} revision={}", loaded_prefix_, revision());
+  handlers_.loaded();
+  handlers_.current(load_began_at_);
+  handlers_.advanced();
+  Follow();
+}
+
+void WatchCache::ReloadIfLoaded() {
+  if (!loaded_) return;
+  spdlog::info("kvstore: cache_reload reason=revision_too_old revision={}", revision());
+  Load();
+}
+
+bool WatchCache::Apply(const WatchResult& result, double asked_at) {
+  if (result.kind == WatchResult::Kind::kTooOld) ReloadIfLoaded();
+  if (result.kind != WatchResult::Kind::kOk) return false;
+  // The watch and the reads on demand overlap: what was applied already is passed over.
+  const uint64_t applied_revision = revision();
+  bool any_applied = false;
+  for (const Event& event : result.events) {
+    if (event.version <= applied_revision) continue;
+    handlers_.changed(event);
+    any_applied = true;
   }
-  revision_ = std::max(revision_, log.revision);
-  handlers_.current(asked);
-  if (any) handlers_.advanced();
+  revision_ = std::max(revision(), result.revision);
+  handlers_.current(asked_at);
+  if (any_applied) handlers_.advanced();
   return true;
 }
 
 void WatchCache::Follow() {
   const uint64_t generation = generation_;
-  const double asked = net::Now();
-  client_.Watch(followed_prefix_, revision_, derived_.watch_s,
-                [this, generation, asked](const WatchResult& log) {
-                  if (generation != generation_) return;
-                  double pause = derived_.catch_up_interval_s;
-                  if (ApplyEvents(log, asked)) {
-                    backoff_.Reset();
-                  } else {
-                    pause = backoff_.Next();
-                  }
-                  if (generation != generation_) return;
-                  follow_gap_.After(pause, [this] { Follow(); });
+  const double asked_at = net::Now();
+  client_.Watch(followed_prefix_, revision(), derived_.watch_s,
+                [this, generation, asked_at](const WatchResult& result) {
+                  OnFollowed(result, generation, asked_at);
                 });
 }
 
-void WatchCache::CatchUp(std::function<void(bool)> done) {
+void WatchCache::OnFollowed(const WatchResult& result, uint64_t generation, double asked_at) {
+  if (generation != generation_) return;
+  double pause_s = derived_.catch_up_interval_s;
+  if (Apply(result, asked_at)) {
+    backoff_.Reset();
+  } else {
+    pause_s = backoff_.Next();
+  }
+  if (generation != generation_) return;  // a load began, and follows by itself
+  follow_timer_.After(pause_s, [this] { Follow(); });
+}
+
+void WatchCache::CatchUp(std::function<void(bool caught_up)> done) {
   if (!loaded_) return done(false);
   waiting_.push_back(std::move(done));
-  if (!reading_ && !read_planned_) ReadNow();
+  if (MayRead()) ReadNow();
 }
 
 void WatchCache::ReadNow() {
-  const double wait = last_read_ + derived_.catch_up_interval_s - net::Now();
-  if (wait > 0) {
+  const double now = net::Now();
+  if (last_read_at_ && *last_read_at_ + derived_.catch_up_interval_s > now) {
     read_planned_ = true;
-    read_gap_.After(wait, [this] { ReadNow(); });
+    read_timer_.After(*last_read_at_ + derived_.catch_up_interval_s - now, [this] { ReadNow(); });
     return;
   }
   read_planned_ = false;
   reading_ = true;
-  last_read_ = net::Now();
-  auto waiting = std::move(waiting_);
-  waiting_.clear();
-  client_.Watch(followed_prefix_, revision_, 0,
-                [this, asked = last_read_, waiting = std::move(waiting)](const WatchResult& log) {
-                  reading_ = false;
-                  const bool ok = loaded_ && ApplyEvents(log, asked);
-                  for (const auto& done : waiting) done(ok);
-                  if (!waiting_.empty() && loaded_ && !reading_ && !read_planned_) ReadNow();
-                });
+  last_read_at_ = now;
+  client_.Watch(followed_prefix_, revision(), kNoWait,
+                [this, asked_at = now, waiters = std::exchange(waiting_, {})](
+                    const WatchResult& result) { OnRead(result, waiters, asked_at); });
+}
+
+void WatchCache::OnRead(const WatchResult& result, const Waiters& waiters, double asked_at) {
+  reading_ = false;
+  const bool caught_up = loaded_ && Apply(result, asked_at);
+  for (const auto& done : waiters) done(caught_up);
+  if (!waiting_.empty() && loaded_ && MayRead()) ReadNow();
 }
 
 }  // namespace mosspath::kvstore
