--- a/include/mosspath/shard/reliable_channel.h
+++ b/include/mosspath/shard/reliable_channel.h
@@ -1,7 +1,10 @@
-// Items to the other controller, in order and each taken in once, however often frames are lost,
-// repeated or late. One channel for each pair of a leadership and a lease. Pure.
+// Exactly-once, in-order delivery of messages to the other controller, however often frames are
+// lost, repeated or late (sequence numbers, cumulative acknowledgements and a receive window, as
+// TCP has). One channel for each pair of a leader's term and a shard lease. Pure: the caller sends
+// the frames.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <string>
@@ -13,32 +16,39 @@
 
 class ReliableChannel {
  public:
-  // --- Out ---
-  void Enqueue(const wire::ShardMessage& item);
-  // Unacknowledged items from the first on, as many as the other takes; fills the frame's numbers.
+  // --- Outgoing ---
+  void Enqueue(const wire::ShardMessage& message);
+  // Puts the unacknowledged messages into the frame, from the first on, as many as the other side
+  // takes, with the sequence numbers and the acknowledgement.
   void FillFrame(wire::ShardFrame& frame) const;
-  // Nothing waits to be acknowledged.
-  bool idle() const { return unacknowledged_.empty(); }
-  // There are items that no frame has carried yet.
-  bool has_unsent() const { return last_sent_ < last(); }
-  size_t bytes() const { return bytes_; }
-  uint64_t last() const { return first_sequence_ + unacknowledged_.size() - 1; }
-  // A frame was made and leaves.
+  // A frame that FillFrame has filled is sent now.
   void OnFrameSent(const wire::ShardFrame& frame);
+  // All messages are acknowledged.
+  [[nodiscard]] bool idle() const { return unacknowledged_.empty(); }
+  // There are messages that no frame has carried yet.
+  [[nodiscard]] bool has_unsent() const { return last_sent_ < last_sequence(); }
+  // Encoded bytes of the unacknowledged messages.
+  [[nodiscard]] size_t bytes() const { return unacknowledged_bytes_; }
+  // Number of the last message; messages count from 1.
+  [[nodiscard]] uint64_t last_sequence() const {
+    return first_sequence_ + unacknowledged_.size() - 1;
+  }
 
-  // --- In ---
-  // What is new of a frame of this channel, in order. Throws BadMessage before anything of it
-  // counts as taken in.
+  // --- Incoming ---
+  // The new messages of a frame of this channel, in order. Throws wire::BadMessage on a frame that
+  // the other side can't have sent, and then nothing of it counts as received.
   std::vector<wire::ShardMessage> Receive(const wire::ShardFrame& frame);
 
  private:
-  std::deque<std::string> unacknowledged_;
-  size_t bytes_ = 0;
-  uint64_t first_sequence_ = 1;  // number of the first in out_
+  void Acknowledge(uint64_t sequence);
+
+  std::deque<std::string> unacknowledged_;  // encoded
+  size_t unacknowledged_bytes_ = 0;
+  uint64_t first_sequence_ = 1;  // number of the first in unacknowledged_
   uint64_t last_sent_ = 0;       // the last that a frame has carried
   uint64_t last_received_ = 0;
-  uint64_t peer_window_bytes_ =
-      wire::kMaxShardFrameBytes / 2;  // what the other takes, as it last said
+  // What the other side takes in one frame, as it last said.
+  uint64_t peer_window_bytes_ = wire::kMaxShardFrameBytes / 2;
 };
 
 }  // namespace mosspath::shard
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -177,7 +177,7 @@
 
 void SimulatedController::SendShardFrames() {
   if (shard_leases_ && leading()) {
-    for (auto& [node, frame] : shard_leases_->NextFrames(Now())) {
+    for (auto& [node, frame] : shard_leases_->NextFrames()) {
       frame.view_age_s = wire::kNeverS;
       SendShardFrame(node, std::move(frame), true);
     }
--- a/src/shard/routing_table.cc
+++ b/src/shard/routing_table.cc
@@ -1,21 +1,24 @@
 #include "mosspath/shard/routing_table.h"
 
+#include <utility>
+
 #include "mosspath/scheduler/durable_state.h"
 
 namespace mosspath::shard {
 
 void RoutingTable::OnLease(const std::string& node, uint64_t lease) {
-  std::erase_if(leases_, [&](const auto& l) { return l.second == node; });
-  if (lease != 0) leases_[lease] = node;
+  std::erase_if(leases_, [&](const auto& entry) { return entry.second == node; });
+  if (lease != kvstore::kNoLease) leases_[lease] = node;
 }
 
 void RoutingTable::OnPack(int pack, const wire::Json* value, uint64_t version) {
   packs_.erase(pack);
   if (value == nullptr || !value->is_object()) return;
-  auto& entries = packs_[pack];
-  for (const auto& [id, text] : value->items()) {
-    auto [address, lease, handed] = scheduler::DecodeMachineRecord(text);
-    if (lease != 0) entries[id] = {std::move(address), lease, version, handed};
+  Routes& routes = packs_[pack];
+  for (const auto& [machine, encoded] : value->items()) {
+    scheduler::MachineRecord record = scheduler::DecodeMachineRecord(encoded);
+    if (record.lease == kvstore::kNoLease) continue;
+    routes[machine] = {std::move(record.address), record.lease, version, record.handover_revision};
   }
 }
 
@@ -23,45 +26,44 @@
   for (const auto& [lease, holder] : leases_) {
     if (holder == node) return lease;
   }
-  return 0;
+  return kvstore::kNoLease;
 }
 
 std::string RoutingTable::HolderOf(const std::string& machine) const {
-  for (const auto& [pack, entries] : packs_) {
-    const auto it = entries.find(machine);
-    if (it == entries.end()) continue;
-    const auto lease = leases_.find(it->second.lease);
-    if (lease != leases_.end()) return lease->second;
+  for (const auto& [pack, routes] : packs_) {
+    const auto route = routes.find(machine);
+    if (route == routes.end()) continue;
+    const auto holder = leases_.find(route->second.lease);
+    if (holder != leases_.end()) return holder->second;
   }
   return {};
 }
 
+void RoutingTable::AddMachinesUnder(uint64_t lease, const Routes& from, Routes& to) {
+  for (const auto& [machine, route] : from) {
+    if (route.lease == lease) to.emplace(machine, route);
+  }
+}
+
 std::map<std::string, RoutingTable::MachineRoute> RoutingTable::MachinesUnder(
     uint64_t lease) const {
-  std::map<std::string, MachineRoute> out;
-  for (const auto& [pack, entries] : packs_) {
-    for (const auto& [id, e] : entries) {
-      if (e.lease == lease) out.emplace(id, e);
-    }
-  }
-  return out;
+  Routes machines;
+  for (const auto& [pack, routes] : packs_) AddMachinesUnder(lease, routes, machines);
+  return machines;
 }
 
 std::map<std::string, RoutingTable::MachineRoute> RoutingTable::MachinesUnder(uint64_t lease,
                                                                               int pack) const {
-  std::map<std::string, MachineRoute> out;
-  const auto entries = packs_.find(pack);
-  if (entries == packs_.end()) return out;
-  for (const auto& [id, e] : entries->second) {
-    if (e.lease == lease) out.emplace(id, e);
-  }
-  return out;
+  Routes machines;
+  const auto routes = packs_.find(pack);
+  if (routes != packs_.end()) AddMachinesUnder(lease, routes->second, machines);
+  return machines;
 }
 
 bool RoutingTable::IsUnder(uint64_t lease, const std::string& machine) const {
-  for (const auto& [pack, entries] : packs_) {
-    const auto it = entries.find(machine);
-    if (it != entries.end() && it->second.lease == lease) return true;
+  for (const auto& [pack, routes] : packs_) {
+    const auto route = routes.find(machine);
+    if (route != routes.end() && route->second.lease == lease) return true;
   }
   return false;
 }
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -10,177 +10,215 @@
 namespace mosspath::shard {
 namespace {
 
-constexpr double kReadyGrants = 1;     // a holder unheard for so long is given nothing
-constexpr double kPatienceGrants = 4;  // and its lease is taken back after this
-constexpr double kPauseGrants = 2;     // before a block is leased again
-constexpr double kPauseRevoked = 0.5;  // leases; the same after its lease was taken back
+// In lives of a store lease:
+constexpr double kReadyLeases = 1;     // a holder that is silent for longer is delegated nothing
+constexpr double kPatienceLeases = 4;  // a holder that is silent for longer loses its lease
+constexpr double kPauseLeases = 2;     // from the end of a lease to the next one of the shard
+// In lives of an agent's lease: the same pause after a lease was taken back.
+constexpr double kRevokedPauseAgentLeases = 0.5;
 
 }  // namespace
 
 ShardLeaseManager::ShardLeaseManager(const config::Settings& settings,
                                      const config::DerivedSettings& derived,
-                                     scheduler::Scheduler& dispatcher, uint64_t token)
-    : settings_(settings), derived_(derived), dispatcher_(dispatcher), token_(token) {
-  const scheduler::ShardMap blocks(settings);
-  for (size_t i = 0; i < blocks.size(); ++i) {
-    if (blocks.OwnerOf(i) == settings.name) {
-      dispatcher_.LeadShards(i);
+                                     scheduler::Scheduler& scheduler, uint64_t token)
+    : settings_(settings), derived_(derived), scheduler_(scheduler), token_(token) {
+  const scheduler::ShardMap shard_map(settings);
+  for (size_t index = 0; index < shard_map.size(); ++index) {
+    if (shard_map.OwnerOf(index) == settings.name) {
+      scheduler_.LeadShards(index);
     } else {
-      shards_[blocks.OwnerOf(i)].index = i;
+      shards_[shard_map.OwnerOf(index)].index = index;
     }
   }
 }
 
+void ShardLeaseManager::Shard::DelayLeaseUntil(double at) {
+  next_lease_at = std::max(next_lease_at, std::optional(at));
+}
+
 ShardLeaseManager::Shard* ShardLeaseManager::Find(const std::string& node) {
   const auto it = shards_.find(node);
   return it == shards_.end() ? nullptr : &it->second;
 }
 
-void ShardLeaseManager::OnOffer(const std::string& node, uint64_t version, uint64_t grant,
+void ShardLeaseManager::OnOffer(const std::string& node, uint64_t version, uint64_t store_lease,
                                 double now) {
-  Shard* b = Find(node);
-  if (b == nullptr) return;
-  if (version != 0 && version != b->offer) {
-    b->not_before = std::max(b->not_before, now + derived_.store_lease_s);
+  Shard* shard = Find(node);
+  if (shard == nullptr) return;
+  if (version != kvstore::kKeyAbsent && version != shard->offer) {
+    shard->DelayLeaseUntil(now + derived_.store_lease_s);
   }
-  b->offer = version;
-  b->store_lease = grant;
+  shard->offer = version;
+  shard->store_lease = store_lease;
 }
 
 void ShardLeaseManager::OnInheritedLease(const std::string& node, uint64_t lease) {
-  Shard* b = Find(node);
-  if (b == nullptr) return;
-  b->lease = lease;
-  b->heard_at = -1e18;
-  dispatcher_.OpenLease(lease, b->index, /*inherited=*/true);
+  Shard* shard = Find(node);
+  if (shard == nullptr) return;
+  shard->lease = lease;
+  shard->heard_at.reset();
+  scheduler_.OpenLease(lease, shard->index, /*inherited=*/true);
 }
 
 void ShardLeaseManager::OnLease(const std::string& node, uint64_t lease, double now) {
-  Shard* b = Find(node);
-  if (b == nullptr || b->lease == lease) return;
-  if (b->lease != 0) {
-    spdlog::info("blocks: {} holds its block no longer, lease {}", node, b->lease);
-    ended_leases_[b->lease] = node;
-    dispatcher_.CloseLease(b->lease, now + derived_.shard_hold_s, now);
-    b->not_before = std::max(b->not_before, now + kPauseGrants * derived_.store_lease_s);
-  }
-  b->lease = lease;
-  b->channel = ReliableChannel();
-  b->synced = false;
-  b->heard_at = b->opened_at = now;
-  b->write_in_flight = false;
-  if (lease == 0) return;
-  spdlog::info("blocks: {} holds its block under lease {}", node, lease);
-  dispatcher_.OpenLease(lease, b->index, /*inherited=*/false);
+  Shard* shard = Find(node);
+  if (shard == nullptr || shard->lease == lease) return;
+  if (shard->IsLeased()) CloseLease(node, *shard, now);
+  shard->lease = lease;
+  shard->channel = ReliableChannel();
+  shard->synced = false;
+  shard->heard_at = now;
+  shard->opened_at = now;
+  shard->write_in_flight = false;
+  if (!shard->IsLeased()) return;
+  spdlog::info("shard: lease_opened node={} lease={}", node, lease);
+  scheduler_.OpenLease(lease, shard->index, /*inherited=*/false);
+}
+
+void ShardLeaseManager::CloseLease(const std::string& node, Shard& shard, double now) {
+  spdlog::info("shard: lease_ended node={} lease={}", node, shard.lease);
+  ended_leases_[shard.lease] = node;
+  scheduler_.CloseLease(shard.lease, now + derived_.shard_hold_s, now);
+  shard.DelayLeaseUntil(now + kPauseLeases * derived_.store_lease_s);
 }
 
 bool ShardLeaseManager::HasCeased(uint64_t lease) const {
-  const auto since = [&](const std::string& node) { return shards_.at(node).offer > lease; };
-  if (const auto held = ended_leases_.find(lease); held != ended_leases_.end())
-    return since(held->second);
-  // An earlier leader's: nobody knows whose. This node holds nothing any more.
-  return std::all_of(shards_.begin(), shards_.end(), [&](const auto& b) { return since(b.first); });
+  const auto offered_since = [&](const std::string& node) {
+    return shards_.at(node).offer > lease;
+  };
+  if (const auto ended = ended_leases_.find(lease); ended != ended_leases_.end()) {
+    return offered_since(ended->second);
+  }
+  // A lease that an earlier leader gave: nobody knows to whom. This controller holds nothing.
+  return std::all_of(shards_.begin(), shards_.end(),
+                     [&](const auto& entry) { return offered_since(entry.first); });
+}
+
+void ShardLeaseManager::ForgetEndedLeases(double now) {
+  const auto expired = scheduler_.ExpiredLeases();
+  for (const uint64_t lease : expired) {
+    if (HasCeased(lease)) scheduler_.OnHolderCeased(lease, now);
+  }
+  std::erase_if(ended_leases_, [&](const auto& entry) { return !expired.contains(entry.first); });
 }
 
 std::vector<ShardLeaseManager::LeaseChange> ShardLeaseManager::PendingChanges(double now) {
   std::vector<LeaseChange> changes;
-  const auto past = dispatcher_.ExpiredLeases();
-  for (const uint64_t lease : past) {
-    if (HasCeased(lease)) dispatcher_.OnHolderCeased(lease, now);
-  }
-  std::erase_if(ended_leases_, [&](const auto& h) { return !past.contains(h.first); });
-  for (auto& [node, b] : shards_) {
-    if (b.lease != 0) {
-      if (b.opened_at < -1e17) b.opened_at = now;
-      if (b.heard_at < -1e17)
-        b.heard_at = now;  // an earlier leader's: its holder has yet to find us
-      // Nothing of earlier jobs starts before it has told what it has.
-      const bool silent = now - b.heard_at > kPatienceGrants * derived_.store_lease_s ||
-                          (!b.synced && now - b.opened_at > settings_.agent_lease_s);
-      const bool ready = b.synced && now - b.heard_at < kReadyGrants * derived_.store_lease_s;
-      dispatcher_.SetLeaseReady(b.lease, ready && allowed_);
-      if ((!silent && allowed_) || b.write_in_flight) continue;
-      spdlog::info("blocks: lease {} of {} is taken back: {}", b.lease, node,
-                   allowed_ ? "it is not heard" : "blocks are not leased");
-      b.write_in_flight = true;
-      b.not_before = now + kPauseRevoked * settings_.agent_lease_s;
-      changes.push_back({node, 0, 0, b.lease});
-    } else if (allowed_ && b.offer != 0 && !b.write_in_flight && now >= b.not_before &&
-               dispatcher_.recovery_complete()) {
-      b.write_in_flight = true;
-      changes.push_back({node, b.offer, b.store_lease, 0});
+  ForgetEndedLeases(now);
+  for (auto& [node, shard] : shards_) {
+    if (shard.IsLeased()) {
+      const bool must_revoke = MustRevoke(shard, now);
+      if (must_revoke && !shard.write_in_flight) changes.push_back(Revoke(node, shard, now));
+    } else if (MayLease(shard, now)) {
+      shard.write_in_flight = true;
+      changes.push_back({node, shard.offer, shard.store_lease, kvstore::kNoLease});
     }
   }
   return changes;
 }
 
+bool ShardLeaseManager::MustRevoke(Shard& shard, double now) {
+  // The holder of an earlier leader's lease has yet to find this leader.
+  if (!shard.opened_at) shard.opened_at = now;
+  if (!shard.heard_at) shard.heard_at = now;
+  const double silence_s = now - *shard.heard_at;
+  // Nothing of earlier jobs starts before the holder has sent all that it has.
+  const bool sync_is_late = !shard.synced && now - *shard.opened_at > settings_.agent_lease_s;
+  const bool silent = silence_s > kPatienceLeases * derived_.store_lease_s || sync_is_late;
+  const bool ready = shard.synced && silence_s < kReadyLeases * derived_.store_lease_s;
+  scheduler_.SetLeaseReady(shard.lease, ready && allowed_);
+  return silent || !allowed_;
+}
+
+ShardLeaseManager::LeaseChange ShardLeaseManager::Revoke(const std::string& node, Shard& shard,
+                                                         double now) {
+  spdlog::info("shard: lease_revoked node={} lease={} reason={}", node, shard.lease,
+               allowed_ ? "holder_silent" : "leases_not_allowed");
+  shard.write_in_flight = true;
+  shard.next_lease_at = now + kRevokedPauseAgentLeases * settings_.agent_lease_s;
+  return {node, kvstore::kKeyAbsent, kvstore::kNoLease, shard.lease};
+}
+
+bool ShardLeaseManager::MayLease(const Shard& shard, double now) const {
+  const bool is_offered = allowed_ && shard.offer != kvstore::kKeyAbsent;
+  const bool is_due = !shard.next_lease_at || now >= *shard.next_lease_at;
+  return is_offered && is_due && !shard.write_in_flight && scheduler_.recovery_complete();
+}
+
 void ShardLeaseManager::OnChangeWritten(const std::string& node, bool done, double now) {
-  Shard* b = Find(node);
-  if (b == nullptr) return;
-  // Whatever it was, the mirror shows it soon.
-  b->not_before =
-      std::max(b->not_before, now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
-  b->write_in_flight = false;
+  Shard* shard = Find(node);
+  if (shard == nullptr) return;
+  // Whatever the result was, the watch cache shows it soon.
+  shard->DelayLeaseUntil(now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
+  shard->write_in_flight = false;
 }
 
 bool ShardLeaseManager::OnFrame(const wire::ShardFrame& frame, double now) {
-  Shard* b = Find(frame.node);
-  if (b == nullptr || frame.from_leader || b->lease == 0 || frame.lease != b->lease ||
-      frame.leader_token != token_) {
+  Shard* shard = Find(frame.node);
+  if (shard == nullptr || !shard->IsLeased()) return false;
+  if (frame.from_leader || frame.lease != shard->lease || frame.leader_token != token_) {
     return false;
   }
-  b->heard_at = now;
-  for (const auto& item : b->channel.Receive(frame)) {
-    dispatcher_.OnHolderMessage(b->lease, item, now);
-    b->synced = b->synced || item.kind == wire::ShardMessage::Kind::kSyncComplete;
+  shard->heard_at = now;
+  for (const auto& message : shard->channel.Receive(frame)) {
+    scheduler_.OnHolderMessage(shard->lease, message, now);
+    shard->synced = shard->synced || message.kind == wire::ShardMessage::Kind::kSyncComplete;
   }
-  if (b->synced && allowed_) dispatcher_.SetLeaseReady(b->lease, true);
+  if (shard->synced && allowed_) scheduler_.SetLeaseReady(shard->lease, true);
   return true;
 }
 
 std::optional<wire::ShardFrame> ShardLeaseManager::MakeAnswer(const std::string& node) {
-  Shard* b = Find(node);
-  if (b == nullptr || b->lease == 0) return std::nullopt;
-  for (const auto& item : dispatcher_.TakeHolderMessages(b->lease)) b->channel.Enqueue(item);
+  Shard* shard = Find(node);
+  if (shard == nullptr || !shard->IsLeased()) return std::nullopt;
+  for (const auto& message : scheduler_.TakeHolderMessages(shard->lease)) {
+    shard->channel.Enqueue(message);
+  }
   wire::ShardFrame frame;
   frame.node = settings_.name;
   frame.leader_token = token_;
-  frame.lease = b->lease;
+  frame.lease = shard->lease;
   frame.from_leader = true;
   frame.receive_window_bytes = wire::kMaxShardFrameBytes;
-  b->channel.FillFrame(frame);
-  b->channel.OnFrameSent(frame);
-  b->frame_lost = false;
+  shard->channel.FillFrame(frame);
+  shard->channel.OnFrameSent(frame);
+  shard->frame_lost = false;
   return frame;
 }
 
-std::vector<std::pair<std::string, wire::ShardFrame>> ShardLeaseManager::NextFrames(double) {
-  std::vector<std::pair<std::string, wire::ShardFrame>> frames;
-  for (auto& [node, b] : shards_) {
-    // Its holder speaks first: it knows by then who leads.
-    if (b.lease == 0 || !b.synced) continue;
-    for (const auto& item : dispatcher_.TakeHolderMessages(b.lease)) b.channel.Enqueue(item);
-    if (!b.channel.has_unsent() && !(b.frame_lost && !b.channel.idle())) continue;
-    if (auto frame = MakeAnswer(node)) frames.emplace_back(node, std::move(*frame));
+std::vector<ShardLeaseManager::AddressedFrame> ShardLeaseManager::NextFrames() {
+  std::vector<AddressedFrame> frames;
+  for (auto& [node, shard] : shards_) {
+    // The holder sends first: by then it knows who leads.
+    if (!shard.IsLeased() || !shard.synced) continue;
+    for (const auto& message : scheduler_.TakeHolderMessages(shard.lease)) {
+      shard.channel.Enqueue(message);
+    }
+    const bool must_repeat = shard.frame_lost && !shard.channel.idle();
+    if (!shard.channel.has_unsent() && !must_repeat) continue;
+    if (auto frame = MakeAnswer(node)) frames.push_back({node, std::move(*frame)});
   }
   return frames;
 }
 
 void ShardLeaseManager::OnFrameLost(const std::string& node) {
-  if (Shard* b = Find(node)) b->frame_lost = true;
+  if (Shard* shard = Find(node)) shard->frame_lost = true;
 }
 
 std::string ShardLeaseManager::HolderOf(const std::string& machine) const {
-  const uint64_t lease = dispatcher_.LeaseOf(machine);
-  if (lease == 0) return {};
-  for (const auto& [node, b] : shards_) {
-    if (b.lease == lease) return node;
+  const uint64_t lease = scheduler_.LeaseOf(machine);
+  if (lease == kvstore::kNoLease) return {};
+  for (const auto& [node, shard] : shards_) {
+    if (shard.lease == lease) return node;
   }
   return {};
 }
 
 void ShardLeaseManager::OnProcessStall(double now) {
-  for (auto& [node, b] : shards_) b.heard_at = std::max(b.heard_at, now);
+  for (auto& [node, shard] : shards_) {
+    shard.heard_at = std::max(shard.heard_at, std::optional(now));
+  }
 }
 
 }  // namespace mosspath::shard
