--- a/include/mosspath/wire/promise_frame.h
+++ b/include/mosspath/wire/promise_frame.h
@@ -1,6 +1,6 @@
-// What a leader asks its peers while the state service is silent, and what they answer: whether
-// they promise not to lead for a moment, and the cancellations that they may have told of and that
-// the leader has not read. In the controllers' varint codec.
+// The promise requests that a leader sends its peers while the state service is silent, and their
+// answers: whether they promise not to lead for a short time, and the cancellations that they may
+// have confirmed and that the leader has not read (election/leadership). In the varint codec.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,25 @@
 
 namespace mosspath::wire {
 
-// Ids in one answer; about 20 bytes each.
+// Job ids in one answer; about 20 bytes each.
 inline constexpr size_t kMaxCancelledIds = 512;
 
 struct PromiseRequest {
-  std::string node;            // who asks
-  uint64_t token = 0;          // the asking leader's
-  uint64_t read_revision = 0;  // it has read all up to this revision
+  std::string node;            // the leader that asks
+  uint64_t token = 0;          // of its term
+  uint64_t read_revision = 0;  // it has read everything up to this revision
 };
 
-// A part of the cancellations that a controller may have told of.
+// A part of the cancellations that a controller may have confirmed to users.
 struct CancellationLogSlice {
   struct Entry {
-    std::string id;
-    uint64_t revision = 0;
+    std::string id;         // of the job
+    uint64_t revision = 0;  // at which the cancellation is durable
   };
-  uint64_t newest = 0;         // it may have told of none after this revision
-  uint64_t from_revision = 0;  // of those after this one ...
-  uint64_t to_revision = 0;    // ... up to this one, all are listed
+  uint64_t newest = 0;  // none after this revision can have been confirmed
+  // The entries are complete for the revisions after from_revision up to to_revision.
+  uint64_t from_revision = 0;
+  uint64_t to_revision = 0;
   std::vector<Entry> entries;  // by revision
 };
 
@@ -37,12 +38,12 @@
   CancellationLogSlice cancellations;
 };
 
-std::string Encode(const PromiseRequest& q);
-std::string Encode(const PromiseResponse& a);
+[[nodiscard]] std::string Encode(const PromiseRequest& request);
+[[nodiscard]] std::string Encode(const PromiseResponse& response);
 // Throw BadMessage on what no writer of this version can have written: cut short, longer than it
 // should be, another version, ids out of order or beyond the bound. A peer of another version is
 // answered with an error, which is no promise.
-PromiseRequest DecodePromiseRequest(std::string_view in);
-PromiseResponse DecodePromiseResponse(std::string_view in);
+PromiseRequest DecodePromiseRequest(std::string_view frame);
+PromiseResponse DecodePromiseResponse(std::string_view frame);
 
 }  // namespace mosspath::wire
--- a/include/mosspath/wire/varint.h
+++ b/include/mosspath/wire/varint.h
@@ -1,68 +1,85 @@
-// The codec between controllers: unsigned LEB128 varints and length-prefixed strings.
+// The codec of frames between controllers: unsigned LEB128 varints and length-prefixed strings,
+// without field numbers. The layout of each frame is fixed by its version.
 #pragma once
 
+#include <algorithm>
 #include <cmath>
 #include <cstdint>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "mosspath/wire/json.h"
 
 namespace mosspath::wire {
 
+namespace varint {
+inline constexpr unsigned kPayloadBits = 7;  // of each byte
+inline constexpr uint64_t kContinuation = 0x80;
+inline constexpr uint64_t kPayloadMask = 0x7f;
+inline constexpr unsigned kValueBits = 64;
+inline constexpr unsigned kLastShift = 63;  // of the tenth byte, which has room for one bit
+inline constexpr double kAmountUnits = 1000;
+}  // namespace varint
+
 class VarintWriter {
  public:
-  void Put(uint64_t v) {
-    while (v >= 0x80) {
-      out_.push_back(static_cast<char>(v | 0x80));
-      v >>= 7;
+  void Put(uint64_t value) {
+    while (value >= varint::kContinuation) {
+      out_.push_back(static_cast<char>(value | varint::kContinuation));
+      value >>= varint::kPayloadBits;
     }
-    out_.push_back(static_cast<char>(v));
+    out_.push_back(static_cast<char>(value));
+  }
+  void Put(std::string_view text) {
+    Put(static_cast<uint64_t>(text.size()));
+    out_.append(text);
   }
-  void Put(std::string_view s) {
-    Put(static_cast<uint64_t>(s.size()));
-    out_.append(s);
+  // Amounts travel in thousandths; negative ones as zero.
+  void PutAmount(double amount) {
+    Put(static_cast<uint64_t>(std::llround(std::max(0.0, amount) * varint::kAmountUnits)));
   }
-  // Amounts travel in thousandths.
-  void PutAmount(double v) { Put(static_cast<uint64_t>(std::llround(std::max(0.0, v) * 1000))); }
-  std::string Take() { return std::move(out_); }
-  size_t size() const { return out_.size(); }
+  // What was written; the writer is empty afterwards.
+  [[nodiscard]] std::string Take() { return std::move(out_); }
+  [[nodiscard]] size_t size() const { return out_.size(); }
 
  private:
   std::string out_;
 };
 
-// Throws BadMessage on anything that a writer can't have written.
+// Reads from a text that must outlive it. Throws BadMessage on anything that a writer can't have
+// written.
 class VarintReader {
  public:
   explicit VarintReader(std::string_view in) : in_(in) {}
 
   uint64_t Get() {
-    uint64_t v = 0;
-    for (int shift = 0; shift < 64; shift += 7) {
+    uint64_t value = 0;
+    for (unsigned shift = 0; shift < varint::kValueBits; shift += varint::kPayloadBits) {
       if (in_.empty()) throw BadMessage("frame: cut short");
       const auto byte = static_cast<uint8_t>(in_.front());
       in_.remove_prefix(1);
-      if (shift == 63 && byte > 1) break;
-      v |= static_cast<uint64_t>(byte & 0x7f) << shift;
-      if (byte < 0x80) return v;
+      if (shift == varint::kLastShift && byte > 1) break;
+      value |= (byte & varint::kPayloadMask) << shift;
+      if (byte < varint::kContinuation) return value;
     }
     throw BadMessage("frame: a number is too long");
   }
-  std::string GetString(size_t most) {
-    const uint64_t n = Get();
-    if (n > most || n > in_.size()) throw BadMessage("frame: a string is too long");
-    std::string s(in_.substr(0, n));
-    in_.remove_prefix(n);
-    return s;
+  std::string GetString(size_t max_bytes) {
+    const uint64_t size = Get();
+    if (size > max_bytes || size > in_.size()) throw BadMessage("frame: a string is too long");
+    std::string text(in_.substr(0, size));
+    in_.remove_prefix(size);
+    return text;
   }
-  // The length of a list whose elements take at least a byte each.
-  uint64_t GetCount(uint64_t most) {
-    const uint64_t n = Get();
-    if (n > most || n > in_.size()) throw BadMessage("frame: a list is too long");
-    return n;
+  // The length of a list of at most `max_count` elements, each of which takes at least a byte.
+  uint64_t GetCount(uint64_t max_count) {
+    const uint64_t count = Get();
+    if (count > max_count || count > in_.size()) throw BadMessage("frame: a list is too long");
+    return count;
   }
-  double GetAmount() { return static_cast<double>(Get()) / 1000; }
+  double GetAmount() { return static_cast<double>(Get()) / varint::kAmountUnits; }
+  // To be called last: nothing may be left.
   void End() const {
     if (!in_.empty()) throw BadMessage("frame: has more than it should");
   }
--- /dev/null
+++ b/src/wire/frame_header.h
@@ -0,0 +1,35 @@
+// The first two numbers of frames between controllers: what a frame is, and the version of its
+// layout. (Promise frames carry the version only.)
+#pragma once
+
+#include <cstdint>
+
+#include "mosspath/wire/varint.h"
+
+namespace mosspath::wire {
+
+enum class FrameKind : uint64_t {
+  kStatusSnapshot = 0x6d70'01,
+  kPeerHeartbeat = 0x6d70'02,
+  kShardFrame = 0x6d70'03,
+  kAdmissionPlan = 0x6d70'04,
+};
+
+inline void PutHeader(VarintWriter& writer, FrameKind kind, uint64_t version) {
+  writer.Put(static_cast<uint64_t>(kind));
+  writer.Put(version);
+}
+
+// Returns the version. Throws BadMessage on a frame of another kind, or on a version outside
+// [min_version, max_version].
+inline uint64_t GetHeader(VarintReader& reader, FrameKind kind, uint64_t min_version,
+                          uint64_t max_version) {
+  if (reader.Get() != static_cast<uint64_t>(kind)) throw BadMessage("frame: of another kind");
+  const uint64_t version = reader.Get();
+  if (version < min_version || version > max_version) {
+    throw BadMessage("frame: an unsupported version");
+  }
+  return version;
+}
+
+}  // namespace mosspath::wire
--- a/src/wire/read_heartbeat.cc
+++ b/src/wire/read_heartbeat.cc
@@ -1,100 +1,111 @@
-// Reports come hundreds of times a second with dozens of tasks each: read without building a
-// document of them. The same checks as ParseReport, which a test compares it with.
+// Heartbeats come hundreds of times a second with dozens of tasks each, so they are read without
+// building a document of them. The checks are those of ParseHeartbeat.
 #include <simdjson.h>
 
 #include "mosspath/wire/json.h"
-#include "wire/names.h"
+#include "wire/field_names.h"
 
 namespace mosspath::wire {
 namespace {
 
 using simdjson::dom::element;
 
-element Need(const element& j, const char* key) {
-  element v;
-  if (j[key].get(v) != simdjson::SUCCESS || v.is_null()) {
+element RequiredField(const element& object, const char* key) {
+  element value;
+  if (object[key].get(value) != simdjson::SUCCESS || value.is_null()) {
     throw BadMessage(std::string(key) + " is missing");
   }
-  return v;
+  return value;
 }
 
-std::string_view Text(const element& j, const char* key) {
-  std::string_view s;
-  if (Need(j, key).get(s) != simdjson::SUCCESS) {
+std::string_view TextField(const element& object, const char* key) {
+  std::string_view text;
+  if (RequiredField(object, key).get(text) != simdjson::SUCCESS) {
     throw BadMessage(std::string(key) + " is not a string");
   }
-  if (s.empty() || s.size() > kMaxName) {
+  if (text.empty() || text.size() > kMaxName) {
     throw BadMessage(std::string(key) + " is empty or too long");
   }
-  return s;
+  return text;
 }
 
-uint64_t Count(const element& j, const char* key) {
-  uint64_t n = 0;
-  if (Need(j, key).get(n) != simdjson::SUCCESS) {
+uint64_t CountField(const element& object, const char* key) {
+  uint64_t count = 0;
+  if (RequiredField(object, key).get(count) != simdjson::SUCCESS) {
     throw BadMessage(std::string(key) + " is not a count");
   }
-  return n;
+  return count;
 }
 
-bool Flag(const element& j, const char* key) {
-  bool b = false;
-  if (Need(j, key).get(b) != simdjson::SUCCESS) {
+bool FlagField(const element& object, const char* key) {
+  bool flag = false;
+  if (RequiredField(object, key).get(flag) != simdjson::SUCCESS) {
     throw BadMessage(std::string(key) + " is not a boolean");
   }
-  return b;
+  return flag;
 }
 
-template <typename E, size_t N>
-E Choice(const element& j, const char* key, const std::array<std::pair<const char*, E>, N>& names) {
-  const std::string_view s = Text(j, key);
-  for (const auto& [name, value] : names) {
-    if (s == name) return value;
+template <typename Enum, size_t kSize>
+Enum EnumField(const element& object, const char* key, const EnumNames<Enum, kSize>& names) {
+  const EnumName<Enum>* entry = FindName(TextField(object, key), names);
+  if (entry == nullptr) throw BadMessage(std::string(key) + " has an unknown value");
+  return entry->value;
+}
+
+std::optional<double> ReadReclaimNotice(const element& object) {
+  element notice;
+  if (object[field::kReclaimNoticeS].get(notice) != simdjson::SUCCESS || notice.is_null()) {
+    return std::nullopt;
   }
-  throw BadMessage(std::string(key) + " has an unknown value");
+  double notice_s = 0;
+  if (notice.get(notice_s) != simdjson::SUCCESS) {
+    throw BadMessage(std::string(field::kReclaimNoticeS) + " is not a number");
+  }
+  return notice_s;
+}
+
+TaskStatus ReadTaskStatus(const element& object) {
+  if (!object.is_object()) throw BadMessage("a task is not an object");
+  TaskStatus status;
+  status.task = ParseTaskName(std::string(TextField(object, field::kTask)));
+  status.attempt = CountField(object, field::kAttempt);
+  status.state = EnumField(object, field::kState, kTaskStates);
+  if (status.state == TaskState::kExited) {
+    status.exit_reason = EnumField(object, field::kExitReason, kExitReasons);
+  }
+  bool checkpointed = false;
+  if (object[field::kCheckpointed].get(checkpointed) == simdjson::SUCCESS) {
+    status.checkpointed = checkpointed;
+  }
+  return status;
 }
 
 }  // namespace
 
 Heartbeat ReadHeartbeat(std::string_view text) {
   static thread_local simdjson::dom::parser parser;
-  element j;
-  if (parser.parse(text.data(), text.size()).get(j) != simdjson::SUCCESS) {
+  element object;
+  if (parser.parse(text.data(), text.size()).get(object) != simdjson::SUCCESS) {
     throw BadMessage("not JSON");
   }
-  if (!j.is_object()) throw BadMessage("not an object");
-  Heartbeat r;
-  r.machine = Text(j, "rig");
-  r.address = Text(j, "endpoint");
-  r.type = Text(j, "build");
-  r.zone = Text(j, "shore");
-  r.spot = Flag(j, "loaners");
-  r.agent_epoch = Count(j, "shift");
-  r.sequence = Count(j, "tick");
-  r.fencing_token = Count(j, "baton");
-  element notice;
-  if (j["warning_s"].get(notice) == simdjson::SUCCESS && !notice.is_null()) {
-    double s = 0;
-    if (notice.get(s) != simdjson::SUCCESS) throw BadMessage("warning_s is not a number");
-    r.reclaim_notice_s = s;
-  }
+  if (!object.is_object()) throw BadMessage("not an object");
+  Heartbeat heartbeat;
+  heartbeat.machine = TextField(object, field::kMachine);
+  heartbeat.address = TextField(object, field::kAddress);
+  heartbeat.type = TextField(object, field::kMachineType);
+  heartbeat.zone = TextField(object, field::kZone);
+  heartbeat.spot = FlagField(object, field::kSpot);
+  heartbeat.agent_epoch = CountField(object, field::kAgentEpoch);
+  heartbeat.sequence = CountField(object, field::kSequence);
+  heartbeat.fencing_token = CountField(object, field::kFencingToken);
+  heartbeat.reclaim_notice_s = ReadReclaimNotice(object);
   simdjson::dom::array tasks;
-  if (Need(j, "crates").get(tasks) != simdjson::SUCCESS) {
-    throw BadMessage("crates is not a list");
-  }
-  r.tasks.reserve(tasks.size());
-  for (const element t : tasks) {
-    if (!t.is_object()) throw BadMessage("a task is not an object");
-    TaskStatus task;
-    task.task = ParseTaskName(std::string(Text(t, "crate")));
-    task.attempt = Count(t, "try");
-    task.state = Choice(t, "stage", kTaskStates);
-    if (task.state == TaskState::kExited) task.exit_reason = Choice(t, "cause", kExitReasons);
-    bool saved = false;
-    if (t["saved"].get(saved) == simdjson::SUCCESS) task.checkpointed = saved;
-    r.tasks.push_back(std::move(task));
+  if (RequiredField(object, field::kTasks).get(tasks) != simdjson::SUCCESS) {
+    throw BadMessage(std::string(field::kTasks) + " is not a list");
   }
-  return r;
+  heartbeat.tasks.reserve(tasks.size());
+  for (const element task : tasks) heartbeat.tasks.push_back(ReadTaskStatus(task));
+  return heartbeat;
 }
 
 }  // namespace mosspath::wire
--- a/src/wire/shard_frame.cc
+++ b/src/wire/shard_frame.cc
@@ -5,154 +5,192 @@
 
 #include "mosspath/wire/peer_heartbeat.h"
 #include "mosspath/wire/varint.h"
+#include "wire/frame_header.h"
 
 namespace mosspath::wire {
 namespace {
 
-constexpr uint64_t kFrameBlock = 0x6d70'03;
+using Kind = ShardMessage::Kind;
+using MachineStatus = ShardMessage::MachineStatus;
+
 constexpr uint64_t kVersion = 1;
-constexpr size_t kMaxName = 200;
-constexpr uint64_t kMaxTasks = 100'000;
-constexpr uint64_t kMaxItems = 1 << 16;
-
-bool IsKind(uint64_t k) { return (k >= 1 && k <= 7) || (k >= 20 && k <= 27); }
-
-// As runs: how far the next begins after the end of the last, and how long it is.
-void PutTasks(VarintWriter& w, const std::vector<uint32_t>& tasks) {
-  std::vector<std::pair<uint32_t, uint32_t>> runs;
-  for (const uint32_t i : tasks) {
-    if (!runs.empty() && runs.back().first + runs.back().second == i) {
-      ++runs.back().second;
+constexpr size_t kMaxNameBytes = 200;
+constexpr uint64_t kMaxTaskIndex = 100'000;
+constexpr uint64_t kMaxMessages = 1 << 16;
+
+// Bits of a machine's flags.
+constexpr uint64_t kSpotBit = 1;
+constexpr uint64_t kSchedulableBit = 2;
+constexpr uint64_t kIdleBit = 4;
+constexpr uint64_t kOnDemandWorkBit = 8;
+constexpr uint64_t kUnresponsiveBit = 16;
+constexpr uint64_t kAllBits = 31;
+
+bool IsKind(uint64_t number) {
+  const auto is_between = [number](Kind first, Kind last) {
+    return number >= static_cast<uint64_t>(first) && number <= static_cast<uint64_t>(last);
+  };
+  return is_between(Kind::kDelegateTasks, Kind::kMachineDeleted) ||
+         is_between(Kind::kClaimTasks, Kind::kCrashLoop);
+}
+
+// Consecutive task indices.
+struct TaskRun {
+  uint32_t first = 0;
+  uint32_t count = 0;
+  [[nodiscard]] uint32_t end() const { return first + count; }
+};
+
+std::vector<TaskRun> RunsOf(const std::vector<uint32_t>& tasks) {
+  std::vector<TaskRun> runs;
+  for (const uint32_t index : tasks) {
+    if (!runs.empty() && runs.back().end() == index) {
+      ++runs.back().count;
     } else {
-      runs.emplace_back(i, 1);
+      runs.push_back({index, 1});
     }
   }
-  w.Put(static_cast<uint64_t>(runs.size()));
-  uint32_t end = 0;
-  for (const auto& [from, n] : runs) {
-    w.Put(uint64_t{from - end});
-    w.Put(uint64_t{n});
-    end = from + n;
+  return runs;
+}
+
+// As runs: the gap to the end of the previous run, and the length.
+void PutTasks(VarintWriter& writer, const std::vector<uint32_t>& tasks) {
+  const std::vector<TaskRun> runs = RunsOf(tasks);
+  writer.Put(static_cast<uint64_t>(runs.size()));
+  uint32_t previous_end = 0;
+  for (const TaskRun& run : runs) {
+    writer.Put(uint64_t{run.first - previous_end});
+    writer.Put(uint64_t{run.count});
+    previous_end = run.end();
   }
 }
 
-std::vector<uint32_t> GetTasks(VarintReader& r) {
+std::vector<uint32_t> GetTasks(VarintReader& reader) {
   std::vector<uint32_t> tasks;
-  const uint64_t runs = r.GetCount(kMaxTasks);
-  uint64_t at = 0;
-  for (uint64_t i = 0; i < runs; ++i) {
-    const uint64_t gap = r.Get();
-    const uint64_t n = r.Get();
-    if (gap > kMaxTasks || n == 0 || n > kMaxTasks || at + gap + n > kMaxTasks ||
-        (i > 0 && gap == 0)) {
+  const uint64_t run_count = reader.GetCount(kMaxTaskIndex);
+  uint64_t end = 0;
+  for (uint64_t run = 0; run < run_count; ++run) {
+    const uint64_t gap = reader.Get();
+    const uint64_t count = reader.Get();
+    const bool is_separate = run == 0 || gap > 0;
+    if (gap > kMaxTaskIndex || count == 0 || count > kMaxTaskIndex ||
+        end + gap + count > kMaxTaskIndex || !is_separate) {
       throw BadMessage("frame: task numbers out of range");
     }
-    at += gap;
-    for (uint64_t k = 0; k < n; ++k) tasks.push_back(static_cast<uint32_t>(at + k));
-    at += n;
+    const uint64_t first = end + gap;
+    end = first + count;
+    for (uint64_t index = first; index < end; ++index) {
+      tasks.push_back(static_cast<uint32_t>(index));
+    }
   }
   return tasks;
 }
 
+void PutMachine(VarintWriter& writer, const MachineStatus& machine) {
+  writer.Put(std::string_view(machine.address));
+  writer.Put(std::string_view(machine.type));
+  writer.Put(std::string_view(machine.zone));
+  uint64_t flags = 0;
+  if (machine.spot) flags |= kSpotBit;
+  if (machine.schedulable) flags |= kSchedulableBit;
+  if (machine.idle) flags |= kIdleBit;
+  if (machine.has_on_demand_work) flags |= kOnDemandWorkBit;
+  if (machine.unresponsive) flags |= kUnresponsiveBit;
+  writer.Put(flags);
+  for (const double amount : {machine.idle_s, machine.remaining_cpu_s, machine.used_cpus,
+                              machine.used_gpus, machine.used_memory_gb}) {
+    writer.PutAmount(std::min(amount, kNeverS));
+  }
+}
+
+MachineStatus GetMachine(VarintReader& reader) {
+  MachineStatus machine;
+  machine.address = reader.GetString(kMaxNameBytes);
+  machine.type = reader.GetString(kMaxNameBytes);
+  machine.zone = reader.GetString(kMaxNameBytes);
+  const uint64_t flags = reader.Get();
+  if (flags > kAllBits) throw BadMessage("frame: not a machine");
+  machine.spot = (flags & kSpotBit) != 0;
+  machine.schedulable = (flags & kSchedulableBit) != 0;
+  machine.idle = (flags & kIdleBit) != 0;
+  machine.has_on_demand_work = (flags & kOnDemandWorkBit) != 0;
+  machine.unresponsive = (flags & kUnresponsiveBit) != 0;
+  machine.idle_s = reader.GetAmount();
+  machine.remaining_cpu_s = reader.GetAmount();
+  machine.used_cpus = reader.GetAmount();
+  machine.used_gpus = reader.GetAmount();
+  machine.used_memory_gb = reader.GetAmount();
+  return machine;
+}
+
 }  // namespace
 
-std::string Encode(const ShardMessage& item) {
-  VarintWriter w;
-  w.Put(static_cast<uint64_t>(item.kind));
-  w.Put(std::string_view(item.name));
-  w.Put(std::string_view(item.job));
-  PutTasks(w, item.tasks);
-  w.PutAmount(std::min(item.seconds, kNeverS));
-  w.Put(item.count);
-  w.Put(uint64_t{item.machine.has_value()});
-  if (item.machine) {
-    const ShardMessage::MachineStatus& m = *item.machine;
-    w.Put(std::string_view(m.address));
-    w.Put(std::string_view(m.type));
-    w.Put(std::string_view(m.zone));
-    w.Put((m.spot ? 1U : 0U) | (m.schedulable ? 2U : 0U) | (m.idle ? 4U : 0U) |
-          (m.has_on_demand_work ? 8U : 0U) | (m.unresponsive ? uint64_t{16} : uint64_t{0}));
-    for (const double v :
-         {m.idle_s, m.remaining_cpu_s, m.used_cpus, m.used_gpus, m.used_memory_gb}) {
-      w.PutAmount(std::min(v, kNeverS));
-    }
-  }
-  return w.Take();
+std::string Encode(const ShardMessage& message) {
+  VarintWriter writer;
+  writer.Put(static_cast<uint64_t>(message.kind));
+  writer.Put(std::string_view(message.name));
+  writer.Put(std::string_view(message.job));
+  PutTasks(writer, message.tasks);
+  writer.PutAmount(std::min(message.seconds, kNeverS));
+  writer.Put(message.count);
+  writer.Put(uint64_t{message.machine.has_value()});
+  if (message.machine) PutMachine(writer, *message.machine);
+  return writer.Take();
 }
 
-ShardMessage DecodeShardMessage(std::string_view text) {
-  VarintReader r(text);
-  ShardMessage item;
-  const uint64_t kind = r.Get();
-  if (!IsKind(kind)) throw BadMessage("frame: an item of no known kind");
-  item.kind = static_cast<ShardMessage::Kind>(kind);
-  item.name = r.GetString(kMaxName);
-  item.job = r.GetString(kMaxName);
-  item.tasks = GetTasks(r);
-  item.seconds = r.GetAmount();
-  item.count = r.Get();
-  const uint64_t has_machine = r.Get();
+ShardMessage DecodeShardMessage(std::string_view encoded) {
+  VarintReader reader(encoded);
+  ShardMessage message;
+  const uint64_t kind = reader.Get();
+  if (!IsKind(kind)) throw BadMessage("frame: a message of no known kind");
+  message.kind = static_cast<Kind>(kind);
+  message.name = reader.GetString(kMaxNameBytes);
+  message.job = reader.GetString(kMaxNameBytes);
+  message.tasks = GetTasks(reader);
+  message.seconds = reader.GetAmount();
+  message.count = reader.Get();
+  const uint64_t has_machine = reader.Get();
   if (has_machine > 1) throw BadMessage("frame: not a machine");
-  if (has_machine == 1) {
-    ShardMessage::MachineStatus m;
-    m.address = r.GetString(kMaxName);
-    m.type = r.GetString(kMaxName);
-    m.zone = r.GetString(kMaxName);
-    const uint64_t flags = r.Get();
-    if (flags > 31) throw BadMessage("frame: not a machine");
-    m.spot = (flags & 1) != 0;
-    m.schedulable = (flags & 2) != 0;
-    m.idle = (flags & 4) != 0;
-    m.has_on_demand_work = (flags & 8) != 0;
-    m.unresponsive = (flags & 16) != 0;
-    m.idle_s = r.GetAmount();
-    m.remaining_cpu_s = r.GetAmount();
-    m.used_cpus = r.GetAmount();
-    m.used_gpus = r.GetAmount();
-    m.used_memory_gb = r.GetAmount();
-    item.machine = std::move(m);
-  }
-  r.End();
-  return item;
+  if (has_machine == 1) message.machine = GetMachine(reader);
+  reader.End();
+  return message;
 }
 
-std::string Encode(const ShardFrame& f) {
-  VarintWriter w;
-  w.Put(kFrameBlock);
-  w.Put(kVersion);
-  w.Put(std::string_view(f.node));
-  w.Put(f.leader_token);
-  w.Put(f.lease);
-  w.Put(uint64_t{f.from_leader});
-  w.Put(f.acknowledged);
-  w.Put(f.receive_window_bytes);
-  w.PutAmount(std::min(f.view_age_s, kNeverS));
-  w.Put(f.newest_cancellation);
-  w.Put(f.first_sequence);
-  w.Put(static_cast<uint64_t>(f.messages.size()));
-  for (const auto& item : f.messages) w.Put(std::string_view(item));
-  return w.Take();
+std::string Encode(const ShardFrame& frame) {
+  VarintWriter writer;
+  PutHeader(writer, FrameKind::kShardFrame, kVersion);
+  writer.Put(std::string_view(frame.node));
+  writer.Put(frame.leader_token);
+  writer.Put(frame.lease);
+  writer.Put(uint64_t{frame.from_leader});
+  writer.Put(frame.acknowledged);
+  writer.Put(frame.receive_window_bytes);
+  writer.PutAmount(std::min(frame.view_age_s, kNeverS));
+  writer.Put(frame.newest_cancellation);
+  writer.Put(frame.first_sequence);
+  writer.Put(static_cast<uint64_t>(frame.messages.size()));
+  for (const auto& message : frame.messages) writer.Put(std::string_view(message));
+  return writer.Take();
 }
 
-ShardFrame DecodeShardFrame(std::string_view text) {
-  if (text.size() > kMaxShardFrameBytes) throw BadMessage("frame: too large");
-  VarintReader r(text);
-  if (r.Get() != kFrameBlock) throw BadMessage("frame: not of a block");
-  if (r.Get() != kVersion) throw BadMessage("frame: a version that is not spoken here");
-  ShardFrame f;
-  f.node = r.GetString(kMaxName);
-  f.leader_token = r.Get();
-  f.lease = r.Get();
-  f.from_leader = r.Get() != 0;
-  f.acknowledged = r.Get();
-  f.receive_window_bytes = r.Get();
-  f.view_age_s = r.GetAmount();
-  f.newest_cancellation = r.Get();
-  f.first_sequence = r.Get();
-  f.messages.resize(r.GetCount(kMaxItems));
-  for (auto& item : f.messages) item = r.GetString(kMaxShardFrameBytes);
-  r.End();
-  return f;
+ShardFrame DecodeShardFrame(std::string_view encoded) {
+  if (encoded.size() > kMaxShardFrameBytes) throw BadMessage("frame: too large");
+  VarintReader reader(encoded);
+  GetHeader(reader, FrameKind::kShardFrame, kVersion, kVersion);
+  ShardFrame frame;
+  frame.node = reader.GetString(kMaxNameBytes);
+  frame.leader_token = reader.Get();
+  frame.lease = reader.Get();
+  frame.from_leader = reader.Get() != 0;
+  frame.acknowledged = reader.Get();
+  frame.receive_window_bytes = reader.Get();
+  frame.view_age_s = reader.GetAmount();
+  frame.newest_cancellation = reader.Get();
+  frame.first_sequence = reader.Get();
+  frame.messages.resize(reader.GetCount(kMaxMessages));
+  for (auto& message : frame.messages) message = reader.GetString(kMaxShardFrameBytes);
+  reader.End();
+  return frame;
 }
 
 }  // namespace mosspath::wire
