--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -5,88 +5,116 @@
 namespace mosspath::config {
 namespace {
 
-double Ratio(const std::string& key, const wire::Json& v, double least, double most) {
-  if (!v.is_number()) throw wire::BadMessage(key + " is not a number");
-  const double d = v.get<double>();
-  if (!std::isfinite(d) || d < least || d > most) throw wire::BadMessage(key + " is out of range");
-  return d;
+using wire::BadMessage;
+using wire::Json;
+
+constexpr uint64_t kMaxMachines = 1'000'000;
+constexpr size_t kMaxWeights = 1000;
+constexpr double kMaxWeight = 1000;
+
+double ToNumber(const std::string& key, const Json& value, double min, double max) {
+  if (!value.is_number()) throw BadMessage(key + " is not a number");
+  const double number = value.get<double>();
+  if (!std::isfinite(number) || number < min || number > max) {
+    throw BadMessage(key + " is out of range");
+  }
+  return number;
 }
 
-bool Switch(const std::string& key, const wire::Json& v) {
-  if (!v.is_boolean()) throw wire::BadMessage(key + " is not a boolean");
-  return v.get<bool>();
+bool ToSwitch(const std::string& key, const Json& value) {
+  if (!value.is_boolean()) throw BadMessage(key + " is not a boolean");
+  return value.get<bool>();
 }
 
-constexpr size_t kMostWeights = 1000;
+uint64_t ToMachineCount(const std::string& key, const Json& value) {
+  if (!value.is_number_unsigned() || value.get<uint64_t>() > kMaxMachines) {
+    throw BadMessage(key + " is not a count up to 1000000");
+  }
+  return value.get<uint64_t>();
+}
 
-std::map<std::string, double> Weights(const std::string& key, const wire::Json& v) {
-  if (!v.is_object() || v.size() > kMostWeights) {
-    throw wire::BadMessage(key + " is not an object of up to 1000 numbers");
+std::map<std::string, double> ToWeights(const std::string& key, const Json& value) {
+  if (!value.is_object() || value.size() > kMaxWeights) {
+    throw BadMessage(key + " is not an object of up to 1000 numbers");
   }
-  std::map<std::string, double> out;
-  for (const auto& [name, weight] : v.items()) out[name] = Ratio(key, weight, 0, 1000);
-  return out;
+  std::map<std::string, double> weights;
+  for (const auto& [name, weight] : value.items()) {
+    weights[name] = ToNumber(key, weight, 0, kMaxWeight);
+  }
+  return weights;
 }
 
-}  // namespace
+// A setting that is a number, and its range.
+struct NumberSetting {
+  const char* key;
+  double OperatorSettings::*member;
+  double min;
+  double max;
+};
+constexpr NumberSetting kNumberSettings[] = {
+    {"gamma", &OperatorSettings::gamma, 1.0, 1e6},
+    {"epsilon", &OperatorSettings::epsilon, 0.0, 1.0},
+    {"horizon_boots", &OperatorSettings::horizon_boots, 0.1, 1000},
+    {"keep_idle_boots", &OperatorSettings::keep_idle_boots, 0.0, 1000},
+    {"reserve", &OperatorSettings::reserve, 0.0, 10},
+    {"ordinary_boots", &OperatorSettings::ordinary_boots, 0.0, 100},
+    {"begin_share", &OperatorSettings::begin_share, 0.0, 1.0},
+    {"give_ahead", &OperatorSettings::give_ahead, 0.0, 10},
+    {"turn_share", &OperatorSettings::turn_share, 0.0, 0.5},
+};
+
+// A setting that is on or off.
+struct SwitchSetting {
+  const char* key;
+  bool OperatorSettings::*member;
+};
+constexpr SwitchSetting kSwitchSettings[] = {
+    {"preemption", &OperatorSettings::preemption},
+    {"lease_blocks", &OperatorSettings::lease_blocks},
+    {"share_acceptances", &OperatorSettings::share_acceptances},
+};
+
+constexpr const char* kMaxMachinesKey = "max_machines";
+constexpr const char* kWeightsKey = "weights";
 
-OperatorSettings Change(const OperatorSettings& from, const wire::Json& changes) {
-  if (!changes.is_object()) throw wire::BadMessage("settings is not an object");
-  OperatorSettings s = from;
-  for (const auto& [key, v] : changes.items()) {
-    if (key == "gamma") {
-      s.gamma = Ratio(key, v, 1.0, 1e6);
-    } else if (key == "epsilon") {
-      s.epsilon = Ratio(key, v, 0.0, 1.0);
-    } else if (key == "max_machines") {
-      if (!v.is_number_unsigned() || v.get<uint64_t>() > 1'000'000) {
-        throw wire::BadMessage(key + " is not a count up to 1000000");
-      }
-      s.max_machines = v.get<uint64_t>();
-    } else if (key == "horizon_boots") {
-      s.horizon_boots = Ratio(key, v, 0.1, 1000);
-    } else if (key == "keep_idle_boots") {
-      s.keep_idle_boots = Ratio(key, v, 0.0, 1000);
-    } else if (key == "reserve") {
-      s.reserve = Ratio(key, v, 0.0, 10);
-    } else if (key == "ordinary_boots") {
-      s.ordinary_boots = Ratio(key, v, 0.0, 100);
-    } else if (key == "begin_share") {
-      s.begin_share = Ratio(key, v, 0.0, 1.0);
-    } else if (key == "preemption") {
-      s.preemption = Switch(key, v);
-    } else if (key == "give_ahead") {
-      s.give_ahead = Ratio(key, v, 0.0, 10);
-    } else if (key == "turn_share") {
-      s.turn_share = Ratio(key, v, 0.0, 0.5);
-    } else if (key == "weights") {
-      s.weights = Weights(key, v);
-    } else if (key == "lease_blocks") {
-      s.lease_blocks = Switch(key, v);
-    } else if (key == "share_acceptances") {
-      s.share_acceptances = Switch(key, v);
-    } else {
-      throw wire::BadMessage(key + " is not a setting");
-    }
+void ChangeOne(const std::string& key, const Json& value, OperatorSettings& settings) {
+  for (const NumberSetting& setting : kNumberSettings) {
+    if (key != setting.key) continue;
+    settings.*setting.member = ToNumber(key, value, setting.min, setting.max);
+    return;
   }
-  return s;
+  for (const SwitchSetting& setting : kSwitchSettings) {
+    if (key != setting.key) continue;
+    settings.*setting.member = ToSwitch(key, value);
+    return;
+  }
+  if (key == kMaxMachinesKey) {
+    settings.max_machines = ToMachineCount(key, value);
+  } else if (key == kWeightsKey) {
+    settings.weights = ToWeights(key, value);
+  } else {
+    throw BadMessage(key + " is not a setting");
+  }
+}
+
+}  // namespace
+
+OperatorSettings Change(const OperatorSettings& from, const Json& changes) {
+  if (!changes.is_object()) throw BadMessage("settings is not an object");
+  OperatorSettings changed = from;
+  for (const auto& [key, value] : changes.items()) ChangeOne(key, value, changed);
+  return changed;
 }
 
-wire::Json ToJson(const OperatorSettings& s) {
-  return {{"gamma", s.gamma},
-          {"epsilon", s.epsilon},
-          {"max_machines", s.max_machines},
-          {"horizon_boots", s.horizon_boots},
-          {"keep_idle_boots", s.keep_idle_boots},
-          {"reserve", s.reserve},
-          {"ordinary_boots", s.ordinary_boots},
-          {"begin_share", s.begin_share},
-          {"preemption", s.preemption},
-          {"give_ahead", s.give_ahead},
-          {"turn_share", s.turn_share},
-          {"weights", s.weights},
-          {"lease_blocks", s.lease_blocks},
-          {"share_acceptances", s.share_acceptances}};
+Json ToJson(const OperatorSettings& settings) {
+  Json object{{kMaxMachinesKey, settings.max_machines}, {kWeightsKey, settings.weights}};
+  for (const NumberSetting& setting : kNumberSettings) {
+    object[setting.key] = settings.*setting.member;
+  }
+  for (const SwitchSetting& setting : kSwitchSettings) {
+    object[setting.key] = settings.*setting.member;
+  }
+  return object;
 }
 
 }  // namespace mosspath::config
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -3,145 +3,221 @@
 #include <spdlog/spdlog.h>
 #include <toml++/toml.h>
 
-#include <algorithm>
 #include <cmath>
 #include <fstream>
 #include <limits>
 #include <set>
 #include <sstream>
+#include <utility>
 
 namespace mosspath::config {
 namespace {
 
-constexpr double kInf = std::numeric_limits<double>::infinity();
-// Of the time that a cancellation has beyond a worker's lease, that the leader's view may be old.
-constexpr double kViewShare = 0.9;
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+constexpr double kMaxWhole = 1e9;
+constexpr int kMaxPort = 65535;
+constexpr size_t kMaxPortDigits = 5;
 
-[[noreturn]] void Bad(const std::string& key, const std::string& what) {
+[[noreturn]] void Fail(const std::string& key, const std::string& what) {
   throw SettingsError("settings: " + key + " " + what);
 }
 
-std::string Text(const toml::table& t, const std::string& path, const char* key) {
-  auto v = t[key].value_exact<std::string>();
-  if (!v) Bad(path + key, t[key] ? "is not a string" : "is missing");
-  if (v->empty()) Bad(path + key, "is empty");
-  return *v;
-}
+// A table of the file and the path to it, for the texts of errors. Each function throws a
+// SettingsError if the key is missing or its value is invalid.
+class Section {
+ public:
+  // `path` ends with a dot, or is empty at the root. The table must outlive this object.
+  Section(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
 
-double Number(const toml::table& t, const std::string& path, const char* key, double least,
-              double most = kInf) {
-  if (!t[key]) Bad(path + key, "is missing");
-  if (!t[key].is_number()) Bad(path + key, "is not a number");
-  const double v = *t[key].value<double>();
-  if (!std::isfinite(v) || v < least || v > most) Bad(path + key, "is out of range");
-  return v;
-}
+  [[nodiscard]] bool Has(const char* key) const { return static_cast<bool>(table_[key]); }
+  [[noreturn]] void Fail(const char* key, const std::string& what) const {
+    config::Fail(path_ + key, what);
+  }
 
-int Whole(const toml::table& t, const std::string& path, const char* key, int least) {
-  const double v = Number(t, path, key, least, 1e9);
-  if (v != std::floor(v)) Bad(path + key, "is not a whole number");
-  return static_cast<int>(v);
-}
+  // A string that is not empty.
+  [[nodiscard]] std::string Text(const char* key) const {
+    const auto value = table_[key].value_exact<std::string>();
+    if (!value) Fail(key, Has(key) ? "is not a string" : "is missing");
+    if (value->empty()) Fail(key, "is empty");
+    return *value;
+  }
 
-std::string Address(const toml::table& t, const std::string& path, const char* key) {
-  std::string v = Text(t, path, key);
-  const size_t colon = v.rfind(':');
-  const bool digits = colon != std::string::npos && colon > 0 && colon + 1 < v.size() &&
-                      v.size() - colon <= 6 &&
-                      v.find_first_not_of("0123456789", colon + 1) == std::string::npos;
-  if (!digits) Bad(path + key, "is not of the form ADDRESS:PORT");
-  const int port = std::stoi(v.substr(colon + 1));
-  if (port < 1 || port > 65535) Bad(path + key, "has a port out of range");
-  return v;
-}
+  [[nodiscard]] double Number(const char* key, double min, double max = kInfinity) const {
+    if (!Has(key)) Fail(key, "is missing");
+    if (!table_[key].is_number()) Fail(key, "is not a number");
+    const double value = *table_[key].value<double>();
+    if (!std::isfinite(value) || value < min || value > max) Fail(key, "is out of range");
+    return value;
+  }
 
-const toml::table& Table(const toml::table& t, const std::string& path, const char* key) {
-  const toml::table* v = t[key].as_table();
-  if (v == nullptr) Bad(path + key, t[key] ? "is not a table" : "is missing");
-  return *v;
-}
+  [[nodiscard]] int Whole(const char* key, int min) const {
+    const double value = Number(key, min, kMaxWhole);
+    if (value != std::floor(value)) Fail(key, "is not a whole number");
+    return static_cast<int>(value);
+  }
 
-template <typename F>
-void EachTable(const toml::table& t, const std::string& path, const char* key, F f) {
-  if (!t[key]) return;
-  const toml::array* list = t[key].as_array();
-  if (list == nullptr) Bad(path + key, "is not a list");
-  for (size_t i = 0; i < list->size(); ++i) {
-    const std::string at = path + key + "[" + std::to_string(i) + "].";
-    const toml::table* entry = list->get(i)->as_table();
-    if (entry == nullptr) Bad(at, "is not a table");
-    f(*entry, at);
+  [[nodiscard]] std::string Address(const char* key) const {
+    std::string address = Text(key);
+    const size_t colon = address.rfind(':');
+    if (colon == std::string::npos || colon == 0) FailAddress(key);
+    const std::string port = address.substr(colon + 1);
+    if (port.empty() || port.size() > kMaxPortDigits ||
+        port.find_first_not_of("0123456789") != std::string::npos) {
+      FailAddress(key);
+    }
+    const int number = std::stoi(port);
+    if (number < 1 || number > kMaxPort) Fail(key, "has a port out of range");
+    return address;
+  }
+
+  [[nodiscard]] Section Table(const char* key) const {
+    const toml::table* table = table_[key].as_table();
+    if (table == nullptr) Fail(key, Has(key) ? "is not a table" : "is missing");
+    return {*table, path_ + key + "."};
+  }
+
+  [[nodiscard]] const toml::array& List(const char* key) const {
+    const toml::array* list = table_[key].as_array();
+    if (list == nullptr) Fail(key, Has(key) ? "is not a list" : "is missing");
+    return *list;
+  }
+
+  // Calls `visit` with each element of a list of tables; not at all if the key is missing.
+  template <typename Visitor>
+  void EachTable(const char* key, Visitor visit) const {
+    if (!Has(key)) return;
+    const toml::array& list = List(key);
+    for (size_t i = 0; i < list.size(); ++i) {
+      const std::string path = path_ + key + "[" + std::to_string(i) + "].";
+      const toml::table* table = list.get(i)->as_table();
+      if (table == nullptr) config::Fail(path, "is not a table");
+      visit(Section(*table, path));
+    }
+  }
+
+  [[nodiscard]] const std::string& path() const { return path_; }
+
+ private:
+  [[noreturn]] void FailAddress(const char* key) const {
+    Fail(key, "is not of the form ADDRESS:PORT");
   }
-}
 
-Settings FromTable(const toml::table& t) {
-  Settings s;
-  s.name = Text(t, "", "label");
-  s.zone = Text(t, "", "domain");
-  s.public_address = Address(t, "", "public_addr");
-  s.peer_address = Address(t, "", "back");
-  EachTable(t, "", "seeds", [&](const toml::table& p, const std::string& at) {
-    s.peers.push_back({Text(p, at, "label"), Text(p, at, "domain"), Address(p, at, "address")});
+  const toml::table& table_;
+  const std::string path_;
+};
+
+void ReadPeers(const Section& root, Settings& settings) {
+  root.EachTable("seeds", [&](const Section& peer) {
+    settings.peers.push_back({peer.Text("label"), peer.Text("domain"), peer.Address("address")});
   });
-  // A process that took itself for one of the others would wait for its own word.
-  std::set<std::string> labels{s.name};
-  for (size_t i = 0; i < s.peers.size(); ++i) {
-    const std::string at = "seeds[" + std::to_string(i) + "].";
-    if (!labels.insert(s.peers[i].name).second) Bad(at + "label", "names a controller twice");
-    if (s.peers[i].address == s.peer_address) Bad(at + "address", "is this controller's own");
+  // A process that took itself for one of its peers would wait for its own answers.
+  std::set<std::string> names{settings.name};
+  for (size_t i = 0; i < settings.peers.size(); ++i) {
+    const std::string path = "seeds[" + std::to_string(i) + "].";
+    const Peer& peer = settings.peers[i];
+    if (!names.insert(peer.name).second) Fail(path + "label", "names a controller twice");
+    if (peer.address == settings.peer_address) {
+      Fail(path + "address", "is this controller's own");
+    }
   }
-  if (s.public_address == s.peer_address) Bad("back", "is the same as public_addr");
-  const toml::table& outside = Table(t, "", "outside");
-  s.cloud_address = Address(outside, "outside.", "cloud");
-  s.store_address = Address(outside, "outside.", "state");
-
-  const toml::table& facts = Table(t, "", "facts");
-  s.controller_count = Whole(facts, "facts.", "initial_size", 1);
-  const toml::array* zones = facts["zones"].as_array();
-  if (zones == nullptr) Bad("facts.zones", facts["zones"] ? "is not a list" : "is missing");
-  for (const toml::node& z : *zones) {
-    auto name = z.value_exact<std::string>();
-    if (!name || name->empty()) Bad("facts.zones", "has an element that is not a zone's name");
-    s.zones.push_back(*name);
+}
+
+void ReadAddresses(const Section& root, Settings& settings) {
+  settings.name = root.Text("label");
+  settings.zone = root.Text("domain");
+  settings.public_address = root.Address("public_addr");
+  settings.peer_address = root.Address("back");
+  ReadPeers(root, settings);
+  if (settings.public_address == settings.peer_address) {
+    root.Fail("back", "is the same as public_addr");
   }
-  if (s.zones.empty()) Bad("facts.zones", "is empty");
-  s.clock_error_ms = Number(facts, "facts.", "clock_error_ms", 0);
-  EachTable(facts, "facts.", "teams", [&](const toml::table& e, const std::string& at) {
-    Team team{Text(e, at, "name"), Number(e, at, "cpus", 0), Number(e, at, "cpus_max", 0),
-              Number(e, at, "gpus", 0), Number(e, at, "gpus_max", 0)};
-    s.teams.push_back(std::move(team));
+  const Section outside = root.Table("outside");
+  settings.cloud_address = outside.Address("cloud");
+  settings.store_address = outside.Address("state");
+}
+
+void ReadZones(const Section& facts, Settings& settings) {
+  for (const toml::node& zone : facts.List("zones")) {
+    const auto name = zone.value_exact<std::string>();
+    if (!name || name->empty()) {
+      facts.Fail("zones", "has an element that is not a zone's name");
+    }
+    settings.zones.push_back(*name);
+  }
+  if (settings.zones.empty()) facts.Fail("zones", "is empty");
+}
+
+void ReadTeams(const Section& facts, Settings& settings) {
+  facts.EachTable("teams", [&](const Section& section) {
+    Team team;
+    team.name = section.Text("name");
+    team.cpus = section.Number("cpus", 0);
+    team.cpus_max = section.Number("cpus_max", 0);
+    team.gpus = section.Number("gpus", 0);
+    team.gpus_max = section.Number("gpus_max", 0);
+    settings.teams.push_back(std::move(team));
   });
-  if (s.teams.empty()) Bad("facts.teams", "is missing or empty");
-  EachTable(facts, "facts.", "objectives", [&](const toml::table& e, const std::string& at) {
-    Objective o;
-    o.kind = Text(e, at, "kind");
-    if (e["class"]) o.job_class = Text(e, at, "class");
-    if (e["within_s"]) o.within_s = Number(e, at, "within_s", 0);
-    if (e["share"]) o.share = Number(e, at, "share", 0, 1);
-    if (e["times"]) o.times = Number(e, at, "times", 0);
-    if (o.kind != "wait" && o.kind != "finished" && o.kind != "deadline") {
-      spdlog::info("settings: {}kind {} is not known, nothing is decided by it", at, o.kind);
+  if (settings.teams.empty()) facts.Fail("teams", "is missing or empty");
+}
+
+void ReadObjectives(const Section& facts, Settings& settings) {
+  facts.EachTable("objectives", [&](const Section& section) {
+    Objective objective;
+    objective.kind = section.Text("kind");
+    if (section.Has("class")) objective.job_class = section.Text("class");
+    if (section.Has("within_s")) objective.within_s = section.Number("within_s", 0);
+    if (section.Has("share")) objective.share = section.Number("share", 0, 1);
+    if (section.Has("times")) objective.times = section.Number("times", 0);
+    const std::string& kind = objective.kind;
+    if (kind != "wait" && kind != "finished" && kind != "deadline") {
+      spdlog::info("config: objective_ignored key={}kind value={}", section.path(), kind);
     }
-    s.objectives.push_back(std::move(o));
+    settings.objectives.push_back(std::move(objective));
   });
-  const toml::table& workers = Table(facts, "facts.", "workers");
-  s.heartbeat_s = Number(workers, "facts.workers.", "report_s", 0.01, 3600);
-  s.agent_lease_s = Number(workers, "facts.workers.", "lease_s", 0.1, 86400);
-  s.cancel_within_s = Number(workers, "facts.workers.", "cancel_s", 0.1, 86400);
-  if (s.agent_lease_s <= s.heartbeat_s) Bad("facts.workers.lease_s", "is not above report_s");
-  const toml::table& state = Table(facts, "facts.", "state");
-  s.store_requests_per_s = Number(state, "facts.state.", "rps", 1);
-  s.store_writes_per_s = Number(state, "facts.state.", "write_rps", 1);
-  s.store_value_kb = Number(state, "facts.state.", "value_kb", 1);
-  s.store_transaction_changes = Whole(state, "facts.state.", "txn_ops", 2);
-  const toml::table& cloud = Table(facts, "facts.", "cloud");
-  s.cloud_requests_per_s = Number(cloud, "facts.cloud.", "rps", 0.01);
-  s.machine_list_lag_s = Number(cloud, "facts.cloud.", "list_lag_s", 0);
-  const toml::table& limits = Table(facts, "facts.", "limits");
-  s.cpu_share = Number(limits, "facts.limits.", "cores", 0.001);
-  s.memory_mb = Number(limits, "facts.limits.", "memory_mb", 16);
-  s.max_connections = Whole(limits, "facts.limits.", "sockets", 32);
-  return s;
+}
+
+void ReadAgents(const Section& facts, Settings& settings) {
+  constexpr double kMinHeartbeatS = 0.01;
+  constexpr double kMaxHeartbeatS = 3600;
+  constexpr double kMinLeaseS = 0.1;
+  constexpr double kMaxLeaseS = 86400;
+  const Section agents = facts.Table("workers");
+  settings.heartbeat_s = agents.Number("report_s", kMinHeartbeatS, kMaxHeartbeatS);
+  settings.agent_lease_s = agents.Number("lease_s", kMinLeaseS, kMaxLeaseS);
+  settings.cancel_within_s = agents.Number("cancel_s", kMinLeaseS, kMaxLeaseS);
+  if (settings.agent_lease_s <= settings.heartbeat_s) {
+    agents.Fail("lease_s", "is not above report_s");
+  }
+}
+
+void ReadLimits(const Section& facts, Settings& settings) {
+  const Section store = facts.Table("state");
+  settings.store_requests_per_s = store.Number("rps", 1);
+  settings.store_writes_per_s = store.Number("write_rps", 1);
+  settings.store_value_kb = store.Number("value_kb", 1);
+  settings.store_transaction_changes = store.Whole("txn_ops", 2);
+  const Section cloud = facts.Table("cloud");
+  settings.cloud_requests_per_s = cloud.Number("rps", 0.01);
+  settings.machine_list_lag_s = cloud.Number("list_lag_s", 0);
+  const Section limits = facts.Table("limits");
+  settings.cpu_share = limits.Number("cores", 0.001);
+  settings.memory_mb = limits.Number("memory_mb", 16);
+  settings.max_connections = limits.Whole("sockets", 32);
+}
+
+Settings FromTable(const toml::table& table) {
+  Settings settings;
+  const Section root(table, "");
+  ReadAddresses(root, settings);
+  const Section facts = root.Table("facts");
+  settings.controller_count = facts.Whole("initial_size", 1);
+  ReadZones(facts, settings);
+  settings.clock_error_ms = facts.Number("clock_error_ms", 0);
+  ReadTeams(facts, settings);
+  ReadObjectives(facts, settings);
+  ReadAgents(facts, settings);
+  ReadLimits(facts, settings);
+  return settings;
 }
 
 }  // namespace
@@ -149,53 +225,19 @@
 Settings Parse(const std::string& toml_text) {
   try {
     return FromTable(toml::parse(toml_text));
-  } catch (const toml::parse_error& e) {
+  } catch (const toml::parse_error& error) {
     std::ostringstream where;
-    where << "settings: line " << e.source().begin.line << ": " << e.description();
+    where << "settings: line " << error.source().begin.line << ": " << error.description();
     throw SettingsError(where.str());
   }
 }
 
 Settings Load(const std::string& path) {
-  std::ifstream in(path);
-  if (!in) throw SettingsError("settings: can't read " + path);
+  std::ifstream file(path);
+  if (!file) throw SettingsError("settings: can't read " + path);
   std::ostringstream text;
-  text << in.rdbuf();
+  text << file.rdbuf();
   return Parse(text.str());
 }
 
-DerivedSettings::DerivedSettings(const Settings& s) {
-  // The grant ends well before the workers' leases do, so that a successor finds them working; and
-  // soon, since nothing starts meanwhile.
-  store_lease_s = s.agent_lease_s / 8;
-  store_lease_renew_s = store_lease_s / 6;
-  renew_timeout_s = store_lease_s / 3;
-  promise_s = s.agent_lease_s / 24;
-  lapse_margin_s = store_lease_s * (4 * kMaxClockDrift) + 0.02 * store_lease_s;
-  agent_lease_over_s = s.agent_lease_s * (1 + 4 * kMaxClockDrift) + 0.02 * s.agent_lease_s;
-  probe_answer_s = s.heartbeat_s / 4;
-  // After a takeover: a report, and as much again for those that have to find the new leader.
-  agents_find_leader_s = 1.25 * s.heartbeat_s + 2.0;
-  // A worker gives up on an answer after 4 s, and tries the next node 1 s later.
-  agent_suspect_s = 2 * s.heartbeat_s + 4.0;
-  agents_try_all_s = s.controller_count * (4.0 + 1.0) + 1.25 * s.heartbeat_s;
-  // Told of at T, a cancellation is acted on at T + view_s at the latest, or no worker is answered
-  // from then on and their leases end what they run by T + view_s + gone_s, which is before T +
-  // cancel_s.
-  max_view_age_s = std::max(kViewShare * (s.cancel_within_s - agent_lease_over_s), s.heartbeat_s);
-  // By its own clock a view must not be older than view_s.
-  shard_hold_s = max_view_age_s * (1 + 2 * kMaxClockDrift);
-  record_flush_s = std::max(0.25, 6.0 / s.store_writes_per_s);
-  placement_interval_s = s.heartbeat_s / 40;
-  scaling_interval_s = 1 / s.cloud_requests_per_s;
-  catch_up_interval_s = std::max(0.05, 3.0 * s.controller_count / s.store_requests_per_s);
-  // A view is as old as when the last look was asked for, so it grows to two waits before the next
-  // returns: well below the half of view_s at which a leader resigns.
-  watch_s = std::min(std::max(2.0, s.agent_lease_s / 4), std::max(0.5, max_view_age_s / 6));
-  call_timeout_s = std::min(2.0, s.agent_lease_s / 12);
-  cloud_timeout_s = std::max(5.0, 2 * s.heartbeat_s);
-  machine_list_interval_s = std::max(s.machine_list_lag_s, 10.0 / s.cloud_requests_per_s);
-  user_deadline_s = 2.0;
-}
-
 }  // namespace mosspath::config
