--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -10,7 +10,7 @@
 //   - a job's counts by zone are those of its placed tasks;
 //   - a task that another controller has is away, and counts towards its team, until that
 //   controller
-//     says that it is back, or every machine of that controller is known (docs/blocks.md).
+//     says that it is back, or every machine of that controller is known (docs/sharding.md).
 #pragma once
 
 #include <map>
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -127,7 +127,7 @@
   std::map<AllocationKey, Allocation> allocations;
   ImageCache image_cache;
 
-  // --- Blocks (docs/blocks.md) ---
+  // --- Blocks (docs/sharding.md) ---
   uint64_t shard_lease = 0;      // another controller holds it under this lease; 0: this one
   uint64_t handover_lease = 0;   // is being handed over under that one; takes nothing new
   bool blocks_recovery = false;  // inherited, and a takeover waits for it
--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -61,7 +61,7 @@
   double memory_mb = 0;
   int max_connections = 0;
 
-  // Turned on by whoever starts the program, not by the platform's file (docs/blocks.md).
+  // Turned on by whoever starts the program, not by the platform's file (docs/sharding.md).
   bool lease_shards = false;
 };
 
--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -1,8 +1,9 @@
 // Leader election as one controller sees it: who leads, and what this controller may do (campaign,
 // lead, go on in an outage, promise a peer not to lead, step down). A pure state machine: events
 // and the time come in, and what is to be done comes out. The service (election/elector) and the
-// simulation drive it. docs/design.md, rules 1, 2 and 12, "State outages longer than a grant" and
-// "The state service refuses the leader alone, and then everybody" say why it is safe.
+// simulation drive it. docs/design.md, rules 1, 2 and 12, "Outages of the store that are longer
+// than a store lease" and "The state service refuses the leader alone, and then everybody" say why
+// it is safe.
 //
 // The leader key hangs on the leader's store lease (etcd: lease, election). Its version is the
 // fencing token of the term, as Raft's term number is, and every write of the leader is conditional
@@ -120,7 +121,7 @@
   // Whether it may act on its view of the jobs, whoever leads.
   [[nodiscard]] bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
   [[nodiscard]] double view_age_s(double now) const { return staleness_.age_s(now); }
-  // The leader has sent its view (docs/blocks.md): all that users were told before `as_of` is
+  // The leader has sent its view (docs/sharding.md): all that users were told before `as_of` is
   // known.
   void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   // kNoToken: it does not lead.
--- a/include/mosspath/election/leadership_promises.h
+++ b/include/mosspath/election/leadership_promises.h
@@ -1,6 +1,6 @@
 // Leading on while the state service is down for everybody: the other controllers promise the
-// leader not to lead for a short time. docs/design.md, "State outages longer than a grant", says
-// why it is safe. Pure.
+// leader not to lead for a short time. docs/design.md, "Outages of the store that are longer than a
+// store lease", says why it is safe. Pure.
 #pragma once
 
 #include <algorithm>
--- a/include/mosspath/jobs/job.h
+++ b/include/mosspath/jobs/job.h
@@ -14,7 +14,7 @@
 
 namespace mosspath::jobs {
 
-// Away: given to another controller, or never given to this one (docs/blocks.md).
+// Away: given to another controller, or never given to this one (docs/sharding.md).
 enum class TaskPhase : uint8_t { kPending, kPlaced, kDone, kDelegated };
 
 struct Task {
--- a/include/mosspath/service/keys.h
+++ b/include/mosspath/service/keys.h
@@ -14,12 +14,12 @@
 inline const std::string kSettings = kLive + "settings";
 inline const std::string kJobs = kLive + "job/";
 inline const std::string kBatches = kLive + "batch/";  // jobs accepted together
-// What a controller can read, as it told when it first ran; see docs/acceptance.md.
+// What a controller can read, as it told when it first ran; see docs/job-acceptance.md.
 inline const std::string kRecordFormats = kLive + "speaks/";
 inline const std::string kProgress = kLive + "progress/";
 inline const std::string kMachines = kLive + "machines/";
-// Controllers that offer to hold a block, and the blocks' leases (docs/blocks.md); both hang on the
-// controller's grant.
+// Controllers that offer to hold a block, and the blocks' leases (docs/sharding.md); both hang on
+// the controller's grant.
 inline const std::string kShardOffers = kLive + "holders/";
 inline const std::string kShardLeases = kLive + "blocks/";
 inline const std::string kFinal = kAll + "final/";
--- a/include/mosspath/service/record_format_support.h
+++ b/include/mosspath/service/record_format_support.h
@@ -1,6 +1,6 @@
 // Which controllers have told that they read and keep the newer records: several jobs in one, and
-// marks of jobs that may have been started (docs/acceptance.md, docs/design.md, decision 5). What
-// was accepted before all of them had may have been started by a version that marks nothing.
+// marks of jobs that may have been started (docs/job-acceptance.md, docs/design.md, decision 5).
+// What was accepted before all of them had may have been started by a version that marks nothing.
 #pragma once
 
 #include <algorithm>
--- a/include/mosspath/shard/routing_table.h
+++ b/include/mosspath/shard/routing_table.h
@@ -1,6 +1,6 @@
 // Which controller commands which machine, as the state service shows it to every controller: the
 // records of the machines say under which shard lease one is held, and the records of the shards
-// who holds that lease (docs/blocks.md). Pure.
+// who holds that lease (docs/sharding.md). Pure.
 #pragma once
 
 #include <cstdint>
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -1,10 +1,10 @@
 // The holder of a shard: it commands the shard's machines, places on them the tasks that the leader
 // delegates to it, and sends the leader the results. It has no records of its own: what is done
 // becomes durable through the leader, and until then the agents keep it (docs/design.md, rule 8;
-// and docs/blocks.md). Pure.
+// and docs/sharding.md). Pure.
 //
 // The caller may let it act only while the shard's record shows this lease and the view of the
-// state service is fresh (docs/blocks.md, "How long a holder may act").
+// state service is fresh (docs/sharding.md, "How long a holder may act").
 #pragma once
 
 #include <functional>
--- a/include/mosspath/shard/shard_lease_manager.h
+++ b/include/mosspath/shard/shard_lease_manager.h
@@ -1,6 +1,6 @@
 // The leader's side of the shards: to which controllers they are leased, whose lease is taken back,
-// and the frames to and from their holders (docs/blocks.md). Pure: the caller writes the leases and
-// sends the frames.
+// and the frames to and from their holders (docs/sharding.md). Pure: the caller writes the leases
+// and sends the frames.
 #pragma once
 
 #include <cstdint>
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -1,4 +1,4 @@
-// What the leader and the holder of a block tell each other (docs/blocks.md). A frame carries the
+// What the leader and the holder of a block tell each other (docs/sharding.md). A frame carries the
 // items that the receiver has not acknowledged yet, in order, and acknowledges what came the other
 // way. Amounts travel in thousandths.
 #pragma once
--- a/src/service/shard_lease_service.cc
+++ b/src/service/shard_lease_service.cc
@@ -43,7 +43,7 @@
 }
 
 void ShardLeaseService::SendFrames() {
-  for (auto& [node, frame] : manager_.NextFrames())) {
+  for (auto& [node, frame] : manager_.NextFrames()) {
     if (frames_.IsBusy(node)) {
       manager_.OnFrameLost(node);
     } else {
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -41,7 +41,7 @@
   EXPECT_TRUE(states[0].unreachable.empty());
   EXPECT_TRUE(states[1].unreachable.empty());
   EXPECT_EQ(states[2].unreachable, std::vector<std::string>{"state service"});
-  EXPECT_DOUBLE_EQ(detector.state_contact(), 99.9);
+  EXPECT_DOUBLE_EQ(detector.state_contact().value(), 99.9);
   // hut-1 falls silent here, but hut-2 still hears from it.
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.5), 110);
   EXPECT_TRUE(detector.IsSuspected("hut-1", 110));
--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -1,4 +1,4 @@
-// Every order of the events of the first meeting in docs/meetings.md.
+// Every order of the events of the first meeting in docs/compound-failures.md.
 //
 // Three controllers, the state service, and an agent with one long task that is cancelled. The
 // controllers are the real decision classes; everything else is as plain as can be. Whatever the
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -38,12 +38,8 @@
   std::vector<std::string> Receive(uint64_t round, const char* peer,
                                    const wire::PromiseResponse& answer, double now) {
     std::vector<wire::CancellationLogSlice::Entry> learned;
-<<<<<<< HEAD
-    accepted_ = leadership_.OnPromiseResponse(round, peer, answer, now, learned);
-=======
-    understood_ = l_.OnPromiseResponse(round, peer, answer, now, learned) !=
-                  PromiseResponseResult::kImplausible;
->>>>>>> 1a504a9 (Election: typed loss reasons, no sentinel times, smaller functions)
+    accepted_ = leadership_.OnPromiseResponse(round, peer, answer, now, learned) !=
+                PromiseResponseResult::kImplausible;
     std::vector<std::string> ids;
     for (const auto& entry : learned) ids.push_back(entry.id);
     return ids;
@@ -98,23 +94,13 @@
 
 TEST_F(LeadershipTest, OthersCampaignFirstAfterItResigned) {
   Lead(50);
-<<<<<<< HEAD
-  ASSERT_TRUE(leadership_.Resign("", 11));
+  ASSERT_TRUE(leadership_.Resign(LeadershipLossReason::kViewIsStale, 11));
   leadership_.OnStoreLeaseGranted(8, 11);
   leadership_.OnLeaderKey({});
   EXPECT_EQ(leadership_.NextStep(11).kind, Kind::kWait);
   EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 4).kind, Kind::kWait);
   EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind,
             Kind::kCampaign);  // nobody else does
-=======
-  ASSERT_TRUE(l_.Resign(LeadershipLossReason::kViewIsStale, 11));
-  l_.OnStoreLeaseGranted(8, 11);
-  l_.OnLeaderKey({});
-  EXPECT_EQ(l_.NextStep(11).kind, Kind::kWait);
-  EXPECT_EQ(l_.NextStep(11 + derived_.store_lease_s / 4).kind, Kind::kWait);
-  EXPECT_EQ(l_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind,
-            Kind::kCampaign);  // nobody does
->>>>>>> 1a504a9 (Election: typed loss reasons, no sentinel times, smaller functions)
 }
 
 TEST_F(LeadershipTest, ContinuesWhileAllPeersPromise) {
@@ -251,12 +237,8 @@
   leader.OnReadUpTo(10, 5);
   std::vector<wire::CancellationLogSlice::Entry> learned;
   const uint64_t round = *leader.BeginPromiseRound(10, 12);
-<<<<<<< HEAD
-  EXPECT_FALSE(leader.OnPromiseResponse(round, "hut-1", Promise(1'000'000, 5), 12, learned));
-=======
-  EXPECT_EQ(leader.OnPromiseResponse(round, "hut-1", Says(1'000'000, 5), 12, learned),
+  EXPECT_EQ(leader.OnPromiseResponse(round, "hut-1", Promise(1'000'000, 5), 12, learned),
             PromiseResponseResult::kImplausible);
->>>>>>> 1a504a9 (Election: typed loss reasons, no sentinel times, smaller functions)
   EXPECT_TRUE(learned.empty());
 }
 
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -332,10 +332,11 @@
   EXPECT_TRUE(Until([&] { return Stage(1, "req-000005") == "done"; }));
 }
 
-// The first meeting in docs/meetings.md: the state service refuses the leader alone, another
-// controller confirms a cancellation, and then the state service is down for all. The leader learns
-// of the cancellation from its peer; these tasks are stopped, and the others continue. (These
-// agents keep their tasks whether they are answered or not, so nothing else can stop a task.)
+// The first meeting in docs/compound-failures.md: the state service refuses the leader alone,
+// another controller confirms a cancellation, and then the state service is down for all. The
+// leader learns of the cancellation from its peer; these tasks are stopped, and the others
+// continue. (These agents keep their tasks whether they are answered or not, so nothing else can
+// stop a task.)
 TEST_F(Loopback, ALeaderCutFromTheStoreLearnsOfCancellationsInAnOutage) {
   cloud_.long_jobs = {"req-000020", "req-000021"};
   for (const auto& id : cloud_.long_jobs) {
