--- a/include/mosspath/scheduler/failover.h
+++ b/include/mosspath/scheduler/failover.h
@@ -31,14 +31,14 @@
 
   double began_at() const { return began_at_; }
   // Since when this process has run without a stall.
-  double listening_since() const { return listening_since_; }
+  double unstalled_since() const { return unstalled_since_; }
   // Whether every place is known that tasks of earlier leaders could be at.
   bool recovery_complete() const { return machines_left_ == 0 && awaited_leases_.empty(); }
 
-  // Adds a machine that must be asked what it runs. `counted`: recovery waits for it, as it is in
-  // the predecessor's record. If not, another controller commanded it until now, and only that
-  // controller's tasks wait for it.
-  void AddMachine(cluster::Machine& machine, bool counted = true);
+  // Adds a machine that must be asked what it runs. `recovery_waits`: recovery waits for it, as it
+  // is in the predecessor's record. If not, another controller commanded it until now, and only
+  // that controller's tasks wait for it.
+  void AddMachine(cluster::Machine& machine, bool recovery_waits = true);
   // Recovery waits until the holder of this lease has claimed what it has.
   void AwaitHolder(uint64_t lease) { awaited_leases_.insert(lease); }
   bool IsAwaiting(uint64_t lease) const { return awaited_leases_.contains(lease); }
@@ -49,7 +49,7 @@
   }
   // It is known what is on the machine, or that nothing of earlier leaders is. Returns whether this
   // completes the recovery.
-  bool OnMachineKnown(cluster::Machine& machine);
+  bool OnMachineReconciled(cluster::Machine& machine);
 
   // Appends the probes that are due, until there are `max_batches` batches in all.
   void TakeProbes(cluster::Machines& machines, double now, size_t max_batches,
@@ -85,7 +85,7 @@
   const double agents_find_leader_s_;
   const double agent_suspect_s_;
   const double agent_lease_over_s_;
-  double listening_since_;
+  double unstalled_since_;
   std::optional<double> partitioned_since_;
   size_t machines_left_ = 0;   // that recovery waits for
   size_t machines_total_ = 0;  // that it has waited for in all
--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -24,7 +24,7 @@
   // The agent reports in this epoch. Whatever an earlier epoch ran has ended.
   void OnAgentEpoch(cluster::Machine& machine, uint64_t agent_epoch, double now);
   // It is known what is on the machine, or that nothing is.
-  void OnMachineKnown(cluster::Machine& machine);
+  void OnMachineReconciled(cluster::Machine& machine);
   // The same for the reconciliations that wait for the machine, whether it exists or not: tasks
   // that were found on none of their machines wait again.
   void EndReconciliations(const std::string& machine);
--- a/include/mosspath/scheduler/task_reconciliation.h
+++ b/include/mosspath/scheduler/task_reconciliation.h
@@ -17,7 +17,7 @@
   // the tasks were delegated. Returns false if there are no machines, so the tasks are nowhere.
   bool Begin(uint64_t reconciliation, const std::vector<std::string>& machines);
   // It is known what is on the machine. Returns the reconciliations that end with it.
-  std::vector<uint64_t> OnMachineKnown(const std::string& machine);
+  std::vector<uint64_t> OnMachineReconciled(const std::string& machine);
   bool IsActive(uint64_t reconciliation) const { return pending_.contains(reconciliation); }
   bool empty() const { return pending_.empty(); }
   // Whether each reconciliation that waits for this machine waits for at most that share of its
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -35,18 +35,18 @@
       agents_find_leader_s_(derived.agents_find_leader_s),
       agent_suspect_s_(derived.agent_suspect_s),
       agent_lease_over_s_(derived.agent_lease_over_s),
-      listening_since_(now) {}
+      unstalled_since_(now) {}
 
-void Failover::AddMachine(Machine& machine, bool counted) {
+void Failover::AddMachine(Machine& machine, bool recovery_waits) {
   machine.awaits_recovery = true;
-  machine.blocks_recovery = counted;
-  if (!counted) return;
+  machine.blocks_recovery = recovery_waits;
+  if (!recovery_waits) return;
   machine.lease_renewed_at = began_at_;
   ++machines_left_;
   ++machines_total_;
 }
 
-bool Failover::OnMachineKnown(Machine& machine) {
+bool Failover::OnMachineReconciled(Machine& machine) {
   if (!machine.awaits_recovery) return false;
   machine.awaits_recovery = false;
   if (!std::exchange(machine.blocks_recovery, false)) return false;
@@ -110,7 +110,7 @@
   std::vector<std::string> stragglers;
   const bool few_left = static_cast<double>(machines_left_) <=
                         std::max(1.0, kMaxStragglerShare * static_cast<double>(machines_total_));
-  const bool agents_had_time = now - listening_since_ > agents_find_leader_s_;
+  const bool agents_had_time = now - unstalled_since_ > agents_find_leader_s_;
   for (const auto& [id, machine] : machines) {
     if (machine.deleting || !machine.awaits_recovery) continue;
     if (now - machine.last_contact_at <= agents_find_leader_s_) continue;
@@ -165,13 +165,13 @@
   // A new leader that probes in vain can't do its work either. What answered a probe is within
   // reach, though its agent may take long to find the leader, as it tries the controllers one by
   // one.
-  const bool agents_tried_all = now - listening_since_ > search_s_;
+  const bool agents_tried_all = now - unstalled_since_ > search_s_;
   return reported || agents_tried_all || machine.failed_probes >= kMaxFailedProbes;
 }
 
 void Failover::OnProcessStall(double now) {
   partitioned_since_.reset();
-  listening_since_ = now;
+  unstalled_since_ = now;
 }
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/heartbeat_handler.cc
+++ b/src/scheduler/heartbeat_handler.cc
@@ -51,7 +51,7 @@
   if (!machine.token_confirmed) state_.cluster.changed_since_pass = true;
   OnTokenShown(machine, now);
   reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kPeriodic, now);
-  lifecycle_.OnMachineKnown(machine);
+  lifecycle_.OnMachineReconciled(machine);
   state_.placer.Refill(machine, now);
   return {true, machine.fencing_token, commands_.TakeAnswer(machine, now)};
 }
@@ -108,7 +108,7 @@
   OnTokenShown(machine, now);
   state_.cluster.changed_since_pass = true;
   reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kCommandAnswer, now);
-  lifecycle_.OnMachineKnown(machine);
+  lifecycle_.OnMachineReconciled(machine);
 }
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/holder_sharding.cc
+++ b/src/scheduler/holder_sharding.cc
@@ -45,7 +45,7 @@
   machine.in_record = machine.record_durable = true;
   machine.recorded_address = address;
   machine.lease_renewed_at = now;
-  state_.failover.AddMachine(machine, /*counted=*/false);
+  state_.failover.AddMachine(machine, /*recovery_waits=*/false);
 }
 
 bool HolderSharding::AllMachinesKnown() const {
--- a/src/scheduler/leader_sharding.cc
+++ b/src/scheduler/leader_sharding.cc
@@ -115,7 +115,7 @@
     machine.expired_lease = lease;
     state_.durable_state.AssignMachine(machine, machine.address, lease);
     if (machine.lost) continue;
-    state_.failover.AddMachine(machine, /*counted=*/false);
+    state_.failover.AddMachine(machine, /*recovery_waits=*/false);
     machine.lease_renewed_at = std::max(machine.lease_renewed_at, last_acted);
     aborted.push_back(id);
   }
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -96,9 +96,9 @@
   machine.epoch_seen_at = now;
 }
 
-void MachineLifecycle::OnMachineKnown(Machine& machine) {
+void MachineLifecycle::OnMachineReconciled(Machine& machine) {
   const bool awaited_recovery = machine.awaits_recovery;
-  state_.failover.OnMachineKnown(machine);
+  state_.failover.OnMachineReconciled(machine);
   state_.cluster.changed_since_pass = state_.cluster.changed_since_pass || awaited_recovery;
   const uint64_t expired_lease = std::exchange(machine.expired_lease, kNoLease);
   if (expired_lease != kNoLease && machine.in_record) {
@@ -109,7 +109,7 @@
 
 void MachineLifecycle::EndReconciliations(const std::string& machine) {
   if (state_.reconciliation.empty()) return;
-  for (const uint64_t reconciliation : state_.reconciliation.OnMachineKnown(machine)) {
+  for (const uint64_t reconciliation : state_.reconciliation.OnMachineReconciled(machine)) {
     const auto not_found = state_.cluster.delegated_tasks.UnderLease(reconciliation);
     for (const auto& task : not_found) state_.cluster.ReturnDelegated(task, reconciliation);
     state_.role->OnReconciliationEnded(reconciliation, not_found.size());
@@ -154,7 +154,7 @@
   machine.token_confirmed = false;
   machine.min_agent_epoch = machine.agent_epoch + 1;
   EndAllocations(machine, now);
-  OnMachineKnown(machine);
+  OnMachineReconciled(machine);
 }
 
 void MachineLifecycle::OnMachineDeleted(const std::string& id, double now) {
@@ -165,7 +165,7 @@
   }
   const auto it = cluster.machines.find(id);
   if (it == cluster.machines.end()) return EndReconciliations(id);
-  OnMachineKnown(it->second);
+  OnMachineReconciled(it->second);
   EndAllocations(it->second, now);
   cluster.machines.erase(it);
   state_.durable_state.RemoveMachine(id);
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -296,7 +296,7 @@
   for (const auto& [id, machine] : state_.cluster.machines) known += machine.deleting ? 0 : 1;
   return unreachable <= std::max<size_t>(1, known / kMachinesPerUnreachable) &&
          now - state_.failover.began_at() > state_.settings.agent_lease_s &&
-         now - state_.failover.listening_since() > state_.derived.agent_suspect_s;
+         now - state_.failover.unstalled_since() > state_.derived.agent_suspect_s;
 }
 
 // A machine that the cloud no longer runs is deleted at once, which rules out that its tasks still
--- a/src/scheduler/task_reconciliation.cc
+++ b/src/scheduler/task_reconciliation.cc
@@ -15,7 +15,7 @@
   return true;
 }
 
-std::vector<uint64_t> TaskReconciliation::OnMachineKnown(const std::string& machine) {
+std::vector<uint64_t> TaskReconciliation::OnMachineReconciled(const std::string& machine) {
   std::vector<uint64_t> ended;
   const auto it = by_machine_.find(machine);
   if (it == by_machine_.end()) return ended;
--- a/tests/task_reconciliation_test.cc
+++ b/tests/task_reconciliation_test.cc
@@ -13,9 +13,9 @@
   EXPECT_FALSE(reconciliation.Begin(1, {}));
   EXPECT_TRUE(reconciliation.Begin(2, {"a", "b"}));
   EXPECT_TRUE(reconciliation.Begin(3, {"b"}));
-  EXPECT_EQ(reconciliation.OnMachineKnown("x"), std::vector<uint64_t>{});
-  EXPECT_EQ(reconciliation.OnMachineKnown("a"), std::vector<uint64_t>{});
-  EXPECT_EQ(reconciliation.OnMachineKnown("b"), (std::vector<uint64_t>{2, 3}));
+  EXPECT_EQ(reconciliation.OnMachineReconciled("x"), std::vector<uint64_t>{});
+  EXPECT_EQ(reconciliation.OnMachineReconciled("a"), std::vector<uint64_t>{});
+  EXPECT_EQ(reconciliation.OnMachineReconciled("b"), (std::vector<uint64_t>{2, 3}));
   EXPECT_TRUE(reconciliation.empty());
 }
 
