--- a/include/mosspath/admission/admission_controller.h
+++ b/include/mosspath/admission/admission_controller.h
@@ -1,18 +1,20 @@
-// Whether a job may be accepted now: one budget of tasks for the whole service, held by every
-// controller against the same view of what is accepted, so that all of them draw the same line
-// without asking. Pure: what the view shows, requests and the time in; verdicts out.
+// Admission control of jobs: one budget of tasks for the whole service. Each controller applies it
+// to the same replicated view of the accepted jobs, so all controllers compute the same limits
+// without coordination. No I/O: view changes, requests and the time in; verdicts out.
 //
-// Each team is assured a part of the budget, by weight: kAssured of it together. The rest is lent
-// by a dynamic threshold (Choudhury and Hahne, 1998): a team may have accepted as much as its
-// weight times what is free beyond what the others are assured and have not taken; a class as much
-// as its rank's weight times what its team has left. So one that floods stops itself while there is
-// room left for everybody else, and the more who flood the smaller each one's part.
+// Each team is assured a part of the budget by weight; kAssuredShare of the budget is assured in
+// all. The rest is allotted by a dynamic threshold (Choudhury and Hahne, 1998). A team's limit is
+// the larger of its assured part and its weight times the budget that is free beyond the unused
+// assured parts of the other teams. A class's limit is the weight of its priority, times its own
+// weight, times what its team's limit leaves. A team that floods therefore stops at its limit while
+// budget is left for others, and the more teams flood, the lower the limit of each.
 //
 // Invariants:
-//   - what is accepted here and not in the view yet is at most this controller's part of what the
-//     view shows free, or one job; the parts of all controllers are at most kPlanned (plan.h);
-//   - a team within what it is assured is refused for no other team's work in the view;
-//   - a team or a class that has nothing accepted may have a job, if there is room for it at all.
+//   - jobs that are accepted here and not yet in the view have at most this controller's share of
+//     the budget that the view shows free, or are a single job; the shares of all controllers sum
+//     to at most kPlannedFraction (admission_plan.h);
+//   - a team within its assured part is refused because of no other team's jobs in the view;
+//   - a team or class without accepted jobs may have one job, if the budget has room for it at all.
 #pragma once
 
 #include <cstdint>
@@ -26,52 +28,59 @@
 
 namespace mosspath::admission {
 
-// How much of what its team has left a class may have, and how often it is next among its team's:
-// work that others wait for has room longest.
-double PriorityWeight(wire::Priority rank);
+// Returns the weight of a priority, in the limit of a class and in the fair queue among the classes
+// of a team. Under load, higher priorities are refused last.
+double PriorityWeight(wire::Priority priority);
 
 struct AdmissionVerdict {
   bool admit = false;
-  double retry_after_s = 0;  // when room is expected; spread, so that retries don't come at once
-  std::string reason;        // which budget, of whom; for people
+  double retry_after_s = 0;  // estimated time until the job fits; spread, so retries don't coincide
+  std::string reason;        // human-readable: which limit, and of which team or class
 };
 
+// Decides on requests, and counts accepted tasks. Not thread-safe. A job is in flight from its
+// admission until the view shows it or its submission has failed.
 class AdmissionController {
  public:
-  // `budget`: tasks of live jobs. Refused users are to come back within `least_s` to `most_s`.
-  AdmissionController(double budget, std::vector<std::string> teams, double least_s, double most_s);
+  // `budget`: maximum of tasks of live jobs. `min_retry_s`, `max_retry_s`: range of the retry time
+  // of refused requests, before its spread.
+  AdmissionController(double budget, std::vector<std::string> teams, double min_retry_s,
+                      double max_retry_s);
 
-  // Weights of teams ("name") and classes ("team/class"), 1 if not named; 0: one job at a time.
+  // Weights by team ("name") and class ("team/class"), 1 if absent; 0: one job at a time.
   void SetWeights(std::map<std::string, double> weights);
-  // Tasks that the team may have whatever others have.
+  // Returns the tasks that the team may have accepted whatever other teams have.
   double Assured(const std::string& team) const;
 
-  // --- The view ---
+  // --- Changes of the view ---
+  // Removes all jobs of the view, which is about to be reloaded. Jobs in flight stay.
   void Clear();
   void OnAccepted(const wire::JobSpec& spec);
   void OnEnded(const std::string& id, double now);
-  // The view has been loaded anew: it shows all that was durable until then.
+  // The view was reloaded after Clear, and is complete up to `revision`.
   void OnLoaded(uint64_t revision);
 
   // --- Requests ---
-  // If admitted it counts as under way, until the view shows it or one of the next two is called.
-  AdmissionVerdict Request(const wire::JobSpec& spec, double part, double now);
-  // It is durable since that revision.
+  // `share`: this controller's share of the free budget. An admitted job is in flight.
+  AdmissionVerdict Request(const wire::JobSpec& spec, double share, double now);
+  // The record of the in-flight job was written at `revision`.
   void OnDurable(const std::string& id, uint64_t revision);
-  // It was not accepted, as far as is known here.
+  // The submission failed, as far as this controller can tell. Removes the job unless it is
+  // durable.
   void OnDropped(const std::string& id);
 
   double live() const { return live_; }
   double in_flight() const { return in_flight_; }
   double budget() const { return budget_; }
-  // Tasks of a team in the view or under way.
+  // Returns the team's tasks in the view and in flight.
   double TasksOf(const std::string& team) const;
 
   struct Count {
     uint64_t requested = 0;  // jobs
-    uint64_t refused = 0;    // of them
+    uint64_t refused = 0;    // jobs, of those requested
   };
-  // Since this process began, by team and class; beyond a thousand, of all others of a team.
+  // Counts since construction, by team and class. Beyond 1000 entries, new classes of a team
+  // are counted together as "others".
   const std::map<std::pair<std::string, std::string>, Count>& counts() const { return counts_; }
 
  private:
@@ -79,33 +88,36 @@
   struct Entry {
     ClassKey group;
     double tasks = 0;
-    uint64_t revision = 0;  // under way: since when it is durable; 0: not known to be
+    uint64_t revision = 0;  // in flight: revision of the durable record; 0: not known to be durable
   };
 
-  // What the team is assured and has not taken.
+  // Returns the part of the team's assured tasks that it does not use.
   double UnusedAssured(const std::string& team) const;
-  void Take(const ClassKey& of, double tasks);
-  void Forget(const std::string& id);  // not under way any more
+  // Adds tasks to the sums of the team and class; negative `tasks` subtracts.
+  void AddTasks(const ClassKey& key, double tasks);
+  void RemoveInFlight(const std::string& id);
   double Weight(const std::string& name) const;
-  AdmissionVerdict Refuse(const wire::JobSpec& spec, std::string why, double over,
+  // `excess_tasks`: by how many tasks the job exceeds the limit; determines the retry time.
+  AdmissionVerdict Refuse(const wire::JobSpec& spec, std::string reason, double excess_tasks,
                           double now) const;
 
   const double budget_;
-  const std::vector<std::string> names_;
+  const std::vector<std::string> team_names_;
   const double min_retry_s_;
   const double max_retry_s_;
   std::map<std::string, double> weights_;
   std::map<std::string, double> assured_;
-  double unused_assured_ = 0;  // by all teams
+  double unused_assured_ = 0;  // sum over all teams
   std::unordered_map<std::string, Entry> live_jobs_;
   std::unordered_map<std::string, Entry> in_flight_jobs_;
   double live_ = 0;
   double in_flight_ = 0;
-  std::map<std::string, double> teams_;  // in the view or under way
-  std::map<ClassKey, double> classes_;
-  // Tasks of jobs that ended lately, by second: how fast room comes free.
-  double drained_ = 0;
-  double drained_at_ = 0;
+  // Tasks in the view and in flight.
+  std::map<std::string, double> tasks_by_team_;
+  std::map<ClassKey, double> tasks_by_class_;
+  // Tasks of ended jobs, decayed exponentially; determines the rate at which budget is freed.
+  double ended_tasks_ = 0;
+  double ended_tasks_at_ = 0;
   std::map<ClassKey, Count> counts_;
 };
 
--- a/include/mosspath/admission/admission_plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -1,13 +1,15 @@
-// What part of the free room each controller may fill before it sees what the others did. The
-// leader plans it by who asks where; every controller asks with its presence, and the plan is the
-// answer. Pure.
+// Admission shares: the part of the free budget that each controller may fill before its view shows
+// what the other controllers accepted. The leader plans the shares by demand. A controller requests
+// its plan with each presence message, and the response carries the plan. No I/O; the time is an
+// argument.
 //
 // Invariants (docs/admission.md):
-//   - the parts that all controllers go by are at most kPlanned together at any instant. A part is
-//     valid from when it was *asked for*, for less than the leader counts it for after it answered;
-//     a raise is given only from what the others certainly no longer go by;
-//   - a new leader plans nothing until all plans of earlier leaders are over;
-//   - without a plan a controller goes by LeastPart, which every plan leaves to each.
+//   - the shares in force on all controllers sum to at most kPlannedFraction at any instant. A
+//     controller counts the validity of a share from its *request*; the leader counts the same
+//     share for longer, and from its response. The leader raises a share only by what no other
+//     controller can still have in force;
+//   - a new leader grants no plan until all plans of earlier leaders have expired;
+//   - a controller without a plan uses MinimumShare, which every plan leaves to each controller.
 #pragma once
 
 #include <cstdint>
@@ -17,62 +19,66 @@
 
 namespace mosspath::admission {
 
-inline constexpr double kPlannedFraction = 0.5;  // the other half is for views that lag
+inline constexpr double kPlannedFraction = 0.5;  // the rest allows for lagging views
 
-// What a controller may always fill, whatever any plan says.
+// Returns the share that a controller may always fill, with or without a plan.
 double MinimumShare(size_t controllers);
 
+// The share of one controller, as granted by a leader.
 struct AdmissionPlan {
-  uint64_t token = 0;    // the leadership that made it
-  uint64_t version = 0;  // of that leadership, rising
-  double life_s = 0;     // from when it was asked for
+  uint64_t token = 0;    // fencing token of the leader that made the plan
+  uint64_t version = 0;  // increases with each plan of that leader
+  double life_s = 0;     // validity, from the request; 0: no plan
   double share = 0;
   friend bool operator==(const AdmissionPlan&, const AdmissionPlan&) = default;
 };
 
-// The leader's side.
+// The leader's side: plans the shares of all controllers. Not thread-safe.
 class AdmissionPlanner {
  public:
-  // `now`: when this leadership began; no plan is made for `life_s` from then.
+  // `now`: when this leadership began. No plan is granted until `life_s`, with a margin for clock
+  // drift, has passed since then.
   AdmissionPlanner(std::vector<std::string> controllers, uint64_t token, double life_s, double now);
 
-  // The controller asks, and tells how many tasks it was lately asked to accept.
+  // Returns a new plan for the controller. `demand`: tasks that the controller was recently
+  // requested to accept.
   AdmissionPlan PlanFor(const std::string& controller, double demand, double now);
 
  private:
-  struct GrantedShare {
+  struct Grant {
     double share = 0;
-    double until = 0;
+    double expires_at = 0;
   };
   struct Controller {
     double demand = 0;
-    double heard_at = -1e18;
-    std::vector<GrantedShare> granted;  // that it may go by yet
+    double requested_at = -1e18;
+    std::vector<Grant> grants;  // those that may still be in force
   };
-  // The most that it may go by now.
-  double HeldBy(Controller& c, double now) const;
+  // Removes expired grants. Returns the largest share that the controller may have in force now.
+  double MaxShareInForce(Controller& c, double now) const;
 
   const uint64_t token_;
   const double life_s_;
-  const double begins_;
+  const double plans_from_;
   uint64_t version_ = 0;
   std::map<std::string, Controller> controllers_;
 };
 
-// A controller's side: the plan in force here.
+// A controller's side: the plan in force. Not thread-safe.
 class AdmissionShare {
  public:
-  explicit AdmissionShare(size_t controllers) : least_(MinimumShare(controllers)) {}
-  // The answer to what was asked at `asked`. Plans of earlier leaderships, or older ones of the
-  // same, change nothing.
-  void OnPlan(const AdmissionPlan& plan, double asked);
-  double Current(double now) const { return now < until_ ? plan_.share : least_; }
+  explicit AdmissionShare(size_t controllers) : minimum_share_(MinimumShare(controllers)) {}
+  // Applies the response to a request sent at `requested_at`. Ignores plans of earlier leaders and
+  // older plans of the same leader.
+  void OnPlan(const AdmissionPlan& plan, double requested_at);
+  // Returns the share of the plan in force, or the minimum share without one.
+  double Current(double now) const { return now < expires_at_ ? plan_.share : minimum_share_; }
   const AdmissionPlan& plan() const { return plan_; }
 
  private:
-  const double least_;
+  const double minimum_share_;
   AdmissionPlan plan_;
-  double until_ = -1e18;
+  double expires_at_ = -1e18;
 };
 
 }  // namespace mosspath::admission
--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -1,6 +1,6 @@
-// What waits, by team and class, and who is next: start-time fair queueing (Goyal, Vin and Cheng,
-// 1996) among teams, and again among a team's classes. However long one's queue is, another's next
-// is served in its turn. Pure.
+// A fair queue of items by team and class: start-time fair queueing (Goyal, Vin and Cheng, 1996)
+// among teams with equal weights, and among the classes of a team with their weights. A long queue
+// of one team or class does not delay the turn of another. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +12,19 @@
 
 namespace mosspath::admission {
 
+// Owns the items. Not thread-safe.
 template <typename T>
 class FairQueue {
  public:
   bool empty() const { return size_ == 0; }
   size_t size() const { return size_; }
-  // That wait of the team.
+  // Returns the number of the team's items.
   size_t SizeOf(const std::string& team) const {
     const auto it = teams_.find(team);
     return it == teams_.end() ? 0 : it->second.size;
   }
 
-  // `weight`: of the class among its team's.
+  // `weight`: weight of the class within its team, from now on.
   void Push(const std::string& team, const std::string& job_class, double weight, T item) {
     Team& t = teams_[team];
     if (t.size++ == 0) t.start_tag = std::max(t.start_tag, virtual_time_);
@@ -34,8 +35,9 @@
     ++size_;
   }
 
-  // The next one; there must be one.
+  // Returns the next item. The queue must not be empty.
   T& Front() { return Next().second->second.items.front(); }
+  // Removes and returns the next item. The queue must not be empty.
   T Pop() {
     const auto [t, c] = Next();
     Class& cls = c->second;
@@ -45,13 +47,15 @@
     t->second.virtual_time = cls.start_tag;
     t->second.start_tag += 1;
     cls.start_tag += 1 / std::max(cls.weight, 1e-3);
-    // Classes are whatever users call them: those with nothing waiting are kept only while few.
-    if (cls.items.empty() && t->second.classes.size() > kMostClasses) t->second.classes.erase(c);
+    // Users choose the names of classes without limit, so idle classes are kept only while the team
+    // has few.
+    if (cls.items.empty() && t->second.classes.size() > kMaxClassesPerTeam)
+      t->second.classes.erase(c);
     OnRemoved(t, 1);
     return item;
   }
 
-  // Takes out, and gives to `take`, all that `pred` holds for.
+  // Removes all items that satisfy `pred` and passes each to `take`.
   template <typename Pred, typename Take>
   void RemoveIf(Pred pred, Take take) {
     for (auto t = teams_.begin(); t != teams_.end();) {
@@ -75,18 +79,18 @@
 
  private:
   struct Class {
-    double start_tag = 0;  // when its next one starts, in its team's virtual time
+    double start_tag = 0;  // of its next item, in the virtual time of its team
     double weight = 1;
     std::deque<T> items;
   };
   struct Team {
-    double start_tag = 0;
-    double virtual_time = 0;  // virtual time among its classes
+    double start_tag = 0;     // of its next item, in `virtual_time_`
+    double virtual_time = 0;  // among its classes
     size_t size = 0;
     std::map<std::string, Class> classes;
   };
   using Teams = std::map<std::string, Team>;
-  static constexpr size_t kMostClasses = 64;
+  static constexpr size_t kMaxClassesPerTeam = 64;
 
   std::pair<typename Teams::iterator, typename std::map<std::string, Class>::iterator> Next() {
     auto t = teams_.end();
@@ -102,7 +106,8 @@
     }
     return {t, c};
   }
-  // A team with nothing waiting is forgotten once its turns have been had by others too.
+  // Removes an idle team once virtual time has reached its start tag. Removed earlier, the team
+  // would lose the tag, and with its next item take a turn ahead of the other teams.
   void OnRemoved(typename Teams::iterator t, size_t n) {
     size_ -= n;
     t->second.size -= n;
--- a/include/mosspath/admission/runnable.h
+++ b/include/mosspath/admission/runnable.h
@@ -1,4 +1,4 @@
-// Whether a job could ever run on what the platform offers. Pure.
+// Rejection of jobs that could never run on the machine types and zones of the platform. No I/O.
 #pragma once
 
 #include <string>
@@ -9,8 +9,9 @@
 
 namespace mosspath::admission {
 
-// Why the job can never run, for its user; empty: it can. A job whose tasks may run a few at a time
-// only needs a place for one; the replicas of a service are up together, or it is not served.
+// Returns why the job can never run, as a message for its user; empty if the job can run. An array
+// needs capacity for one task, since its tasks may run a few at a time. A service or a gang needs
+// capacity for all its tasks at once.
 std::string ReasonNeverRunnable(const wire::JobSpec& spec, const std::vector<config::Team>& teams,
                                 const std::vector<wire::MachineType>& types);
 
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -9,31 +9,39 @@
 namespace mosspath::admission {
 namespace {
 
-constexpr double kAssured = 0.25;  // of the budget, that teams are assured together
-constexpr double kLent = 0.5;      // of a controller's part, for teams beyond what they are assured
-constexpr double kDrainMemory = 8;  // times most_s, that ends are remembered for
-constexpr size_t kMostCounted = 1000;
-constexpr double kSpread = 0.5;  // of a refused user's pause, either way
+// Share of the budget that is assured to all teams together.
+constexpr double kAssuredShare = 0.25;
+// Share of a controller's free budget for teams that exceed their assured part.
+constexpr double kUnassuredShare = 0.5;
+// Time constant of the decay of `ended_tasks_`, in multiples of max_retry_s.
+constexpr double kEndRateWindowRetries = 8;
+// Bounds the memory of the counts: the names of classes are chosen by users.
+constexpr size_t kMaxCounts = 1000;
+// Spread of the retry times of different jobs in either direction, as a share of the time.
+constexpr double kRetrySpread = 0.5;
 
 }  // namespace
 
-double PriorityWeight(wire::Priority rank) { return std::pow(2.0, static_cast<int>(rank)); }
+double PriorityWeight(wire::Priority priority) { return std::pow(2.0, static_cast<int>(priority)); }
 
 AdmissionController::AdmissionController(double budget, std::vector<std::string> teams,
-                                         double least_s, double most_s)
-    : budget_(budget), names_(std::move(teams)), min_retry_s_(least_s), max_retry_s_(most_s) {
+                                         double min_retry_s, double max_retry_s)
+    : budget_(budget),
+      team_names_(std::move(teams)),
+      min_retry_s_(min_retry_s),
+      max_retry_s_(max_retry_s) {
   SetWeights({});
 }
 
 void AdmissionController::SetWeights(std::map<std::string, double> weights) {
   weights_ = std::move(weights);
   double sum = 0;
-  for (const auto& name : names_) sum += Weight(name);
-  for (const auto& name : names_) {
-    assured_[name] = sum > 0 ? kAssured * budget_ * Weight(name) / sum : 0;
+  for (const auto& name : team_names_) sum += Weight(name);
+  for (const auto& name : team_names_) {
+    assured_[name] = sum > 0 ? kAssuredShare * budget_ * Weight(name) / sum : 0;
   }
   unused_assured_ = 0;
-  for (const auto& name : names_) unused_assured_ += UnusedAssured(name);
+  for (const auto& name : team_names_) unused_assured_ += UnusedAssured(name);
 }
 
 double AdmissionController::Assured(const std::string& team) const {
@@ -50,114 +58,122 @@
   return it == weights_.end() ? 1 : it->second;
 }
 
-void AdmissionController::Take(const ClassKey& of, double tasks) {
-  const auto add = [tasks](auto& sums, const auto& key) {
-    double& sum = sums[key];
+void AdmissionController::AddTasks(const ClassKey& key, double tasks) {
+  const auto add = [tasks](auto& sums, const auto& name) {
+    double& sum = sums[name];
     sum += tasks;
-    if (sum <= 0) sums.erase(key);
+    if (sum <= 0) sums.erase(name);
   };
-  const double before = UnusedAssured(of.first);
-  add(teams_, of.first);
-  add(classes_, of);
-  unused_assured_ += UnusedAssured(of.first) - before;
+  const double unused_before = UnusedAssured(key.first);
+  add(tasks_by_team_, key.first);
+  add(tasks_by_class_, key);
+  unused_assured_ += UnusedAssured(key.first) - unused_before;
 }
 
 double AdmissionController::TasksOf(const std::string& team) const {
-  const auto it = teams_.find(team);
-  return it == teams_.end() ? 0 : it->second;
+  const auto it = tasks_by_team_.find(team);
+  return it == tasks_by_team_.end() ? 0 : it->second;
 }
 
 void AdmissionController::Clear() {
-  for (const auto& [id, e] : live_jobs_) Take(e.group, -e.tasks);
+  for (const auto& [id, entry] : live_jobs_) AddTasks(entry.group, -entry.tasks);
   live_jobs_.clear();
   live_ = 0;
 }
 
 void AdmissionController::OnAccepted(const wire::JobSpec& spec) {
-  // Seen: it counts as live, and only once.
-  Forget(spec.id);
-  const Entry e{{spec.team, spec.job_class}, static_cast<double>(spec.tasks)};
-  if (!live_jobs_.emplace(spec.id, e).second) return;
-  live_ += e.tasks;
-  Take(e.group, e.tasks);
+  // The view shows the job now, so it counts as live and no longer as in flight.
+  RemoveInFlight(spec.id);
+  const Entry entry{{spec.team, spec.job_class}, static_cast<double>(spec.tasks)};
+  if (!live_jobs_.emplace(spec.id, entry).second) return;
+  live_ += entry.tasks;
+  AddTasks(entry.group, entry.tasks);
 }
 
 void AdmissionController::OnEnded(const std::string& id, double now) {
-  // It may have come and gone while an answer was on its way.
-  Forget(id);
+  // The job may have ended before the response to its submission arrived.
+  RemoveInFlight(id);
   const auto it = live_jobs_.find(id);
   if (it == live_jobs_.end()) return;
-  const double memory = kDrainMemory * max_retry_s_;
-  drained_ = drained_ * std::exp(-std::max(0.0, now - drained_at_) / memory) + it->second.tasks;
-  drained_at_ = now;
+  const double window_s = kEndRateWindowRetries * max_retry_s_;
+  ended_tasks_ =
+      ended_tasks_ * std::exp(-std::max(0.0, now - ended_tasks_at_) / window_s) + it->second.tasks;
+  ended_tasks_at_ = now;
   live_ -= it->second.tasks;
-  Take(it->second.group, -it->second.tasks);
+  AddTasks(it->second.group, -it->second.tasks);
   live_jobs_.erase(it);
 }
 
 void AdmissionController::OnLoaded(uint64_t revision) {
-  // What was durable by then and is not shown has ended meanwhile: nobody will tell of it.
+  // A job that was durable at `revision` and is not in the view has ended. No event will report it,
+  // so without this it would stay in flight forever.
   for (auto it = in_flight_jobs_.begin(); it != in_flight_jobs_.end();) {
     const auto next = std::next(it);
-    if (it->second.revision != 0 && it->second.revision <= revision) Forget(it->first);
+    if (it->second.revision != 0 && it->second.revision <= revision) RemoveInFlight(it->first);
     it = next;
   }
 }
 
-AdmissionVerdict AdmissionController::Refuse(const wire::JobSpec& spec, std::string why,
-                                             double over, double now) const {
-  const double memory = kDrainMemory * max_retry_s_;
-  const double rate = drained_ * std::exp(-std::max(0.0, now - drained_at_) / memory) / memory;
-  const double wait = std::clamp(rate > 0 ? over / rate : max_retry_s_, min_retry_s_, max_retry_s_);
-  const double unit = static_cast<double>(std::hash<std::string>{}(spec.id) % 1024) / 1023;
-  return {false, std::max(min_retry_s_, wait * (1 - kSpread + 2 * kSpread * unit)), std::move(why)};
+AdmissionVerdict AdmissionController::Refuse(const wire::JobSpec& spec, std::string reason,
+                                             double excess_tasks, double now) const {
+  const double window_s = kEndRateWindowRetries * max_retry_s_;
+  const double ended_per_s =
+      ended_tasks_ * std::exp(-std::max(0.0, now - ended_tasks_at_) / window_s) / window_s;
+  const double wait_s = std::clamp(ended_per_s > 0 ? excess_tasks / ended_per_s : max_retry_s_,
+                                   min_retry_s_, max_retry_s_);
+  const double hash_fraction = static_cast<double>(std::hash<std::string>{}(spec.id) % 1024) / 1023;
+  return {false,
+          std::max(min_retry_s_, wait_s * (1 - kRetrySpread + 2 * kRetrySpread * hash_fraction)),
+          std::move(reason)};
 }
 
-AdmissionVerdict AdmissionController::Request(const wire::JobSpec& spec, double part, double now) {
-  const ClassKey of{spec.team, spec.job_class};
+AdmissionVerdict AdmissionController::Request(const wire::JobSpec& spec, double share, double now) {
+  const ClassKey key{spec.team, spec.job_class};
   const double tasks = spec.tasks;
-  // Classes are whatever users call them.
-  const bool counted = counts_.size() < kMostCounted || counts_.contains(of);
-  Count& count = counts_[counted ? of : ClassKey{spec.team, "others"}];
+  const bool has_own_count = counts_.size() < kMaxCounts || counts_.contains(key);
+  Count& count = counts_[has_own_count ? key : ClassKey{spec.team, "others"}];
   ++count.requested;
   if (in_flight_jobs_.contains(spec.id) || live_jobs_.contains(spec.id)) return {true, 0, {}};
-  const auto refuse = [&](std::string why, double over) {
+  const auto refuse = [&](std::string reason, double excess_tasks) {
     ++count.refused;
-    return Refuse(spec, std::move(why), over, now);
+    return Refuse(spec, std::move(reason), excess_tasks, now);
   };
-  const double seen_free = std::max(0.0, budget_ - live_);
-  const double team_has = TasksOf(spec.team);
-  const bool assured = team_has + tasks <= Assured(spec.team);
-  const double may_out = (assured ? 1 : kLent) * part * seen_free;
-  // A job larger than the part would never be taken, so one may be.
-  if (const double over = in_flight_ + tasks - (in_flight_ > 0 ? may_out : seen_free); over > 0) {
+  const double free_in_view = std::max(0.0, budget_ - live_);
+  const double team_tasks = TasksOf(spec.team);
+  const bool within_assured = team_tasks + tasks <= Assured(spec.team);
+  const double max_in_flight = (within_assured ? 1 : kUnassuredShare) * share * free_in_view;
+  // A job larger than the controller's share would never be admitted, so one such job may be in
+  // flight at a time.
+  if (const double excess_tasks =
+          in_flight_ + tasks - (in_flight_ > 0 ? max_in_flight : free_in_view);
+      excess_tasks > 0) {
     return refuse(fmt::format("{:.0f} tasks are under way here, of {:.0f} that this controller may "
                               "accept before it sees what others did",
-                              in_flight_, may_out),
-                  over);
+                              in_flight_, max_in_flight),
+                  excess_tasks);
   }
-  const double lent =
-      std::max(0.0, seen_free - in_flight_ - (unused_assured_ - UnusedAssured(spec.team)));
-  const double team_limit = std::max(Assured(spec.team), Weight(spec.team) * lent);
-  const auto it = classes_.find(of);
-  const double class_has = it == classes_.end() ? 0 : it->second;
+  const double unassured_free =
+      std::max(0.0, free_in_view - in_flight_ - (unused_assured_ - UnusedAssured(spec.team)));
+  const double team_limit = std::max(Assured(spec.team), Weight(spec.team) * unassured_free);
+  const auto it = tasks_by_class_.find(key);
+  const double class_tasks = it == tasks_by_class_.end() ? 0 : it->second;
   const double class_limit = PriorityWeight(spec.priority) *
                              Weight(spec.team + "/" + spec.job_class) *
-                             std::max(0.0, team_limit - team_has);
-  // Whoever has nothing accepted may have a job, however large against the line.
-  if (team_has > 0 && !assured && team_has + tasks > team_limit) {
+                             std::max(0.0, team_limit - team_tasks);
+  // A team or class without accepted jobs may have one job, however far that exceeds the limit.
+  if (team_tasks > 0 && !within_assured && team_tasks + tasks > team_limit) {
     return refuse(fmt::format("team {} has {:.0f} tasks of {:.0f} that it may have now", spec.team,
-                              team_has, team_limit),
-                  team_has + tasks - team_limit);
+                              team_tasks, team_limit),
+                  team_tasks + tasks - team_limit);
   }
-  if (class_has > 0 && class_has + tasks > class_limit) {
+  if (class_tasks > 0 && class_tasks + tasks > class_limit) {
     return refuse(fmt::format("class {} of team {} has {:.0f} tasks of {:.0f} that it may have now",
-                              spec.job_class, spec.team, class_has, class_limit),
-                  class_has + tasks - class_limit);
+                              spec.job_class, spec.team, class_tasks, class_limit),
+                  class_tasks + tasks - class_limit);
   }
-  in_flight_jobs_[spec.id] = {of, tasks};
+  in_flight_jobs_[spec.id] = {key, tasks};
   in_flight_ += tasks;
-  Take(of, tasks);
+  AddTasks(key, tasks);
   return {true, 0, {}};
 }
 
@@ -167,16 +183,16 @@
 }
 
 void AdmissionController::OnDropped(const std::string& id) {
-  // Another request for the same job may have been told that it is durable.
+  // A concurrent request for the same job may have succeeded and made the job durable.
   const auto it = in_flight_jobs_.find(id);
-  if (it != in_flight_jobs_.end() && it->second.revision == 0) Forget(id);
+  if (it != in_flight_jobs_.end() && it->second.revision == 0) RemoveInFlight(id);
 }
 
-void AdmissionController::Forget(const std::string& id) {
+void AdmissionController::RemoveInFlight(const std::string& id) {
   const auto it = in_flight_jobs_.find(id);
   if (it == in_flight_jobs_.end()) return;
   in_flight_ -= it->second.tasks;
-  Take(it->second.group, -it->second.tasks);
+  AddTasks(it->second.group, -it->second.tasks);
   in_flight_jobs_.erase(it);
 }
 
--- a/src/admission/admission_plan.cc
+++ b/src/admission/admission_plan.cc
@@ -7,57 +7,60 @@
 namespace mosspath::admission {
 namespace {
 
-constexpr double kLeast = 0.25;  // of an equal part of what is planned
+// Minimum share of a controller, as a fraction of an equal division of kPlannedFraction.
+constexpr double kMinimumShareFraction = 0.25;
 
 }  // namespace
 
 double MinimumShare(size_t controllers) {
-  return kLeast * kPlannedFraction / static_cast<double>(std::max<size_t>(1, controllers));
+  return kMinimumShareFraction * kPlannedFraction /
+         static_cast<double>(std::max<size_t>(1, controllers));
 }
 
 AdmissionPlanner::AdmissionPlanner(std::vector<std::string> controllers, uint64_t token,
                                    double life_s, double now)
-    : token_(token), life_s_(life_s), begins_(now + life_s * (1 + 2 * config::kMaxClockDrift)) {
+    : token_(token), life_s_(life_s), plans_from_(now + life_s * (1 + 2 * config::kMaxClockDrift)) {
   for (auto& name : controllers) controllers_[name];
 }
 
-double AdmissionPlanner::HeldBy(Controller& c, double now) const {
-  std::erase_if(c.granted, [now](const GrantedShare& g) { return now >= g.until; });
-  double most = MinimumShare(controllers_.size());
-  for (const GrantedShare& g : c.granted) most = std::max(most, g.share);
-  return most;
+double AdmissionPlanner::MaxShareInForce(Controller& c, double now) const {
+  std::erase_if(c.grants, [now](const Grant& grant) { return now >= grant.expires_at; });
+  double largest = MinimumShare(controllers_.size());
+  for (const Grant& grant : c.grants) largest = std::max(largest, grant.share);
+  return largest;
 }
 
 AdmissionPlan AdmissionPlanner::PlanFor(const std::string& controller, double demand, double now) {
   const auto it = controllers_.find(controller);
   AdmissionPlan plan{token_, 0, 0, MinimumShare(controllers_.size())};
-  if (it == controllers_.end() || now < begins_) return plan;
+  if (it == controllers_.end() || now < plans_from_) return plan;
   it->second.demand = demand;
-  it->second.heard_at = now;
-  // In proportion to what is asked for, above the least that each one keeps. Who has not asked for
-  // as long as a plan lives is left with that.
-  double all = 0;
-  double others = 0;
+  it->second.requested_at = now;
+  // Each controller keeps the minimum share; the rest is divided in proportion to demand. The
+  // demand of a controller without a request within the life of a plan does not count.
+  double demand_sum = 0;
+  double others_share = 0;
   for (auto& [name, c] : controllers_) {
-    if (now - c.heard_at < life_s_) all += c.demand;
-    if (name != controller) others += HeldBy(c, now);
+    if (now - c.requested_at < life_s_) demand_sum += c.demand;
+    if (name != controller) others_share += MaxShareInForce(c, now);
   }
-  const double least = plan.share;
-  const double spare = kPlannedFraction - least * static_cast<double>(controllers_.size());
-  const double wish = least + (all > 0 ? spare * demand / all : 0);
+  const double minimum = plan.share;
+  const double spare = kPlannedFraction - minimum * static_cast<double>(controllers_.size());
+  const double target = minimum + (demand_sum > 0 ? spare * demand / demand_sum : 0);
   plan.version = ++version_;
   plan.life_s = life_s_;
-  plan.share = std::max(least, std::min(wish, kPlannedFraction - others));
-  // It counts from when it asked, which was before now; by its clock, which may be slower.
-  it->second.granted.push_back({plan.share, now + life_s_ * (1 + 2 * config::kMaxClockDrift)});
+  plan.share = std::max(minimum, std::min(target, kPlannedFraction - others_share));
+  // The controller counts the plan's life from its request, which was sent before now, but by its
+  // own clock, which may be slower.
+  it->second.grants.push_back({plan.share, now + life_s_ * (1 + 2 * config::kMaxClockDrift)});
   return plan;
 }
 
-void AdmissionShare::OnPlan(const AdmissionPlan& plan, double asked) {
+void AdmissionShare::OnPlan(const AdmissionPlan& plan, double requested_at) {
   if (plan.life_s <= 0 || plan.token < plan_.token) return;
   if (plan.token == plan_.token && plan.version <= plan_.version) return;
   plan_ = plan;
-  until_ = asked + plan.life_s;
+  expires_at_ = requested_at + plan.life_s;
 }
 
 }  // namespace mosspath::admission
--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -1,4 +1,4 @@
-// The admission controller against a slow plain model, and under floods of one team.
+// The admission controller compared with a slow reference model, and under floods of one team.
 #include "mosspath/admission/admission_controller.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   return spec;
 }
 
-// A slow reference model: every sum is made anew from all jobs.
+// A reference model that computes every sum from all jobs.
 struct ReferenceController {
   struct Job {
     wire::JobSpec spec;
@@ -43,18 +43,19 @@
   bool Admits(const wire::JobSpec& spec, double share) const {
     if (jobs.contains(spec.id)) return true;
     const double seen = Sum([](const Job& j) { return j.seen; });
-    const double outstanding = Sum([](const Job& j) { return !j.seen; });
+    const double in_flight = Sum([](const Job& j) { return !j.seen; });
     const double team = Sum([&](const Job& j) { return j.spec.team == spec.team; });
     const double job_class_sum = Sum([&](const Job& j) {
       return j.spec.team == spec.team && j.spec.job_class == spec.job_class;
     });
     const double free = std::max(0.0, budget - seen);
-    const double each = budget / 4 / 2;  // two teams
-    const double other = Sum([&](const Job& j) { return j.spec.team != spec.team; });
-    const bool assured = team + spec.tasks <= each;
-    if (outstanding + spec.tasks > (outstanding > 0 ? share * free * (assured ? 1 : 0.5) : free))
+    const double assured_each = budget / 4 / 2;  // two teams
+    const double other_team = Sum([&](const Job& j) { return j.spec.team != spec.team; });
+    const bool assured = team + spec.tasks <= assured_each;
+    if (in_flight + spec.tasks > (in_flight > 0 ? share * free * (assured ? 1 : 0.5) : free))
       return false;
-    const double limit = std::max(each, free - outstanding - std::max(0.0, each - other));
+    const double limit =
+        std::max(assured_each, free - in_flight - std::max(0.0, assured_each - other_team));
     if (team > 0 && !assured && team + spec.tasks > limit) return false;
     return job_class_sum <= 0 || job_class_sum + spec.tasks <=
                                      PriorityWeight(spec.priority) * std::max(0.0, limit - team);
@@ -99,8 +100,8 @@
   }
 }
 
-// Controllers see each other's acceptances late, and have their shares: what is accepted exceeds
-// the budget by no more than its planned part of what the latest view lacks.
+// The views of controllers lag. With the shares of all controllers limited to kPlannedFraction in
+// all, the accepted tasks exceed the budget by at most that fraction, plus one job per controller.
 RC_GTEST_PROP(AdmissionControllerTest, LaggingViewsExceedTheBudgetByTheirShareAtMost, ()) {
   constexpr double kBudget = 1000;
   const size_t count = static_cast<size_t>(*rc::gen::inRange(1, 6));
@@ -111,7 +112,7 @@
   const int steps = *rc::gen::inRange(1, 200);
   for (int i = 0; i < steps; ++i) {
     const auto which = static_cast<size_t>(*rc::gen::inRange<int>(0, static_cast<int>(count)));
-    if (*rc::gen::inRange(0, 3) == 0) {  // its view catches up with some
+    if (*rc::gen::inRange(0, 3) == 0) {  // the view receives some events
       for (int k = *rc::gen::inRange(0, 10); k > 0 && !unseen[which].empty(); --k) {
         controllers[which].OnAccepted(unseen[which].front());
         unseen[which].pop_front();
@@ -167,10 +168,10 @@
     const auto spec = Spec(i, "b", "x", 10);
     if (controller.Request(spec, 1, 0).admit) controller.OnAccepted(spec);
   }
-  EXPECT_GT(controller.TasksOf("b"), 450);  // three times what is left, of which its class has 2/3
+  EXPECT_GT(controller.TasksOf("b"), 450);  // team weight 3; its class gets 2/3 of the limit
 }
 
-// Retries must not come back all at once, and soon enough to be tried several times.
+// Retries must not coincide, and must come soon enough for several attempts.
 TEST(AdmissionControllerTest, RetriesAreSpread) {
   AdmissionController controller(100, {"a"}, 1, 10);
   EXPECT_TRUE(controller.Request(Spec(0, "a", "x", 50), 0.5, 0).admit);
@@ -185,8 +186,8 @@
   EXPECT_GE(seconds.size(), 6u);
 }
 
-// A job that ended while its acceptance was in flight is never shown by a view that was reloaded:
-// what it took must be released.
+// A view that is reloaded never shows a job that ended while its acceptance was in flight. Without
+// the release in OnLoaded the budget of that job would stay in use forever.
 TEST(AdmissionControllerTest, AJobThatEndedUnseenIsReleased) {
   AdmissionController controller(100, {"a"}, 1, 10);
   ASSERT_TRUE(controller.Request(Spec(1, "a", "x", 50), 0.5, 0).admit);
--- a/tests/admission_plan_model_test.cc
+++ b/tests/admission_plan_model_test.cc
@@ -1,4 +1,4 @@
-// Every order of events of a small model of admission plans.
+// Admission plans under every order of events of a small model, up to a bounded length.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -13,9 +13,9 @@
 namespace mosspath::admission {
 namespace {
 
-// Every order of: either of two controllers asks the leader for a plan; answers arrive late, twice
-// or never; time passes; a new leader plans while the plans of the old one are valid. The shares in
-// force never exceed what is planned.
+// The events: either of two controllers requests a plan, with or without demand; a response arrives
+// late, twice or never; time passes; a new leader starts while plans of the old leader are valid.
+// In every order, the shares in force never sum to more than kPlannedFraction.
 class Model {
  public:
   static constexpr int kChoices = 8;
@@ -47,9 +47,9 @@
     for (int i : {0, 1}) {
       out += "|" + std::to_string(shares_[i].Current(now_)) + "," +
              std::to_string(shares_[i].plan().token) + "," + std::to_string(requested_at_[i]);
-      for (const auto& [plan, asked] : in_flight_[i]) {
+      for (const auto& [plan, requested_at] : in_flight_[i]) {
         out += ";" + std::to_string(plan.token) + "." + std::to_string(plan.share) + "@" +
-               std::to_string(asked);
+               std::to_string(requested_at);
       }
     }
     return out + "#" + std::to_string(planner_->PlanFor("none", 0, now_).version);
@@ -67,13 +67,13 @@
     in_flight_[i].emplace_back(planner_->PlanFor(std::to_string(i), demand, now_), now_);
     return true;
   }
-  // Delivers the older answer in flight; it may come again.
+  // Delivers the oldest response in flight. Every second delivery leaves a duplicate in flight.
   bool Deliver(size_t i) {
     if (in_flight_[i].empty()) return false;
-    const auto [plan, asked] = in_flight_[i].front();
+    const auto [plan, requested_at] = in_flight_[i].front();
     if (delivered_++ % 2 == 0) in_flight_[i].pop_front();
-    shares_[i].OnPlan(plan, asked);
-    requested_at_[i] = asked;
+    shares_[i].OnPlan(plan, requested_at);
+    requested_at_[i] = requested_at;
     return true;
   }
 
@@ -87,31 +87,31 @@
 };
 
 TEST(AdmissionPlanModelTest, EveryOrderOfEvents) {
-  constexpr size_t kLongest = 10;
+  constexpr size_t kMaxLength = 10;
   std::set<std::string> seen;
   std::vector<std::vector<int>> frontier{{}};
   double most_in_force = 0;
-  for (size_t length = 0; length < kLongest; ++length) {
+  for (size_t length = 0; length < kMaxLength; ++length) {
     std::vector<std::vector<int>> next;
-    for (const auto& walk : frontier) {
+    for (const auto& events : frontier) {
       for (int choice = 0; choice < Model::kChoices; ++choice) {
         Model model;
-        for (int c : walk) model.Step(c);
+        for (int c : events) model.Step(c);
         if (!model.Step(choice)) continue;
         most_in_force = std::max(most_in_force, model.SharesInForce());
         ASSERT_LE(model.SharesInForce(), kPlannedFraction + 1e-9)
-            << ::testing::PrintToString(walk) << choice;
+            << ::testing::PrintToString(events) << choice;
         if (!seen.insert(model.State()).second) continue;
-        next.push_back(walk);
+        next.push_back(events);
         next.back().push_back(choice);
       }
     }
-    if (next.size() > 4000) next.resize(4000);  // the first of each length
+    if (next.size() > 4000) next.resize(4000);  // bounds the run time
     frontier = std::move(next);
   }
   RecordProperty("states", static_cast<int>(seen.size()));
   EXPECT_GT(seen.size(), 5000u);
-  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // and the shares are used
+  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // the shares are used, not only bounded
 }
 
 }  // namespace
--- a/tests/admission_plan_test.cc
+++ b/tests/admission_plan_test.cc
@@ -1,4 +1,4 @@
-// Shares of the admission budget that the leader plans for each controller.
+// The shares of the admission budget that the leader plans for controllers.
 #include "mosspath/admission/admission_plan.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
     planner.PlanFor("b", 100, now);
   }
   EXPECT_NEAR(share_a, MinimumShare(2) + (kPlannedFraction - 2 * MinimumShare(2)) * 0.75, 1e-9);
-  EXPECT_EQ(planner.PlanFor("stranger", 100, 31).life_s, 0);
+  EXPECT_EQ(planner.PlanFor("unknown", 100, 31).life_s, 0);
 }
 
 TEST(AdmissionPlanTest, AnOlderPlanChangesNothing) {
@@ -23,7 +23,7 @@
   share.OnPlan({7, 3, 4, 0.3}, 10);
   share.OnPlan({6, 9, 4, 0.4}, 11);  // of an earlier leader
   share.OnPlan({7, 2, 4, 0.4}, 11);
-  share.OnPlan({8, 1, 0, 0.4}, 11);  // of a leader that does not plan
+  share.OnPlan({8, 1, 0, 0.4}, 11);  // a response without a plan
   EXPECT_EQ(share.Current(13.9), 0.3);
   EXPECT_EQ(share.Current(14), MinimumShare(2));
 }
--- a/tests/fair_queue_test.cc
+++ b/tests/fair_queue_test.cc
@@ -1,4 +1,4 @@
-// The fair queue of submissions.
+// The fair queue of submissions, by team and class.
 #include "mosspath/admission/fair_queue.h"
 
 #include <gtest/gtest.h>
--- a/tests/runnable_test.cc
+++ b/tests/runnable_test.cc
@@ -1,4 +1,4 @@
-// Which jobs are refused for good: every one that can never run, and no other.
+// Jobs are rejected for good if and only if they can never run.
 #include "mosspath/admission/runnable.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
   EXPECT_TRUE(IsRunnable());
   spec_.cpus = 9;
   EXPECT_TRUE(IsRunnable());
-  spec_.zone = "a";  // where only small machines are
+  spec_.zone = "a";  // has only small machines
   EXPECT_FALSE(IsRunnable());
   spec_.cpus = 8;
   EXPECT_TRUE(IsRunnable());
@@ -55,13 +55,13 @@
   spec_.memory_gb = 33;
   EXPECT_FALSE(IsRunnable());
   spec_.memory_gb = 1;
-  spec_.team = "strangers";
+  spec_.team = "no-such-team";
   EXPECT_FALSE(IsRunnable());
 }
 
 TEST_F(RunnableTest, AQuotaMustHoldOneTaskOrAllReplicas) {
   spec_.team = "tight";
-  EXPECT_TRUE(IsRunnable());  // a few tasks at a time
+  EXPECT_TRUE(IsRunnable());  // an array runs a few tasks at a time
   spec_.cpus = 11;
   EXPECT_FALSE(IsRunnable());
   spec_.cpus = 2;
@@ -73,8 +73,8 @@
   EXPECT_FALSE(IsRunnable());
 }
 
-// Half of the replicas, rounded up, may be in one zone; all replicas of a service are up at once,
-// or it is not served.
+// At most half of the replicas, rounded up, may be in one zone, and all replicas of a service must
+// run at once.
 TEST_F(RunnableTest, SpreadReplicasNeedTwoZones) {
   spec_.spread_over_zones = true;
   spec_.zone = "b";
