--- a/include/mosspath/scheduler/deficit_queue.h
+++ b/include/mosspath/scheduler/deficit_queue.h
@@ -1,5 +1,5 @@
-// Waiting jobs whose team or class is below its fair-share floor: they go ahead of the common
-// order until the deficit is gone. Pure.
+// Waiting jobs whose team or class is below its fair-share floor. They go ahead of the common queue
+// order until the deficit is gone. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,19 @@
 
 namespace mosspath::scheduler {
 
+// Does not own the jobs: a job must be removed by ForgetJob before it is destroyed.
 class DeficitQueue {
  public:
   // The fair share outlives the queue.
   explicit DeficitQueue(const FairShare& fair_share) : fair_share_(fair_share) {}
 
-  // Finds the jobs of groups with a deficit among the waiting ones, the longest waiting first.
+  // Collects the waiting jobs of groups with a deficit, the longest waiting first.
   void Refresh(const std::vector<jobs::Job*>& waiting_jobs);
   void Clear() { jobs_.clear(); }
   void ForgetJob(const jobs::Job& job) { std::erase(jobs_, &job); }
 
   const std::vector<jobs::Job*>& jobs() const { return jobs_; }
-  // How many tasks of the job may go ahead of others now.
+  // Returns how many tasks of the job may be placed ahead of other work now.
   size_t TasksAhead(const jobs::Job& job) const;
 
  private:
--- a/include/mosspath/scheduler/fair_share.h
+++ b/include/mosspath/scheduler/fair_share.h
@@ -1,18 +1,18 @@
-// Turns: what each team and class with unfinished work may have of the pool ahead of everybody
-// else, however much urgent work waits. Pure.
+// Fair-share floors: the CPUs that each team, and each class of a team, may use ahead of all other
+// work, however much urgent work waits. No I/O.
 //
-// A turn is a share of the CPUs in use at a moment, not a debt that is kept: a group is owed what
-// its floor exceeds its use by, and what it is owed goes first. Use times time is what a share of
-// service is, so holding the floor at every moment is what start-time fair queueing gives over
-// time, and there is nothing to remember: a successor knows it from the picture
-// (docs/admission.md).
+// A floor applies to the CPUs in use now; a group accrues no credit over time. The deficit of a
+// group (a team or a class) with waiting work is its floor less its current use, and tasks up to
+// the deficit are placed first. A group's share of service is use times time, so holding the floor
+// at every moment gives the same shares as start-time fair queueing gives over time. There is no
+// history to store: a new leader computes the floors from the cluster state (docs/admission.md).
 //
 // Invariants:
-//   - the floors of all teams are at most their guarantees and kTeams of the pool together, those
-//   of a
-//     team's classes at most kClasses of what the team has or is owed;
-//   - a group takes ahead at most what it is owed and one task (or one gang);
-//   - what isn't asked for is nobody's: the rest of the pool goes in the common order.
+//   - the floors of all teams together are at most their guarantees plus the configured share of
+//     the pool; the floors of a team's classes are at most the same share of the larger of the
+//     team's use and the team's floor;
+//   - a group places ahead of others at most its deficit and one task (or one gang);
+//   - floors reserve no idle capacity: the rest of the pool is placed in the common order.
 #pragma once
 
 #include <map>
@@ -26,30 +26,33 @@
 
 namespace mosspath::scheduler {
 
+// Computes the floors and deficits of all groups anew in each pass. CPUs are the only resource that
+// counts. Not thread-safe.
 class FairShare {
  public:
   explicit FairShare(const std::vector<config::Team>& teams) : teams_(teams) {}
 
-  // `share`: of the pool, for the turns of all teams, and again of what a team has for those of its
-  // classes; 0: no turns. `weights`: of a team ("name") or of a class ("name/class"), 1 if not
-  // named; 0: no turns.
+  // `share`: share of the pool for the floors of all teams, and share of a team's CPUs for the
+  // floors of its classes; 0: no floors. `weights`: by team ("name") or class ("name/class"), 1 if
+  // absent; 0: no floor.
   void Configure(double share, std::map<std::string, double> weights) {
     share_ = share;
     weights_ = std::move(weights);
   }
 
-  // Anew from what is there. `startable`: jobs with tasks that may start now.
+  // A pass begins with BeginPass, AddJob for each live job, then ComputeFloors. `startable`: the
+  // job has tasks that may start now.
   void BeginPass(double pool_cpus);
   void AddJob(const jobs::Job& job, bool startable);
   void ComputeFloors();
 
-  // CPUs that the job's team or class may have ahead of others.
+  // Returns the CPUs that the job's team or class may use ahead of others: the larger deficit.
   double DeficitCpus(const jobs::Job& job) const;
   bool has_deficit() const { return has_deficit_; }
-  // A task of the job was placed.
+  // Counts a placed task of the job.
   void OnAllocated(const jobs::Job& job, double cpus);
-  // One of its tasks is to be stopped for another's; false: its team or class would then be below
-  // what it is to have.
+  // Returns whether a task of the job may be preempted: its team and class stay at or above their
+  // floors without it.
   bool MayPreempt(const jobs::Job& job, double cpus) const;
   void OnPreempted(const jobs::Job& job, double cpus) { OnAllocated(job, -cpus); }
 
@@ -57,8 +60,8 @@
   struct Group {
     double floor_cpus = 0;
     double used_cpus = 0;
-    double unfinished_cpus = 0;  // that its unfinished tasks would take
-    double waiting_cpus = 0;
+    double unfinished_cpus = 0;  // of all tasks that are not done
+    double waiting_cpus = 0;     // of pending tasks that may start
     double DeficitCpus() const {
       return waiting_cpus > 0 && used_cpus < floor_cpus ? floor_cpus - used_cpus : 0;
     }
--- a/include/mosspath/scheduler/image_fetch.h
+++ b/include/mosspath/scheduler/image_fetch.h
@@ -1,4 +1,4 @@
-// What it costs a machine to fetch a job's image: the input of the score stage. Pure.
+// The cost of fetching a job's image on a machine: an input of the score stage. No I/O.
 #pragma once
 
 #include "mosspath/cluster/machine.h"
@@ -7,11 +7,12 @@
 
 namespace mosspath::scheduler {
 
-// GB of the job's image that the machine lacks, weighed by how much slower than the fastest machine
-// type it fetches: a byte that is fetched at half the rate weighs double.
+// Returns the GB of the job's image that the machine lacks, scaled by how much slower the machine
+// fetches than the fastest machine type: a byte fetched at half that rate counts double.
 double MissingImageGb(const jobs::Job& job, const cluster::Machine& machine,
                       const cluster::MachineTypeCatalog& types);
-// Seconds that the machine takes to fetch the job's image; 0 if it has it, or its rate is unknown.
+// Returns the seconds that the machine takes to fetch the job's image; 0 if the machine has the
+// image or its fetch rate is unknown.
 double ImageFetchS(const jobs::Job& job, const cluster::Machine& machine);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/job_ranking.h
+++ b/include/mosspath/scheduler/job_ranking.h
@@ -1,7 +1,7 @@
-// The queue order of placement: which waiting job is tried first. Pure.
+// The queue order of placement: which waiting job is tried first. No I/O; the time is an argument.
 //
-// Teams whose unfinished jobs all fit into their guarantee come first, then the higher priority,
-// then jobs that can still meet an objective, then the earlier virtual deadline.
+// Jobs of teams whose unfinished jobs all fit into the team's guarantee come first, then jobs of
+// higher priority, then jobs that can still meet an objective, then the earlier virtual deadline.
 #pragma once
 
 #include <set>
@@ -17,6 +17,7 @@
 
 namespace mosspath::scheduler {
 
+// Sorts the waiting jobs into the queue order, and starts each pass of the fair share with them.
 class JobRanking {
  public:
   // The arguments outlive the ranking.
@@ -24,15 +25,15 @@
              const ServiceLevelObjectives& objectives, const StartGate& start_gate,
              FairShare& fair_share);
 
-  // All jobs with tasks that may start now, first things first. Begins a new pass of the fair
-  // share, and writes each job's place in the order to the job.
+  // Returns all jobs with tasks that may start now, in queue order. Begins a new pass of the fair
+  // share, and sets the sort keys in each job.
   std::vector<jobs::Job*> Rank(double now);
 
  private:
   struct RankedJob {
     jobs::Job* job = nullptr;
     bool within_guarantee = false;
-    int level = 0;  // the higher first: a priority, or one of the levels below all of them
+    int level = 0;  // higher first: the priority, or a level below all priorities
     bool unattainable = false;
     double virtual_deadline = 0;
   };
--- a/include/mosspath/scheduler/machine_filter.h
+++ b/include/mosspath/scheduler/machine_filter.h
@@ -1,4 +1,4 @@
-// The filter stage of placement: which machines may take a task of a job. Pure.
+// The filter stage of placement. No I/O; the time is an argument.
 #pragma once
 
 #include <optional>
@@ -10,31 +10,35 @@
 
 namespace mosspath::scheduler {
 
-// Machines in service come first. Cordoned ones are the last resort of urgent work.
+// Machines in service are tried first. Cordoned machines are the last resort of jobs of high
+// priority and above.
 enum class MachineTier { kInService, kCordoned };
 
-// Why a machine may not take a task of a job.
+// Why a machine may not run a task of a job.
 enum class MachineRejection {
   kNotInTier,
-  kNoRoom,
+  kInsufficientResources,
   kSpotNotAllowed,
   kOtherZone,
   kOtherMachineType,
-  kFailedThereLately,  // a task of the job failed on the machine within the last lease time
-  kReservedCapacity,   // the room is kept for urgent work that may run nowhere else
+  kRecentFailure,     // a task of the job failed on the machine within the last agent lease time
+  kReservedCapacity,  // the capacity is reserved for urgent jobs that may not use spot machines
 };
 
+// Decides which machines may run a task of a job.
 class MachineFilter {
  public:
   // The arguments outlive the filter.
   MachineFilter(const config::Settings& settings, const CapacityReservation& reservation)
       : settings_(settings), reservation_(reservation) {}
 
-  // What the job itself rules out, whatever room the machine has. Empty: nothing.
+  // Returns why the job's own constraints and recent failures exclude the machine, whatever its
+  // free capacity; nullopt if they don't.
   std::optional<MachineRejection> CheckConstraints(const jobs::Job& job,
                                                    const cluster::Machine& machine,
                                                    double now) const;
-  // All filters: tier, room for one task, the job's constraints, the reservation.
+  // Applies all filters: tier, free capacity for one task, CheckConstraints, the reservation.
+  // Returns the first rejection; nullopt if the machine may run a task.
   std::optional<MachineRejection> Check(const jobs::Job& job, const cluster::Machine& machine,
                                         MachineTier tier, double now) const;
 
@@ -47,7 +51,7 @@
   const CapacityReservation& reservation_;
 };
 
-// The machine is of the tier and has room for one task.
+// Returns whether the machine is of the tier and has free capacity for one task.
 bool FitsInTier(const wire::JobSpec& spec, const cluster::Machine& machine, MachineTier tier);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/overdue_first_tasks.h
+++ b/include/mosspath/scheduler/overdue_first_tasks.h
@@ -1,11 +1,11 @@
-// Jobs that have waited long and of which nothing has run yet: one task of each goes ahead of all
-// other work. Pure.
+// Jobs that have waited long and have not run any task: one task of each goes ahead of all other
+// work. No I/O; the time is an argument.
 //
-// Jobs that yield by their size, or that can meet no objective, came last for as long as others
-// came: with two to four times the work that machines can do the largest of a class began after
-// 500 s. With this one task of each begins, and the order of the rest is as before. The CPUs that
-// go to first tasks are bounded, so that a flood of jobs does not take the machines from urgent
-// work.
+// In the queue order alone, large jobs and jobs that can meet no objective come last for as long as
+// others arrive: at two to four times the load that the machines can carry, the largest job of a
+// class started after 500 s. Placing one task (or the gang) of each ahead of all other work bounds
+// that wait and leaves the order of all other tasks unchanged. The CPUs for first tasks are
+// bounded, so that a flood of jobs does not take the machines from urgent work.
 #pragma once
 
 #include <vector>
@@ -17,6 +17,7 @@
 
 namespace mosspath::scheduler {
 
+// Does not own the jobs: a job must be removed by ForgetJob before it is destroyed.
 class OverdueFirstTasks {
  public:
   // The arguments outlive this object.
@@ -26,19 +27,20 @@
   // Share of the pool's CPUs that may go to first tasks within one lease time.
   void SetShare(double share) { share_ = share; }
 
-  // Finds the overdue jobs among the waiting ones, in the order of submission, and how many CPUs
-  // their first tasks may still take.
+  // Collects the overdue jobs among the waiting ones, in order of submission, and computes how many
+  // CPUs their first tasks may still use.
   void Refresh(const std::vector<jobs::Job*>& waiting_jobs, double now);
   void Clear() { jobs_.clear(); }
   void ForgetJob(const jobs::Job& job) { std::erase(jobs_, &job); }
 
   const std::vector<jobs::Job*>& jobs() const { return jobs_; }
-  // Nothing of the job is placed and the bound is not used up.
+  // Returns whether no task of the job is placed and the CPU bound is not used up.
   bool MayPlace(const jobs::Job& job) const;
-  // An attempt to place the job's first task, or its gang, has ended, with or without success.
+  // Called after each attempt to place the job's first task or its gang, successful or not.
   void OnAttempted(jobs::Job& job, double now);
 
  private:
+  // Returns the bound less the CPUs of first tasks placed within the last agent lease time.
   double RemainingCpus(double now) const;
 
   const config::Settings& settings_;
--- a/include/mosspath/scheduler/placement_attempt.h
+++ b/include/mosspath/scheduler/placement_attempt.h
@@ -1,8 +1,9 @@
 // One attempt to place tasks of one job in a placement pass: the stages that arrays, services and
-// gangs share. Pure.
+// gangs share. No I/O; the time is an argument.
 //
-// Each job has a home shard; its tasks go there first, and what finds no room there overflows to
-// the machines of other shards. Urgent work may use cordoned machines as the last resort.
+// Each job has a home shard. Its tasks are placed there first; tasks for which the home shard has
+// no free capacity overflow to the machines of other shards. Jobs of high priority and above may
+// use cordoned machines as the last resort.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +23,7 @@
 
 namespace mosspath::scheduler {
 
-// What an attempt works with. All of it outlives the attempt.
+// The dependencies of an attempt, all of which outlive it.
 struct PlacementStages {
   const cluster::ClusterState& cluster;
   const ShardMap& shard_map;
@@ -30,60 +31,63 @@
   const MachineFilter& filter;
   StartGate& start_gate;
   TaskBinder& binder;
-  LocalityPolicy policy;  // of the score stage
+  LocalityPolicy policy;  // for the score stage
 };
 
-// The machines that are tried together.
+// Selects the machines that are tried together. Cordoned machines are tried regardless of shard.
 struct PlacementScope {
   bool in_home_shard = true;
   MachineTier tier = MachineTier::kInService;
 };
 
-// The machines of a scope that passed the filters, and the layers that all of the scope hold.
+// The machines of a scope that passed the filters, and the size of the whole scope.
 struct CandidateSet {
   std::vector<Candidate> candidates;  // `machine` is an index into the pool
-  double scope_gb = 0;                // layer bytes on all machines of the scope
+  double scope_gb = 0;                // image layers on all machines of the scope
   size_t scope_size = 0;              // machines in the scope
 };
 
 enum class PlacementOutcome {
-  kSettled,  // nothing more to try in this pass: all placed, or the wait is not for room
-  kNoRoom,   // tasks are left that found no room
+  kSettled,     // nothing more to try in this pass: all placed, or not waiting for capacity
+  kNoCapacity,  // some tasks found no machine with enough free capacity
 };
 
+// Places tasks of one job within one pass; constructed for one call of Run.
 class PlacementAttempt {
  public:
-  // At most `max_tasks` of the job, on machines of the pool. All arguments outlive the attempt.
+  // Places at most `max_tasks` tasks, on machines of the pool. All arguments outlive the attempt.
   PlacementAttempt(const PlacementStages& stages, jobs::Job& job, const MachinePool& pool,
                    size_t max_tasks, double now);
 
-  // Tries all scopes in their order.
+  // Tries the scopes in order until no task remains to be placed.
   PlacementOutcome Run();
-  // Machines that the filters have looked at so far.
+  // Returns how many machines have been filtered so far.
   uint64_t candidates_scored() const { return candidates_scored_; }
 
-  // --- For the ways of placing below ---
+  // --- For PlaceArray, PlaceGang and PlaceService ---
   const jobs::Job& job() const { return job_; }
   const PlacementStages& stages() const { return stages_; }
-  // Tasks that may still be placed.
+  // Returns how many tasks may still be placed.
   size_t remaining() const { return remaining_; }
   cluster::Machine& MachineAt(size_t index) const { return *pool_[index]; }
   bool FitsInTier(const cluster::Machine& machine, MachineTier tier) const;
-  // Half of the tasks of a job that is spread over zones are in the machine's zone already.
+  // Returns whether the machine's zone already has its maximum of tasks of a job that spreads over
+  // zones: half of them, rounded up.
   bool IsZoneFull(const cluster::Machine& machine) const;
   bool HasDurableStartMarker() { return stages_.start_gate.HasDurableStartMarker(job_); }
-  // Binds the next task to the machine. False: the job starts nothing more.
+  // Binds the next pending task to the machine. Returns false if the job may start no more tasks.
   bool Bind(cluster::Machine& machine);
-  // One task after another goes to the machine that is best by layer locality.
+  // Places the remaining tasks one at a time, each on the best machine by layer locality.
   PlacementOutcome PlaceOneByOne(const CandidateSet& set, MachineTier tier);
 
  private:
   bool IsUrgent() const;
-  // The zone for a job whose tasks must share one, if any machine has room for it.
+  // Chooses the zone for a job whose tasks must share one. Returns false if no zone has a machine
+  // for it.
   bool ChooseSingleZone();
   std::string ZoneOfPlacedTasks() const;
-  std::string WidestZone() const;
-  // The shard with the most room for the job.
+  std::string ZoneWithMostFreeCpus() const;
+  // Returns the shard with the most free CPUs on machines that the job may use.
   size_t ChooseHomeShard() const;
   CandidateSet CollectCandidates(const PlacementScope& scope);
   bool IsInScope(const cluster::Machine& machine, const PlacementScope& scope) const;
@@ -95,7 +99,7 @@
   const double now_;
   const bool delegable_;
   size_t remaining_;
-  std::string single_zone_;  // empty: any
+  std::string single_zone_;  // empty: any zone
   uint64_t candidates_scored_ = 0;
 };
 
--- a/include/mosspath/scheduler/preemption.h
+++ b/include/mosspath/scheduler/preemption.h
@@ -1,4 +1,5 @@
-// Makes room for waiting work of a higher priority by stopping lower work that loses least. Pure.
+// Preemption of running tasks for waiting jobs of a higher priority. No I/O; the time is an
+// argument.
 #pragma once
 
 #include <vector>
@@ -13,6 +14,8 @@
 
 namespace mosspath::scheduler {
 
+// Stops tasks of lower priority, those that lose the least work first, to free capacity for waiting
+// jobs. Only jobs of high priority and above preempt.
 class Preemption {
  public:
   // The arguments outlive this object.
@@ -20,28 +23,27 @@
              const ServiceLevelObjectives& objectives, const StartGate& start_gate,
              const MachineFilter& filter, FairShare& fair_share);
 
-  // Requests stops for the jobs, which are in their queue order; only those of high priority and
-  // above preempt.
+  // Requests stops of running tasks for the jobs, which are in queue order.
   void Run(const std::vector<jobs::Job*>& ranked_jobs, double now);
 
  private:
   // A running task that may be stopped.
   struct Victim {
-    double weighted_loss = 0;  // CPU seconds of work lost, weighed by priority
+    double weighted_loss = 0;  // CPU seconds of work lost, weighted by priority
     cluster::Machine* machine = nullptr;
     cluster::Allocation* allocation = nullptr;
     const jobs::Job* job = nullptr;
   };
 
-  // CPUs that stops under way will free.
+  // Returns the CPUs that will be freed by stops already requested.
   double StoppingCpus() const;
-  // Seconds that the job waits before anything is stopped for it.
-  double PatienceS(const jobs::Job& job, double now) const;
-  // All tasks that could be stopped, the least loss first.
+  // Returns the seconds after its submission in which the job preempts nothing.
+  double PreemptionDelayS(const jobs::Job& job, double now) const;
+  // Returns all tasks that may be stopped, the least loss first.
   std::vector<Victim> CollectVictims(double now);
-  // Whether the victim may be stopped for the job.
+  // Returns whether the victim may be stopped for the job.
   bool MayStopFor(const jobs::Job& job, const Victim& victim, double now) const;
-  // Stops victims until these CPUs are covered, or none is left.
+  // Stops victims until they free `missing_cpus`, or no eligible victim is left.
   void StopVictimsFor(const jobs::Job& job, double missing_cpus, std::vector<Victim>& victims,
                       double now);
 
--- a/include/mosspath/scheduler/run_time_estimate.h
+++ b/include/mosspath/scheduler/run_time_estimate.h
@@ -1,13 +1,13 @@
-// How much longer the attempts of tasks are expected to run. Pure.
+// Estimates of the remaining run time of task attempts. No I/O; the time is an argument.
 #pragma once
 
 #include "mosspath/cluster/machine.h"
 
 namespace mosspath::scheduler {
 
-// Returns the seconds that the attempt is expected to run from `now` on. An attempt that has
-// outlived its estimate is expected to run for a fixed share of the estimate yet, so the result is
-// positive whenever the estimate is.
+// Returns the seconds that the attempt is expected to run from `now` on. An attempt that has nearly
+// reached or exceeded its estimate is expected to run for a fixed share of the estimate, so the
+// result is positive whenever the estimate is.
 double RemainingRunS(const cluster::Allocation& allocation, double now);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/service_level_objectives.h
+++ b/include/mosspath/scheduler/service_level_objectives.h
@@ -1,4 +1,4 @@
-// What the deployment's objectives ask of a job, and when. Pure.
+// The service-level objectives of the deployment, applied to jobs. No I/O; the time is an argument.
 #pragma once
 
 #include <map>
@@ -10,30 +10,34 @@
 
 namespace mosspath::scheduler {
 
-// Seconds that a task of the job is taken to run.
+// Returns the seconds that a task of the job is expected to run.
 double ExpectedRunS(const jobs::Job& job);
-// A start that is stopped soon was none: it has hardly done or saved anything.
-bool IsSettling(const jobs::Job& job, double ran);
+// Returns whether a task that has run for `ran_s` seconds is too recently started to have saved
+// much work by checkpoints. Stopping such a task wastes the start.
+bool IsSettling(const jobs::Job& job, double ran_s);
 
+// Finds the objectives that a job can still meet. Immutable; durations are in seconds.
 class ServiceLevelObjectives {
  public:
   explicit ServiceLevelObjectives(const config::Settings& settings);
 
   struct NextObjective {
-    bool unattainable = false;    // none can be kept any more
-    double within_s = 0;          // of the submission, when it should be finished to keep the next
-    bool for_task_start = false;  // the aim is for the starts of its tasks
-    bool best_effort = false;     // nobody has an aim for its class
+    bool unattainable = false;    // the job can meet no objective any more
+    double within_s = 0;          // time from submission to completion that meets the objective
+    bool for_task_start = false;  // the objective is for the starts of the job's tasks
+    bool best_effort = false;     // neither the job nor its class has an objective
   };
-  // Whether the job can't meet any of its aims any more, and the time within which the next one
-  // wants it finished, as far as its tasks run as long as is expected.
+  // Returns the earliest objective that the job can still meet if its tasks run as long as
+  // expected. An objective for starts counts with the expected run time added. If the job can meet
+  // none, `within_s` is that of its latest objective.
   NextObjective Next(const jobs::Job& job, double now) const;
 
  private:
   using ByClass = std::map<std::string, std::set<double>>;
-  ByClass finish_;          // when its jobs should be finished
-  ByClass start_;           // when its tasks should be started
-  ByClass deadline_times_;  // multiples of the deadline
+  // Objectives, in seconds from a job's submission.
+  ByClass finish_within_s_;   // for the completion of jobs
+  ByClass start_within_s_;    // for the starts of tasks
+  ByClass deadline_factors_;  // for completion, in multiples of the job's deadline
   const double best_effort_within_s_;
 };
 
--- a/include/mosspath/scheduler/service_placement.h
+++ b/include/mosspath/scheduler/service_placement.h
@@ -1,12 +1,12 @@
-// Places replicas of a service: on distinct machines while these last, then wherever there is room.
-// Pure.
+// Placement of services. No I/O.
 #pragma once
 
 #include "mosspath/scheduler/placement_attempt.h"
 
 namespace mosspath::scheduler {
 
-// Updates the set's layer bytes and its candidates' room as replicas take their places.
+// Places replicas on distinct machines first, then on any machine with free capacity. Updates the
+// layer sizes and the free capacity in the candidate set as replicas are placed.
 PlacementOutcome PlaceService(PlacementAttempt& attempt, CandidateSet& set, MachineTier tier);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/task_binder.h
+++ b/include/mosspath/scheduler/task_binder.h
@@ -1,5 +1,4 @@
-// The reserve and bind stages of placement: the next pending task of a job takes its room on a
-// machine that was chosen for it. Pure.
+// The reserve and bind stages of placement. No I/O; the time is an argument.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +10,21 @@
 
 namespace mosspath::scheduler {
 
+// Allocates the next pending task of a job on the machine that was chosen for it, or delegates the
+// task to the holder of the machine's shard.
 class TaskBinder {
  public:
-  // The arguments outlive the binder. `token`: fencing token of this leadership, which begins the
-  // numbers of its attempts.
+  // The arguments outlive the binder. `token`: fencing token of this leadership, the high bits of
+  // its attempt numbers.
   TaskBinder(cluster::ClusterState& cluster, ShardLeases& shard_leases, FairShare& fair_share,
              CapacityReservation& reservation, uint64_t token);
 
-  // The job has a pending task; its first one goes to the machine, or to the holder of the
-  // machine's shard. False: the task has used up its attempt numbers, and the job starts nothing
-  // more under this leadership.
+  // Binds the job's first pending task, which must exist. Returns false if that task has used up
+  // its attempt numbers; the job then starts no more tasks under this leadership.
   bool Bind(jobs::Job& job, cluster::Machine& machine, double now);
 
  private:
-  // Counts the task against the pass's bounds.
+  // Counts the task towards the fair share and the capacity reservation of the pass.
   void Reserve(const jobs::Job& job, const cluster::Machine& machine);
   void BindToHolder(jobs::Job& job, uint32_t index, cluster::Machine& machine);
   bool BindToMachine(jobs::Job& job, uint32_t index, cluster::Machine& machine, double now);
--- a/include/mosspath/scheduler/task_migration.h
+++ b/include/mosspath/scheduler/task_migration.h
@@ -1,5 +1,5 @@
-// Moves tasks off machines that drain, that are about to be reclaimed, or that are far too slow.
-// Pure.
+// Migration of tasks off machines that are draining, about to be reclaimed, or far too slow. No
+// I/O; the time is an argument.
 #pragma once
 
 #include <string>
@@ -8,25 +8,29 @@
 
 namespace mosspath::scheduler {
 
+// Requests stops and withdraws planned starts in the scheduler state; placement then starts the
+// tasks elsewhere.
 class TaskMigration {
  public:
   // `state` outlives this object.
   explicit TaskMigration(SchedulerState& state) : state_(state) {}
 
-  // Requests the stop, with time for a checkpoint, of all tasks on each draining machine whose
-  // tasks can all be moved, fit into the room that is free elsewhere, and have longer to run than
-  // a move costs. The stopped tasks wait again, and are placed like any others.
+  // Requests the stop, with time for a checkpoint, of all tasks on a draining machine if all of
+  // them can be moved, they fit into the free capacity elsewhere, and the remaining run time of one
+  // of them is worth the cost of a move. The stopped tasks become pending and are placed like
+  // others.
   void MigrateFromDraining(double now);
-  // Withdraws planned starts from machines that take no new tasks, and requests the stop of tasks
-  // that should be saved before their machine is reclaimed, or restarted on a faster one.
+  // Withdraws planned starts from unschedulable machines. Requests the stop of tasks that must
+  // write a checkpoint before their machine is reclaimed, or that should restart on a faster
+  // machine.
   void LeaveUnschedulableMachines(double now);
 
  private:
-  // What moving all tasks of one machine would mean.
+  // Whether all tasks of a machine can be moved, and whether that is worth its cost.
   enum class MigrationValue { kImpossible, kNotWorthwhile, kWorthwhile };
 
-  // Free CPUs on machines that take new tasks, less those that waiting tasks need; negative if
-  // more waits than there is room for.
+  // Returns the free CPUs on machines that accept new tasks, less the CPUs of pending tasks; the
+  // result may be negative.
   double FreeCpus(double now) const;
   MigrationValue ValueOfMigrating(const cluster::Machine& machine, double now) const;
   bool IsMovable(const jobs::Job& job, const wire::TaskId& task,
@@ -34,7 +38,8 @@
   void StopTasks(cluster::Machine& machine);
   void WithdrawPlannedStarts(cluster::Machine& machine, double now);
   void StopEndangeredTasks(cluster::Machine& machine, double now);
-  // Whether the time until the machine is reclaimed is just long enough for a checkpoint.
+  // Returns whether the time until the machine is reclaimed may be too short for a checkpoint that
+  // begins any later.
   bool MustSaveNow(const cluster::Machine& machine, const jobs::Job& job, double now) const;
 
   SchedulerState& state_;
--- a/include/mosspath/scheduler/task_placer.h
+++ b/include/mosspath/scheduler/task_placer.h
@@ -1,14 +1,13 @@
-// Where waiting tasks go. The facade of placement: it owns the stages of a placement pass and the
-// queues that the last pass left. Pure.
+// Placement of waiting tasks on machines. No I/O; the time is an argument.
 //
-// A pass goes through these stages, each in a module of its own:
-//   - queue order (job_ranking), with overdue first tasks and groups below their fair-share floor
+// A placement pass has these stages, each in its own module:
+//   - queue order (job_ranking); overdue first tasks and groups below their fair-share floor go
 //     ahead of it (overdue_first_tasks, deficit_queue);
-//   - gate and filter: what may start at all, and on which machines (start_gate, machine_filter);
+//   - gate and filter: which tasks may start at all, and on which machines (start_gate,
+//     machine_filter);
 //   - score: layer locality (locality, image_fetch);
 //   - reserve and bind (task_binder).
-// Arrays, services and gangs each have a way of their own through score and bind
-// (placement_attempt).
+// Arrays, services and gangs each run score and bind in their own way (placement_attempt).
 #pragma once
 
 #include <cstdint>
@@ -39,19 +38,21 @@
 
 namespace mosspath::scheduler {
 
+// The facade of placement: owns the stages of a placement pass and the queues that the last pass
+// computed. Not thread-safe.
 class TaskPlacer {
  public:
-  // The arguments outlive the placer. `token`: fencing token of this leadership, which begins the
-  // numbers of its attempts.
+  // The arguments outlive the placer. `token`: fencing token of this leadership, the high bits of
+  // its attempt numbers.
   TaskPlacer(const config::Settings& settings, cluster::ClusterState& cluster,
              const ServiceLevelObjectives& objectives, const Failover& failover,
              DurableState& durable_state, ShardLeases& shard_leases, uint64_t token);
-  // Its stages refer to each other.
+  // The stages hold references to each other.
   TaskPlacer(const TaskPlacer&) = delete;
   TaskPlacer& operator=(const TaskPlacer&) = delete;
 
-  // `delegate_ahead_share`: work that holders are given beyond their room, as a share of their
-  // CPUs.
+  // `delegate_ahead_share`: work that is delegated to shard holders beyond the free capacity of
+  // their machines, as a share of their CPUs.
   void SetPolicy(const LocalityPolicy& policy, double delegate_ahead_share);
   // Share of the pool's CPUs that may go to overdue first tasks within one lease time.
   void SetFirstTaskShare(double share) { overdue_first_tasks_.SetShare(share); }
@@ -59,37 +60,41 @@
   CapacityReservation& reservation() { return reservation_; }
   const ShardMap& shard_map() const { return shard_map_; }
 
-  // Runs a placement pass over the waiting jobs, if the cluster state has changed since the last.
+  // Runs a placement pass over the waiting jobs if the cluster state has changed since the last
+  // pass.
   void Place(double now);
-  // Room came free on the machine: waiting work may take it without a pass.
+  // Places waiting tasks on a machine whose capacity was freed, without a placement pass.
   void Refill(cluster::Machine& machine, double now);
-  // Makes room for waiting work of a higher priority by stopping lower work that loses least.
+  // Stops tasks of lower priority, least lost work first, to free capacity for waiting jobs of a
+  // higher priority.
   void Preempt(double now);
-  // The job is over, and about to be destroyed.
+  // Removes the job from all queues. Called before the job is destroyed.
   void ForgetJob(const jobs::Job& job);
 
   // See StartGate.
   static constexpr uint64_t kNever = StartGate::kNever;
   void SetMarkersSince(uint64_t version) { start_gate_.SetMarkersSince(version); }
   bool IsStartable(const jobs::Job& job) const { return start_gate_.IsStartable(job); }
-  // The job's constraints allow the machine, whatever room it has.
+  // Returns whether the job's constraints allow the machine, whatever its free capacity.
   bool IsAllowedOn(const jobs::Job& job, const cluster::Machine& machine, double now) const {
     return machine_filter_.IsAllowedOn(job, machine, now);
   }
-  // Whether the job's tasks may be delegated to the holders of shards.
+  // Returns whether the job's tasks may be delegated to shard holders.
   bool IsDelegable(const jobs::Job& job) const { return scheduler::IsDelegable(job); }
-  // The shard that the machine counts towards. What a leader or a holder commands is one shard.
+  // Returns the shard that the machine counts towards. All machines that a delegating leader or a
+  // holder commands count as one shard.
   size_t ShardOf(const cluster::Machine& machine) const;
 
-  // Jobs tried, and machines that filters looked at for them, since this placer was made.
+  // Jobs for which placement was attempted, and machines that were filtered for them, since
+  // construction.
   uint64_t placement_attempts() const { return placement_attempts_; }
   uint64_t candidates_scored() const { return candidates_scored_; }
 
  private:
-  // The machines of this pass. Those that are in no record yet get their entry, or are handed over
-  // to the holder of their shard.
+  // Returns the machines of this pass.
   MachinePool CollectPool(double now);
-  // Whether the machine is this controller's to use in this pass.
+  // Adds a machine that has no record entry to the record, or hands it over to the ready holder of
+  // its shard. Returns whether this controller may use the machine in this pass.
   bool RecordMachine(cluster::Machine& machine, double now);
   void BeginReservation(const MachinePool& pool, double now);
   void RankQueues(double now);
@@ -116,7 +121,7 @@
   MachineRefill machine_refill_;
   Preemption preemption_;
 
-  // --- Queues of the last pass; some of their jobs may wait no more ---
+  // --- Queues of the last pass; some of their jobs may have no pending tasks any more ---
   std::vector<jobs::Job*> waiting_jobs_;
   OverdueFirstTasks overdue_first_tasks_;
   DeficitQueue deficit_queue_;
--- a/include/mosspath/scheduler/unplaceable_specs.h
+++ b/include/mosspath/scheduler/unplaceable_specs.h
@@ -1,7 +1,7 @@
-// Specs that found no room in this placement pass. Pure.
+// Job specs for which a placement pass found too little free capacity. No I/O.
 //
-// Room only shrinks during a pass: what found none leaves none for tasks that need the same or
-// more, so these need not be tried.
+// Free capacity only shrinks during a pass. When the tasks of one job no longer fit, tasks that
+// need the same or more on the same machines don't fit either, and need not be tried.
 #pragma once
 
 #include <vector>
@@ -10,12 +10,13 @@
 
 namespace mosspath::scheduler {
 
+// Valid for one placement pass.
 class UnplaceableSpecs {
  public:
-  // The job found no room. Counts only for jobs without constraints of their own; the job outlives
-  // this object.
+  // Records that the job's remaining tasks don't fit. Ignores jobs with constraints of their own,
+  // since these exclude machines that other jobs may use. The job outlives this object.
   void Add(const jobs::Job& job);
-  // A spec that found no room needs no more than this one, on the same machines.
+  // Returns whether a recorded spec needs no more than this one and may use the same machines.
   bool Covers(const wire::JobSpec& spec) const;
 
  private:
--- a/src/scheduler/array_placement.cc
+++ b/src/scheduler/array_placement.cc
@@ -3,7 +3,7 @@
 namespace mosspath::scheduler {
 
 PlacementOutcome PlaceArray(PlacementAttempt& attempt, const CandidateSet& set, MachineTier tier) {
-  if (set.candidates.empty()) return PlacementOutcome::kNoRoom;
+  if (set.candidates.empty()) return PlacementOutcome::kNoCapacity;
   if (!attempt.HasDurableStartMarker()) return PlacementOutcome::kSettled;
   return attempt.PlaceOneByOne(set, tier);
 }
--- a/src/scheduler/deficit_queue.cc
+++ b/src/scheduler/deficit_queue.cc
@@ -9,10 +9,12 @@
 
 namespace {
 
-constexpr double kMinTaskCpus = 0.1;  // that a task counts as
+// Minimum CPUs that a task counts as; bounds the tasks ahead of jobs that need hardly any CPUs.
+constexpr double kMinTaskCpus = 0.1;
 
-// What can meet no objective any more comes up too, and some jobs are finished rather than a little
-// done of all. A job in a crash loop takes no share while others wait.
+// By submission rather than by the common order: jobs that can meet no objective any more get their
+// turn too, and some jobs finish, instead of all of them progressing a little. Jobs in a crash loop
+// come last, so that they take no share while others wait.
 bool Precedes(const Job* a, const Job* b) {
   if (a->crash_looping != b->crash_looping) return b->crash_looping;
   return a->submitted_at < b->submitted_at;
@@ -32,8 +34,8 @@
 size_t DeficitQueue::TasksAhead(const Job& job) const {
   const double deficit_cpus = fair_share_.DeficitCpus(job);
   if (deficit_cpus <= 0) return 0;
-  // A gang is placed whole, since part of it would only hold machines: the deficit is exceeded by
-  // one gang at most.
+  // A gang is placed whole, since a part of it would only occupy machines. The deficit is exceeded
+  // by one gang at most.
   if (job.spec.kind == wire::JobKind::kGang) return job.spec.tasks;
   return static_cast<size_t>(std::ceil(deficit_cpus / std::max(job.spec.cpus, kMinTaskCpus)));
 }
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -5,8 +5,10 @@
 namespace mosspath::scheduler {
 namespace {
 
-constexpr double kUnboundedTasks = 1e6;  // of a resource that a task needs none of
-constexpr double kSlack = 1e-6;          // of a task, for sums of fractions
+// Stands for an unlimited number of tasks, for a resource that the tasks do not use.
+constexpr double kUnboundedTasks = 1e6;
+// Tolerance in tasks, for rounding errors in sums of fractional resources.
+constexpr double kRoundingTolerance = 1e-6;
 
 double TasksThatFit(double free, double needed) {
   return needed > 0 ? free / needed : kUnboundedTasks;
@@ -17,22 +19,23 @@
       std::min({TasksThatFit(machine.cpus - machine.used_cpus, spec.cpus),
                 TasksThatFit(machine.gpus - machine.used_gpus, spec.gpus),
                 TasksThatFit(machine.memory_gb - machine.used_memory_gb, spec.memory_gb)});
-  return static_cast<size_t>(tasks + kSlack);
+  return static_cast<size_t>(tasks + kRoundingTolerance);
 }
 
+// Whether the candidates have free capacity for all pending tasks, and all of them may start.
 bool FitsWhole(const PlacementAttempt& attempt, const CandidateSet& set) {
-  const size_t missing = attempt.job().pending.size();
+  const size_t pending_tasks = attempt.job().pending.size();
   size_t fitting = 0;
   for (const Candidate& candidate : set.candidates) {
     fitting += TasksThatFit(attempt.job().spec, attempt.MachineAt(candidate.machine));
   }
-  return fitting >= missing && attempt.remaining() >= missing;
+  return fitting >= pending_tasks && attempt.remaining() >= pending_tasks;
 }
 
 }  // namespace
 
 PlacementOutcome PlaceGang(PlacementAttempt& attempt, const CandidateSet& set, MachineTier tier) {
-  if (!FitsWhole(attempt, set)) return PlacementOutcome::kNoRoom;
+  if (!FitsWhole(attempt, set)) return PlacementOutcome::kNoCapacity;
   if (!attempt.HasDurableStartMarker()) return PlacementOutcome::kSettled;
   return attempt.PlaceOneByOne(set, tier);
 }
--- a/src/scheduler/job_ranking.cc
+++ b/src/scheduler/job_ranking.cc
@@ -12,15 +12,15 @@
 
 namespace {
 
-// Share of its objective's time after which waiting low-priority work counts as normal.
+// Share of its objective's time after which a low-priority job is ranked as normal priority.
 constexpr double kLowPriorityAgingShare = 0.4;
-// How far a job's virtual deadline is put off, in multiples of the time that the whole pool needs
-// for the rest of its work.
+// Delay of a job's virtual deadline, in multiples of the time that the whole pool needs for the
+// job's remaining work.
 constexpr double kWorkPenalty = 45;
 // Levels below all priorities.
 constexpr int kUnattainableLevel = -1;
 constexpr int kBestEffortLevel = -2;
-// Above all bands of jobs that are not within their team's guarantee.
+// Added to the priority band of jobs of teams within their guarantee; exceeds all other bands.
 constexpr int kGuaranteedBand = 16;
 
 struct UnfinishedResources {
@@ -28,8 +28,9 @@
   double gpus = 0;
 };
 
-// Low-priority work that has waited for a good part of its objective's time takes its place among
-// normal work, or steady normal work would starve it. It still preempts nothing.
+// A low-priority job that has waited for kLowPriorityAgingShare of its objective's time is ranked
+// among jobs of normal priority; otherwise a steady load of these would starve it. It still
+// preempts nothing.
 wire::Priority AgedPriority(const Job& job, const NextObjective& objective, double now) {
   const wire::Priority priority = job.spec.priority;
   const bool has_attainable_objective = !objective.unattainable && !objective.best_effort;
@@ -74,15 +75,15 @@
   std::map<std::string, UnfinishedResources> unfinished;
   for (const auto& [id, job] : cluster_.jobs) {
     const double tasks = job->spec.tasks - job->done;
-    UnfinishedResources& of_team = unfinished[job->spec.team];
-    of_team.cpus += tasks * job->spec.cpus;
-    of_team.gpus += tasks * job->spec.gpus;
+    UnfinishedResources& resources = unfinished[job->spec.team];
+    resources.cpus += tasks * job->spec.cpus;
+    resources.gpus += tasks * job->spec.gpus;
   }
   TeamNames names;
   for (const auto& team : settings_.teams) {
-    const UnfinishedResources& of_team = unfinished[team.name];
+    const UnfinishedResources& resources = unfinished[team.name];
     const bool has_guarantee = team.cpus > 0 || team.gpus > 0;
-    if (has_guarantee && of_team.cpus <= team.cpus && of_team.gpus <= team.gpus) {
+    if (has_guarantee && resources.cpus <= team.cpus && resources.gpus <= team.gpus) {
       names.insert(team.name);
     }
   }
@@ -98,13 +99,14 @@
   entry.within_guarantee = within_guarantee.contains(job.spec.team);
   entry.unattainable = objective.unattainable;
   entry.level = static_cast<int>(priority);
-  // Low-priority work without an objective is for idle times.
+  // Low-priority jobs without an objective run when machines are otherwise idle.
   job.best_effort = priority == wire::Priority::kLow && objective.best_effort;
   if (job.best_effort) entry.level = kBestEffortLevel;
   if (objective.unattainable) {
     if (priority < wire::Priority::kHigh) entry.level = kUnattainableLevel;
-    // It may take any time now, so it goes after all that can meet an objective; but long tasks
-    // that begin last would hold machines, and the end of the day, for long.
+    // The job's completion time no longer matters, so it goes after all jobs that can meet an
+    // objective. Among such jobs the longest tasks go first: started last, they would keep machines
+    // in use, and delay the end of the whole workload.
     entry.virtual_deadline = -ExpectedRunS(job);
   } else {
     entry.virtual_deadline = VirtualDeadline(job, objective, pool_cpus);
@@ -116,9 +118,10 @@
   return entry;
 }
 
-// The nearest objective first, but a job that delays many others yields: with too much work, most
-// jobs then still meet their objectives. Objectives for starts count tasks, not jobs, so there is
-// nothing to gain by that; there, what is fetched sooner starts sooner.
+// The earliest deadline goes first, but a job's remaining work delays its virtual deadline: under
+// overload, large jobs then yield to many small ones, and most jobs still meet their objectives.
+// Objectives for starts count tasks, not jobs, so yielding by size gains nothing there; the image
+// fetch time delays the deadline instead, since tasks with a shorter fetch start sooner.
 double JobRanking::VirtualDeadline(const Job& job, const NextObjective& objective,
                                    double pool_cpus) const {
   const double deadline = job.submitted_at + objective.within_s;
--- a/src/scheduler/machine_filter.cc
+++ b/src/scheduler/machine_filter.cc
@@ -31,7 +31,7 @@
   if (failed == job.failed_on.end() || now - failed->second > settings_.agent_lease_s) {
     return std::nullopt;
   }
-  return MachineRejection::kFailedThereLately;
+  return MachineRejection::kRecentFailure;
 }
 
 std::optional<MachineRejection> MachineFilter::Check(const jobs::Job& job,
@@ -39,7 +39,7 @@
                                                      MachineTier tier, double now) const {
   if (!IsInTier(machine, tier)) return MachineRejection::kNotInTier;
   if (!machine.Fits(job.spec.cpus, job.spec.gpus, job.spec.memory_gb)) {
-    return MachineRejection::kNoRoom;
+    return MachineRejection::kInsufficientResources;
   }
   if (const auto rejection = CheckConstraints(job, machine, now)) return rejection;
   if (!reservation_.MayTake(job.spec, machine)) return MachineRejection::kReservedCapacity;
--- a/src/scheduler/overdue_first_tasks.cc
+++ b/src/scheduler/overdue_first_tasks.cc
@@ -10,13 +10,14 @@
 
 namespace {
 
-// The users' rule: whatever waits, the largest jobs of each class too begin within this.
-constexpr double kBeginWithinS = 240;
-// Share of that time after which a first task goes ahead of all other work.
+// Requirement: each job, the largest of a class included, starts its first task within this time,
+// whatever the load.
+constexpr double kFirstStartWithinS = 240;
+// Share of kFirstStartWithinS after which a first task goes ahead of all other work.
 constexpr double kOverdueShare = 0.5;
 
 bool IsOverdue(const Job& job, double now) {
-  const bool late = now - job.submitted_at > kOverdueShare * kBeginWithinS;
+  const bool late = now - job.submitted_at > kOverdueShare * kFirstStartWithinS;
   return late && !job.has_started && !job.crash_looping && job.done == 0 && job.placed() == 0;
 }
 
--- a/src/scheduler/placement_attempt.cc
+++ b/src/scheduler/placement_attempt.cc
@@ -33,13 +33,13 @@
 
 PlacementOutcome PlacementAttempt::Run() {
   if (remaining_ == 0) return PlacementOutcome::kSettled;
-  if (job_.spec.single_zone && !ChooseSingleZone()) return PlacementOutcome::kNoRoom;
+  if (job_.spec.single_zone && !ChooseSingleZone()) return PlacementOutcome::kNoCapacity;
   if (!job_.home_shard) job_.home_shard = ChooseHomeShard();
   for (const PlacementScope& scope : kScopesInOrder) {
     if (scope.tier == MachineTier::kCordoned && !IsUrgent()) break;
     if (PlaceInScope(scope) == PlacementOutcome::kSettled) return PlacementOutcome::kSettled;
   }
-  return PlacementOutcome::kNoRoom;
+  return PlacementOutcome::kNoCapacity;
 }
 
 PlacementOutcome PlacementAttempt::PlaceInScope(const PlacementScope& scope) {
@@ -52,7 +52,7 @@
     case wire::JobKind::kArray:
       return PlaceArray(*this, set, scope.tier);
   }
-  return PlacementOutcome::kNoRoom;
+  return PlacementOutcome::kNoCapacity;
 }
 
 bool PlacementAttempt::IsUrgent() const { return job_.spec.priority >= wire::Priority::kHigh; }
@@ -70,7 +70,7 @@
 
 bool PlacementAttempt::ChooseSingleZone() {
   single_zone_ = ZoneOfPlacedTasks();
-  if (single_zone_.empty()) single_zone_ = WidestZone();
+  if (single_zone_.empty()) single_zone_ = ZoneWithMostFreeCpus();
   return !single_zone_.empty();
 }
 
@@ -82,10 +82,10 @@
   return placed_zone;
 }
 
-std::string PlacementAttempt::WidestZone() const {
+std::string PlacementAttempt::ZoneWithMostFreeCpus() const {
   std::map<std::string, double> free_cpus;
   for (const Machine* machine : pool_) {
-    // Such a job isn't delegable.
+    // A job whose tasks must share a zone is not delegated to shard holders.
     if (machine->shard_lease != 0) continue;
     const bool fits = FitsInTier(*machine, MachineTier::kInService) ||
                       (IsUrgent() && FitsInTier(*machine, MachineTier::kCordoned));
@@ -93,10 +93,10 @@
       free_cpus[machine->zone] += machine->cpus - machine->used_cpus;
     }
   }
-  const auto widest =
+  const auto most_free =
       std::max_element(free_cpus.begin(), free_cpus.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
-  return widest == free_cpus.end() ? std::string() : widest->first;
+  return most_free == free_cpus.end() ? std::string() : most_free->first;
 }
 
 size_t PlacementAttempt::ChooseHomeShard() const {
@@ -107,8 +107,8 @@
       free_cpus[machine->shard] += machine->cpus - machine->used_cpus;
     }
   }
-  const auto widest = std::max_element(free_cpus.begin(), free_cpus.end());
-  return static_cast<size_t>(widest - free_cpus.begin());
+  const auto most_free = std::max_element(free_cpus.begin(), free_cpus.end());
+  return static_cast<size_t>(most_free - free_cpus.begin());
 }
 
 bool PlacementAttempt::IsInScope(const Machine& machine, const PlacementScope& scope) const {
@@ -117,7 +117,7 @@
   return scope.in_home_shard == (machine.shard == *job_.home_shard);
 }
 
-// The cap of layer locality and the machines' shares are those of the scope.
+// The cap of layer locality, and each machine's share of the layers, are relative to the scope.
 CandidateSet PlacementAttempt::CollectCandidates(const PlacementScope& scope) {
   CandidateSet set;
   for (size_t i = 0; i < pool_.size(); ++i) {
@@ -141,12 +141,13 @@
 }
 
 PlacementOutcome PlacementAttempt::PlaceOneByOne(const CandidateSet& set, MachineTier tier) {
-  // A gang is whole or not at all, whatever is reserved.
+  // A gang is placed whole or not at all. Its machines were filtered by the reservation as it stood
+  // before the gang; applying it to each task would leave a part of the gang placed.
   const bool respects_reservation = job_.spec.kind != wire::JobKind::kGang;
   LocalityPicker picker(set.candidates, set.scope_gb, set.scope_size, stages_.policy);
   while (remaining_ > 0) {
     const size_t best = picker.Best();
-    if (best == kNoMachine) return PlacementOutcome::kNoRoom;
+    if (best == kNoMachine) return PlacementOutcome::kNoCapacity;
     Machine& machine = MachineAt(best);
     const bool reserved = respects_reservation && !stages_.reservation.MayTake(job_.spec, machine);
     if (IsZoneFull(machine) || reserved) {
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -13,16 +13,17 @@
 
 namespace {
 
-// Share of its run time that a task without checkpoints may lose for higher work.
+// Share of its expected run time that a task without checkpoints may lose to preemption.
 constexpr double kMaxLossShare = 0.12;
-// Share of an objective for starts after which lower work is stopped.
-constexpr double kStartPatienceShare = 0.3;
-// What a start that has hardly saved anything loses, in checkpoint times.
+// Share of the time to an objective for starts after which a job preempts.
+constexpr double kStartDelayShare = 0.3;
+// Loss of a task that started too recently to have saved much work, in checkpoint durations.
 constexpr double kSettlingLossCheckpoints = 2;
-// Of losses alike, the lower work's weighs less: by this much for each level of priority.
+// Weight that each level of priority adds to a loss: of equal losses, the task of lower priority is
+// stopped.
 constexpr double kLossWeightPerPriority = 2;
 
-double RanS(const Allocation& allocation, double now) {
+double RunTimeS(const Allocation& allocation, double now) {
   return allocation.running_since > 0 ? now - allocation.running_since : 0;
 }
 
@@ -40,7 +41,7 @@
 
 double WeightedLoss(const Job& job, const Allocation& allocation, double now) {
   const double weight = 1 + kLossWeightPerPriority * static_cast<int>(job.spec.priority);
-  return LossS(job, RanS(allocation, now)) * allocation.cpus * weight;
+  return LossS(job, RunTimeS(allocation, now)) * allocation.cpus * weight;
 }
 
 }  // namespace
@@ -60,7 +61,7 @@
   std::optional<std::vector<Victim>> victims;
   for (const Job* job : ranked_jobs) {
     if (job->spec.priority < wire::Priority::kHigh) continue;
-    if (now - job->submitted_at < PatienceS(*job, now)) continue;
+    if (now - job->submitted_at < PreemptionDelayS(*job, now)) continue;
     double missing_cpus = static_cast<double>(start_gate_.PlaceableTasks(*job)) * job->spec.cpus;
     const double covered = std::min(missing_cpus, stopping_cpus);
     stopping_cpus -= covered;
@@ -82,14 +83,14 @@
   return cpus;
 }
 
-// With all machines full, room comes free all the time; by the next heartbeats most of this work
-// has it, and what was stopped for it would have lost its run in vain. Where heartbeats are slow,
-// that would be too late for what should start before the next.
-double Preemption::PatienceS(const Job& job, double now) const {
+// Tasks end all the time even when all machines are full. Until the next heartbeats most waiting
+// tasks get freed capacity, and a task stopped for one of them would lose its work for nothing. The
+// delay is therefore one heartbeat interval, unless a start objective ends within that interval.
+double Preemption::PreemptionDelayS(const Job& job, double now) const {
   const ServiceLevelObjectives::NextObjective objective = objectives_.Next(job, now);
   const double start_within_s = objective.within_s - ExpectedRunS(job);
   const bool starts_soon = objective.for_task_start && start_within_s <= settings_.heartbeat_s;
-  return starts_soon ? kStartPatienceShare * start_within_s : settings_.heartbeat_s;
+  return starts_soon ? kStartDelayShare * start_within_s : settings_.heartbeat_s;
 }
 
 std::vector<Preemption::Victim> Preemption::CollectVictims(double now) {
@@ -99,7 +100,7 @@
     for (auto& [key, allocation] : machine.allocations) {
       if (!IsStoppable(allocation)) continue;
       const Job* job = cluster_.FindJob(key.first.job);
-      // The stop of one task of a gang stops all.
+      // Stopping one task of a gang stops the whole gang.
       if (job == nullptr || job->spec.kind == wire::JobKind::kGang) continue;
       victims.push_back({WeightedLoss(*job, allocation, now), &machine, &allocation, job});
     }
@@ -114,13 +115,13 @@
   if (victim.allocation->stop_requested) return false;
   const wire::JobSpec& victim_spec = victim.job->spec;
   if (victim_spec.priority >= job.spec.priority) return false;
-  // Below its fair-share floor it would only be the next to start again.
+  // A task within its group's fair-share floor would be placed again at once.
   if (!fair_share_.MayPreempt(*victim.job, victim.allocation->cpus)) return false;
   if (!filter_.IsAllowedOn(job, *victim.machine, now)) return false;
-  // What takes no checkpoints loses all it has done: only worth it while that is little.
+  // A task without checkpoints loses all its work, so it is stopped only while that is little.
   const bool loses_all = victim_spec.checkpoint_interval_s <= 0;
   if (!loses_all || job.spec.priority == wire::Priority::kCritical) return true;
-  return RanS(*victim.allocation, now) <= kMaxLossShare * ExpectedRunS(*victim.job);
+  return RunTimeS(*victim.allocation, now) <= kMaxLossShare * ExpectedRunS(*victim.job);
 }
 
 void Preemption::StopVictimsFor(const Job& job, double missing_cpus, std::vector<Victim>& victims,
--- a/src/scheduler/service_level_objectives.cc
+++ b/src/scheduler/service_level_objectives.cc
@@ -5,49 +5,55 @@
 namespace mosspath::scheduler {
 namespace {
 
-constexpr double kNoAimLeases = 8;
-constexpr double kSettled = 2;  // checkpoints' intervals
+// Time within which a best-effort job is due, in agent lease times.
+constexpr double kBestEffortLeases = 8;
+// Run time below which a task counts as settling, in checkpoint intervals.
+constexpr double kSettlingCheckpointIntervals = 2;
 
 }  // namespace
 
 double ExpectedRunS(const jobs::Job& job) { return std::max(1.0, job.spec.estimated_run_s); }
 
-bool IsSettling(const jobs::Job& job, double ran) {
-  return ran < kSettled * job.spec.checkpoint_interval_s;
+bool IsSettling(const jobs::Job& job, double ran_s) {
+  return ran_s < kSettlingCheckpointIntervals * job.spec.checkpoint_interval_s;
 }
 
 ServiceLevelObjectives::ServiceLevelObjectives(const config::Settings& settings)
-    : best_effort_within_s_(settings.agent_lease_s * kNoAimLeases) {
-  for (const auto& o : settings.objectives) {
-    if (o.kind == "finished" && o.within_s > 0) finish_[o.job_class].insert(o.within_s);
-    if (o.kind == "wait" && o.within_s > 0) start_[o.job_class].insert(o.within_s);
-    if (o.kind == "deadline" && o.times > 0) deadline_times_[o.job_class].insert(o.times);
+    : best_effort_within_s_(settings.agent_lease_s * kBestEffortLeases) {
+  for (const auto& objective : settings.objectives) {
+    if (objective.kind == "finished" && objective.within_s > 0)
+      finish_within_s_[objective.job_class].insert(objective.within_s);
+    if (objective.kind == "wait" && objective.within_s > 0)
+      start_within_s_[objective.job_class].insert(objective.within_s);
+    if (objective.kind == "deadline" && objective.times > 0)
+      deadline_factors_[objective.job_class].insert(objective.times);
   }
 }
 
 ServiceLevelObjectives::NextObjective ServiceLevelObjectives::Next(const jobs::Job& job,
                                                                    double now) const {
-  const double run = ExpectedRunS(job);
-  const double age = now - job.submitted_at;
-  double last = -1;
+  const double run_s = ExpectedRunS(job);
+  const double age_s = now - job.submitted_at;
+  double latest_s = -1;
   NextObjective next{true, -1, false};
-  const auto consider = [&](double due, bool start = false) {
-    last = std::max(last, due);
-    if (age + run <= due && (next.unattainable || due < next.within_s)) next = {false, due, start};
+  const auto consider = [&](double due_s, bool for_task_start = false) {
+    latest_s = std::max(latest_s, due_s);
+    if (age_s + run_s <= due_s && (next.unattainable || due_s < next.within_s))
+      next = {false, due_s, for_task_start};
   };
-  const auto times = deadline_times_.find(job.spec.job_class);
-  if (job.spec.deadline_s && times == deadline_times_.end()) consider(*job.spec.deadline_s);
-  if (job.spec.deadline_s && times != deadline_times_.end()) {
-    for (double t : times->second) consider(t * *job.spec.deadline_s);
+  const auto factors = deadline_factors_.find(job.spec.job_class);
+  if (job.spec.deadline_s && factors == deadline_factors_.end()) consider(*job.spec.deadline_s);
+  if (job.spec.deadline_s && factors != deadline_factors_.end()) {
+    for (double factor : factors->second) consider(factor * *job.spec.deadline_s);
   }
-  if (auto it = finish_.find(job.spec.job_class); it != finish_.end()) {
-    for (double within : it->second) consider(within);
+  if (auto it = finish_within_s_.find(job.spec.job_class); it != finish_within_s_.end()) {
+    for (double limit_s : it->second) consider(limit_s);
   }
-  if (auto it = start_.find(job.spec.job_class); it != start_.end()) {
-    for (double within : it->second) consider(within + run, true);
+  if (auto it = start_within_s_.find(job.spec.job_class); it != start_within_s_.end()) {
+    for (double limit_s : it->second) consider(limit_s + run_s, true);
   }
-  if (last < 0) return {false, best_effort_within_s_, false, /*none=*/true};
-  if (next.unattainable) next.within_s = last;
+  if (latest_s < 0) return {false, best_effort_within_s_, false, /*best_effort=*/true};
+  if (next.unattainable) next.within_s = latest_s;
   return next;
 }
 
--- a/src/scheduler/service_placement.cc
+++ b/src/scheduler/service_placement.cc
@@ -7,7 +7,7 @@
 
 using cluster::Machine;
 
-// False: the job starts nothing more.
+// Places at most one replica on each machine. Returns false if the job may start no more tasks.
 bool PlaceOnDistinctMachines(PlacementAttempt& attempt, CandidateSet& set, MachineTier tier) {
   const PlacementStages& stages = attempt.stages();
   const std::vector<size_t> chosen = BestDistinctMachines(
@@ -16,9 +16,9 @@
     Machine& machine = attempt.MachineAt(index);
     if (!attempt.FitsInTier(machine, tier) || attempt.IsZoneFull(machine)) continue;
     if (!stages.reservation.MayTake(attempt.job().spec, machine)) continue;
-    const double held_before_gb = machine.image_cache.size_gb();
+    const double layers_before_gb = machine.image_cache.size_gb();
     if (!attempt.Bind(machine)) return false;
-    set.scope_gb += machine.image_cache.size_gb() - held_before_gb;
+    set.scope_gb += machine.image_cache.size_gb() - layers_before_gb;
   }
   return true;
 }
@@ -29,14 +29,14 @@
     candidate.missing_gb =
         MissingImageGb(attempt.job(), machine, attempt.stages().cluster.machine_types);
     candidate.held_gb = machine.image_cache.size_gb();
-    candidate.has_room = attempt.FitsInTier(machine, tier);
+    candidate.has_capacity = attempt.FitsInTier(machine, tier);
   }
 }
 
 }  // namespace
 
 PlacementOutcome PlaceService(PlacementAttempt& attempt, CandidateSet& set, MachineTier tier) {
-  if (set.candidates.empty()) return PlacementOutcome::kNoRoom;
+  if (set.candidates.empty()) return PlacementOutcome::kNoCapacity;
   if (!attempt.HasDurableStartMarker()) return PlacementOutcome::kSettled;
   if (!PlaceOnDistinctMachines(attempt, set, tier)) return PlacementOutcome::kSettled;
   RefreshCandidates(attempt, set, tier);
--- a/src/scheduler/task_binder.cc
+++ b/src/scheduler/task_binder.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-// An attempt is the token followed by a count under that token, so none is ever used again and
-// those of later leaders are higher.
+// An attempt number is the fencing token followed by the task's attempt count under that token, so
+// no number is reused and the numbers of later leaders are higher.
 constexpr int kAttemptBits = 16;
 constexpr uint16_t kMaxAttempts = 0xffff;
-// Later than any time that a leadership sees.
+// Later than any time within one leadership.
 constexpr double kDistantFuture = 1e18;
 
 Allocation MakeAllocation(const Job& job, double now) {
@@ -64,7 +64,7 @@
 bool TaskBinder::BindToMachine(Job& job, uint32_t index, Machine& machine, double now) {
   jobs::Task& task = job.tasks[index];
   if (task.attempts == kMaxAttempts) {
-    // Cannot happen within a leadership's life; an attempt number is never used again.
+    // Not expected within one leadership; the guard keeps an attempt number from being reused.
     job.not_before = kDistantFuture;
     return false;
   }
--- a/src/scheduler/task_migration.cc
+++ b/src/scheduler/task_migration.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-// A task is moved only if it has this many times as long to run as its move costs.
+// A move is worthwhile if a task's remaining run time is more than this many times its move cost.
 constexpr double kMinRunPerMoveCost = 2;
-// The time until a machine is reclaimed may be shorter than its notice says by this factor.
+// Factor by which the time until a machine is reclaimed may be shorter than announced.
 constexpr double kNoticeErrorFactor = 2;
-// Heartbeat intervals that a stop may take to reach its task, beside the checkpoint.
+// Heartbeat intervals that a stop may take to reach its task, in addition to the checkpoint.
 constexpr double kStopDelayHeartbeats = 2;
 
 }  // namespace
@@ -64,8 +64,8 @@
 bool TaskMigration::IsMovable(const Job& job, const wire::TaskId& task,
                               const Allocation& allocation, double now) const {
   if (allocation.stop_requested || allocation.reported != wire::TaskState::kRunning) return false;
-  // Each task is moved once at most: which machines drain changes all the time, and every move
-  // costs the task time.
+  // Each task is moved at most once: the set of draining machines changes often, and each move
+  // costs the task run time.
   if (job.tasks[task.index].migrated) return false;
   if (job.spec.checkpoint_interval_s <= 0 || job.spec.kind == wire::JobKind::kGang) return false;
   return !IsSettling(job, now - allocation.running_since);
@@ -112,8 +112,8 @@
 
 bool TaskMigration::MustSaveNow(const Machine& machine, const Job& job, double now) const {
   if (!machine.reclaim_at || job.spec.checkpoint_interval_s <= 0) return false;
-  const double certain_s = (*machine.reclaim_at - now) / kNoticeErrorFactor;
-  return certain_s <
+  const double min_remaining_s = (*machine.reclaim_at - now) / kNoticeErrorFactor;
+  return min_remaining_s <
          job.spec.checkpoint_duration_s + kStopDelayHeartbeats * state_.settings.heartbeat_s;
 }
 
--- a/src/scheduler/task_placer.cc
+++ b/src/scheduler/task_placer.cc
@@ -79,8 +79,8 @@
   return pool;
 }
 
-// A machine must be in the durable record before anything is started on it. A new one goes to the
-// holder of its shard at once.
+// A machine must be in the durable record before a task is started on it. A new machine is handed
+// over at once if the holder of its shard is ready.
 bool TaskPlacer::RecordMachine(Machine& machine, double now) {
   if (machine.in_record) return true;
   const uint64_t lease = shard_leases_.ReadyLeaseOf(shard_map_.ShardOf(machine.id, machine.zone));
@@ -121,21 +121,22 @@
 void TaskPlacer::PlaceInOrder(const MachinePool& pool, UnplaceableSpecs& unplaceable, double now) {
   bool objective_waits = false;
   for (Job* job : waiting_jobs_) {
-    // Small best-effort tasks would fill every hole before it is large enough for another's.
+    // Small best-effort tasks would take all freed capacity before there is enough of it for a
+    // larger task with an objective.
     if (job->best_effort && objective_waits) continue;
     const PlacementOutcome outcome = PlaceJob(*job, job->spec.tasks, pool, unplaceable, now);
-    if (outcome == PlacementOutcome::kNoRoom && job->can_meet_objective) objective_waits = true;
+    if (outcome == PlacementOutcome::kNoCapacity && job->can_meet_objective) objective_waits = true;
   }
 }
 
 PlacementOutcome TaskPlacer::PlaceJob(Job& job, size_t max_tasks, const MachinePool& pool,
                                       UnplaceableSpecs& unplaceable, double now) {
-  if (unplaceable.Covers(job.spec)) return PlacementOutcome::kNoRoom;
+  if (unplaceable.Covers(job.spec)) return PlacementOutcome::kNoCapacity;
   ++placement_attempts_;
   PlacementAttempt attempt(stages_, job, pool, max_tasks, now);
   const PlacementOutcome outcome = attempt.Run();
   candidates_scored_ += attempt.candidates_scored();
-  if (outcome == PlacementOutcome::kNoRoom) unplaceable.Add(job);
+  if (outcome == PlacementOutcome::kNoCapacity) unplaceable.Add(job);
   return outcome;
 }
 
--- a/src/scheduler/unplaceable_specs.cc
+++ b/src/scheduler/unplaceable_specs.cc
@@ -13,7 +13,8 @@
          !spec.zone && !spec.types && job.failed_on.empty();
 }
 
-// Urgent work may use more machines, so what others did not find says nothing about it.
+// Jobs of high priority and above may use cordoned machines too, so the failure of a job of lower
+// priority doesn't rule them out.
 bool NeedsAtLeast(const wire::JobSpec& spec, const wire::JobSpec& failed) {
   return failed.spot_allowed == spec.spot_allowed && spec.cpus >= failed.cpus &&
          spec.gpus >= failed.gpus && spec.memory_gb >= failed.memory_gb &&
--- a/tests/capacity_reservation_test.cc
+++ b/tests/capacity_reservation_test.cc
@@ -1,4 +1,4 @@
-// Capacity that is reserved on on-demand machines for urgent jobs.
+// The capacity of on-demand machines that is reserved for urgent jobs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 using CapacityReservationTest = SchedulerTest;
 
-// Services that may run on on-demand machines only waited for a minute while array jobs, which may
-// use spot machines too, filled all capacity of the on-demand ones.
+// Array jobs that may use spot machines filled all capacity of the on-demand machines, and services
+// that may use only those waited for a minute.
 TEST_F(CapacityReservationTest, CapacityIsReservedForUrgentJobsThatMayNotUseSpotMachines) {
   AddReadyMachine("vm-1", 0);
   AddReadyMachine("vm-2", 0);
@@ -22,10 +22,10 @@
   const auto starts = [&](double now) {
     return Starts(SendHeartbeat("vm-1", now)).size() + Starts(SendHeartbeat("vm-2", now)).size();
   };
-  // Of eight CPUs the urgent job takes two, and two are reserved for the next one.
+  // Of eight CPUs the urgent job uses two, and two are reserved for the next urgent job.
   EXPECT_EQ(starts(2), 6u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 2u);
-  // The next one comes, and finds them.
+  // The next urgent job uses the reserved CPUs.
   scheduler_.AddJob(Job(3, 2, 1, wire::Priority::kHigh), 13, 3);
   EXPECT_EQ(starts(3.5), 2u);
   EXPECT_EQ(scheduler_.Counts("req-3").running, 2u);
@@ -58,7 +58,8 @@
   EXPECT_EQ(scheduler_.Counts("req-4").running, 0u);
 }
 
-// Reserved capacity is rented ahead of the jobs that it is for, and not returned.
+// Machines for reserved capacity are rented before the jobs that need it arrive, and kept while the
+// reservation lasts.
 TEST_F(CapacityReservationTest, OnDemandMachinesAreKeptForTheNextUrgentJob) {
   type_.spot_price = 0.3;
   scheduler_.SetMachineTypes({type_});
@@ -72,8 +73,7 @@
   AddReadyMachine("vm-2", 3);
   EXPECT_TRUE(scheduler_.PlanScaling(4).scale_in.empty());
   SendHeartbeat("vm-2", 2 * type_.boot_s);
-  const auto later =
-      scheduler_.PlanScaling(2 + 2 * type_.boot_s).scale_in;  // no urgent job came lately
+  const auto later = scheduler_.PlanScaling(2 + 2 * type_.boot_s).scale_in;  // no recent urgent job
   EXPECT_NE(std::find(later.begin(), later.end(), "vm-2"), later.end());
 }
 
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -1,4 +1,4 @@
-// Fair shares: each team and class holds its floor, however much work of others waits.
+// Fair share: each team and class holds its floor, however much work of others waits.
 #include "mosspath/scheduler/fair_share.h"
 
 #include <gtest/gtest.h>
@@ -21,22 +21,21 @@
   return job;
 }
 
-// The deficit of a team or class is what its floor exceeds its use by, however much work of others
-// is pending.
+// The deficit of a team or class is its floor less its use, however much work of others is pending.
 TEST(FairShareTest, EachTeamAndClassHasADeficitUpToItsFloor) {
-  FairShare fair_share({{"desk", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}, {"sure", 300, 0, 0, 0}});
+  FairShare fair_share({{"desk", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}, {"guaranteed", 300, 0, 0, 0}});
   fair_share.Configure(0.15, {});
   const auto urgent = PendingJob("desk", "urgent", 5000, 900);
   const auto low = PendingJob("desk", "low", 5000, 10);
   const auto guest = PendingJob("guest", "g", 5000, 20);
-  const auto sure = PendingJob("sure", "s", 5000, 70);
+  const auto guaranteed = PendingJob("guaranteed", "s", 5000, 70);
   fair_share.BeginPass(1000);
-  for (const auto* job : {&urgent, &low, &guest, &sure}) fair_share.AddJob(*job, true);
+  for (const auto* job : {&urgent, &low, &guest, &guaranteed}) fair_share.AddJob(*job, true);
   fair_share.ComputeFloors();
   EXPECT_EQ(fair_share.DeficitCpus(urgent), 0);
   EXPECT_NEAR(fair_share.DeficitCpus(low), 0.15 * 910 / 2 - 10, 1e-9);
   EXPECT_NEAR(fair_share.DeficitCpus(guest), 50 - 20, 1e-9);
-  EXPECT_NEAR(fair_share.DeficitCpus(sure), 300 - 70, 1e-9);  // its guarantee
+  EXPECT_NEAR(fair_share.DeficitCpus(guaranteed), 300 - 70, 1e-9);  // its guarantee
   for (int i = 0; i < 30; ++i) fair_share.OnAllocated(guest, 1);
   EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
   EXPECT_FALSE(fair_share.MayPreempt(guest, 1));
@@ -50,13 +49,13 @@
   EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
   fair_share.Configure(0, {});
   fair_share.BeginPass(1000);
-  for (const auto* job : {&urgent, &low, &guest, &sure}) fair_share.AddJob(*job, true);
+  for (const auto* job : {&urgent, &low, &guest, &guaranteed}) fair_share.AddJob(*job, true);
   fair_share.ComputeFloors();
   EXPECT_FALSE(fair_share.has_deficit());
 }
 
-// However many urgent tasks are pending, a team holds its floor: when all machines have capacity,
-// when capacity is freed on one, and against preemption.
+// However many urgent tasks are pending, a team holds its floor: in a placement pass, when capacity
+// is freed on one machine, and against preemption.
 class FairShareSchedulingTest : public SchedulerTest {
  protected:
   FairShareSchedulingTest() {
@@ -75,7 +74,7 @@
   uint32_t RunningTasks(int number) {
     return scheduler_.FindJob("req-" + std::to_string(number))->placed();
   }
-  // The statuses of the tasks that the answer to a heartbeat starts.
+  // Sends a heartbeat and returns the statuses of the tasks that the response starts.
   std::vector<wire::TaskStatus> StartedTasks(const std::string& id, double now) {
     std::vector<wire::TaskStatus> tasks;
     for (const auto& command : Starts(SendHeartbeat(id, now))) {
@@ -102,7 +101,7 @@
   AddGuestJob(10, 2);
   SendHeartbeat("vm-1", 3, tasks);
   EXPECT_EQ(RunningTasks(2), 0u);
-  // The job has waited long enough to be worth an image fetch.
+  // By now the job has waited long enough for an image fetch to be acceptable.
   for (int i : {0, 1, 2}) {
     test::MarkExited(tasks[static_cast<size_t>(i)], wire::ExitReason::kSucceeded);
   }
@@ -114,16 +113,16 @@
 
 TEST_F(FairShareSchedulingTest, TasksWithinATeamsFloorAreNotPreempted) {
   AddGuestJob(10, 1);
-  const auto one = StartedTasks("vm-1", 2);
-  const auto two = StartedTasks("vm-2", 2);
-  ASSERT_EQ(one.size() + two.size(), 8u);
-  SendHeartbeat("vm-1", 3, one);
-  SendHeartbeat("vm-2", 3, two);
+  const auto running_1 = StartedTasks("vm-1", 2);
+  const auto running_2 = StartedTasks("vm-2", 2);
+  ASSERT_EQ(running_1.size() + running_2.size(), 8u);
+  SendHeartbeat("vm-1", 3, running_1);
+  SendHeartbeat("vm-2", 3, running_2);
   scheduler_.AddJob(Job(1, 40, 1, wire::Priority::kHigh), 11, 3);
   scheduler_.Tick(3.1 + settings_.heartbeat_s);
-  EXPECT_EQ(
-      Stops(SendHeartbeat("vm-1", 6, one)).size() + Stops(SendHeartbeat("vm-2", 6, two)).size(),
-      6u);
+  EXPECT_EQ(Stops(SendHeartbeat("vm-1", 6, running_1)).size() +
+                Stops(SendHeartbeat("vm-2", 6, running_2)).size(),
+            6u);
 }
 
 }  // namespace
--- a/tests/locality_test.cc
+++ b/tests/locality_test.cc
@@ -1,5 +1,5 @@
-// Placement by image locality: the fast choice against a slow plain model of the paper's
-// Algorithm 1 with the constraint and score of its section 3.4.
+// Layer locality: the choice of machines compared with a slow reference model of the paper's
+// Algorithm 1, with the constraint and score of its section 3.4.
 #include "mosspath/scheduler/locality.h"
 
 #include <gtest/gtest.h>
@@ -14,12 +14,12 @@
 namespace {
 
 // A machine of the reference model: the sizes in GB of the image layers that it holds, by name.
-struct PlainMachine {
+struct ReferenceMachine {
   std::map<std::string, double> layers;
   bool room = true;
 };
 
-double PlainShare(const std::vector<PlainMachine>& pool, size_t m) {
+double ReferenceShare(const std::vector<ReferenceMachine>& pool, size_t m) {
   double all = 0, own = 0;
   for (size_t i = 0; i < pool.size(); ++i) {
     for (const auto& [name, gb] : pool[i].layers) {
@@ -30,20 +30,21 @@
   return all > 0 ? own / all : 0;
 }
 
-double PlainMissing(const PlainMachine& m, const std::map<std::string, double>& image) {
+double ReferenceMissingGb(const ReferenceMachine& m, const std::map<std::string, double>& image) {
   double gb = 0;
   for (const auto& [name, size] : image) gb += m.layers.contains(name) ? 0 : size;
   return gb;
 }
 
-std::vector<size_t> PlainAlgorithm1(const std::vector<PlainMachine>& pool,
-                                    const std::map<std::string, double>& image, size_t replicas,
-                                    const LocalityPolicy& policy) {
+std::vector<size_t> ReferenceAlgorithm1(const std::vector<ReferenceMachine>& pool,
+                                        const std::map<std::string, double>& image, size_t replicas,
+                                        const LocalityPolicy& policy) {
   std::vector<size_t> eligible;
   for (size_t m = 0; m < pool.size(); ++m) {
-    const bool adds_nothing = PlainMissing(pool[m], image) == 0;  // see ALargeImageOfAnotherTeam...
+    const bool adds_nothing =
+        ReferenceMissingGb(pool[m], image) == 0;  // see ALargeImageOfAnotherTeam...
     const double cap = policy.gamma / static_cast<double>(pool.size());
-    if (pool[m].room && (adds_nothing || PlainShare(pool, m) <= cap)) {
+    if (pool[m].room && (adds_nothing || ReferenceShare(pool, m) <= cap)) {
       eligible.push_back(m);
     }
   }
@@ -53,7 +54,7 @@
     }
   }
   const auto score = [&](size_t m) {
-    return -PlainMissing(pool[m], image) - policy.epsilon * PlainShare(pool, m);
+    return -ReferenceMissingGb(pool[m], image) - policy.epsilon * ReferenceShare(pool, m);
   };
   std::stable_sort(eligible.begin(), eligible.end(),
                    [&](size_t a, size_t b) { return score(a) > score(b); });
@@ -68,7 +69,7 @@
   std::mt19937_64 random(7);
   for (int round = 0; round < 2000; ++round) {
     const LocalityPolicy policy{1.0 + static_cast<double>(random() % 20) / 10, 1e-3};
-    std::vector<PlainMachine> pool(1 + random() % 9);
+    std::vector<ReferenceMachine> pool(1 + random() % 9);
     for (auto& m : pool) {
       for (int l = 0; l < 6; ++l) {
         if (random() % 3 == 0) m.layers["l" + std::to_string(l)] = 0.25 * (1 + l);
@@ -79,55 +80,55 @@
     for (int l = 0; l < 6; ++l) {
       if (random() % 2 == 0) image["l" + std::to_string(l)] = 0.25 * (1 + l);
     }
-    double pool_gb = 0;
+    double total_gb = 0;
     std::vector<Candidate> candidates;
     for (size_t m = 0; m < pool.size(); ++m) {
       double held = 0;
       for (const auto& [name, gb] : pool[m].layers) held += gb;
-      pool_gb += held;
-      candidates.push_back({m, PlainMissing(pool[m], image), held, pool[m].room});
+      total_gb += held;
+      candidates.push_back({m, ReferenceMissingGb(pool[m], image), held, pool[m].room});
     }
     const size_t replicas = 1 + random() % 5;
-    const auto expected = PlainAlgorithm1(pool, image, replicas, policy);
-    EXPECT_EQ(BestDistinctMachines(candidates, replicas, pool_gb, pool.size(), policy), expected);
-    const size_t best = BestMachine(candidates, pool_gb, pool.size(), policy);
+    const auto expected = ReferenceAlgorithm1(pool, image, replicas, policy);
+    EXPECT_EQ(BestDistinctMachines(candidates, replicas, total_gb, pool.size(), policy), expected);
+    const size_t best = BestMachine(candidates, total_gb, pool.size(), policy);
     EXPECT_EQ(best, expected.empty() ? kNoMachine : expected.front());
   }
 }
 
-// Task after task, the incremental choice is the one that a scan of all machines makes.
+// The picker makes the same choice for each task as a scan of all machines.
 TEST(LocalityTest, ThePickerChoosesAsBestMachineDoes) {
   std::mt19937_64 random(8);
   for (int round = 0; round < 3000; ++round) {
     const LocalityPolicy policy{1.0 + static_cast<double>(random() % 20) / 10, 1e-3};
     std::vector<Candidate> all(1 + random() % 30);
     std::vector<int> free_tasks(all.size());
-    double pool_gb = 0;
+    double total_gb = 0;
     for (size_t m = 0; m < all.size(); ++m) {
       free_tasks[m] = static_cast<int>(random() % 4);
       all[m] = {m, 0.5 * static_cast<double>(random() % 3),
                 0.25 * static_cast<double>(random() % 60), free_tasks[m] > 0};
-      pool_gb += all[m].held_gb;
+      total_gb += all[m].held_gb;
     }
-    LocalityPicker picker(all, pool_gb, all.size(), policy);
+    LocalityPicker picker(all, total_gb, all.size(), policy);
     for (int task = 0; task < 60; ++task) {
-      const size_t expected = BestMachine(all, pool_gb, all.size(), policy);
+      const size_t expected = BestMachine(all, total_gb, all.size(), policy);
       ASSERT_EQ(picker.Best(), expected) << "round " << round << " task " << task;
       if (expected == kNoMachine) break;
       Candidate& best = all[expected];
       if (random() % 5 == 0) {
-        best.has_room = false;
+        best.has_capacity = false;
         picker.DropBest();
         continue;
       }
-      // The image is fetched; others may be evicted.
+      // The image is fetched; other images may be evicted.
       const double held =
           std::max(0.5, best.held_gb + best.missing_gb - 0.25 * static_cast<double>(random() % 4));
-      pool_gb += held - best.held_gb;
+      total_gb += held - best.held_gb;
       best.held_gb = held;
       best.missing_gb = 0;
-      best.has_room = --free_tasks[expected] > 0;
-      picker.OnPlaced(held, best.has_room);
+      best.has_capacity = --free_tasks[expected] > 0;
+      picker.OnPlaced(held, best.has_capacity);
     }
   }
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,4 +1,4 @@
-// Which tasks the scheduler starts, in which order and on which machines.
+// Placement: which tasks start, in which order and on which machines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 
 using PlacementTest = SchedulerTest;
 
-// Large jobs yield, and jobs that can meet no objective go last: under several times the load that
-// the machines can carry, the largest job of a class started after minutes. One task of each job
-// now goes ahead of all others in time.
+// In queue order, large jobs and jobs that can meet no objective come last. Under several times the
+// load that the machines can carry, the largest job of a class started after minutes. One task of
+// an overdue job therefore goes ahead of all other work.
 TEST_F(PlacementTest, EachJobStartsItsFirstTaskInTimeUnderOverload) {
   AddReadyMachine("vm-1", 0);
   auto large = Job(1, 500, 1, wire::Priority::kLow);
@@ -29,7 +29,7 @@
       running.push_back(test::Running(command));
       if (started_at == 0 && command.task.job == "req-1") started_at = now;
     }
-    // One ends, without a result.
+    // One task disappears from the heartbeat without a result.
     if (running.size() >= 4) running.erase(running.begin());
   }
   EXPECT_GT(started_at, 100);
@@ -55,14 +55,13 @@
             3);
 }
 
-// Best-effort work of another team, which has no objective, was placed before low-priority jobs
-// that have one.
+// Best-effort jobs, which have no objective, were placed before low-priority jobs with one.
 TEST_F(PlacementTest, LowPriorityJobsWithoutAnObjectiveArePlacedLast) {
   AddReadyMachine("vm-1", 50);
   scheduler_.AddJob(Job(1, 4, 1, wire::Priority::kLow), 11, 0);
-  auto aimed = Job(2, 3, 1, wire::Priority::kLow);
-  aimed.job_class = "aimed";
-  scheduler_.AddJob(aimed, 12, 50);
+  auto with_objective = Job(2, 3, 1, wire::Priority::kLow);
+  with_objective.job_class = "aimed";
+  scheduler_.AddJob(with_objective, 12, 50);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 51)).size(), 4u);
   EXPECT_EQ(scheduler_.Counts("req-2").running, 3u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
@@ -108,10 +107,10 @@
   for (const auto& command : Starts(SendHeartbeat("vm-1", 1))) {
     running.push_back(test::Running(command));
   }
-  ASSERT_EQ(running.size(), 2u);  // 1 of 4 CPUs is left
-  auto aimed = Job(2, 1, 2, wire::Priority::kLow);
-  aimed.job_class = "aimed";
-  scheduler_.AddJob(aimed, 12, 0);
+  ASSERT_EQ(running.size(), 2u);  // 1 of 4 CPUs is free
+  auto with_objective = Job(2, 1, 2, wire::Priority::kLow);
+  with_objective.job_class = "aimed";
+  scheduler_.AddJob(with_objective, 12, 0);
   scheduler_.AddJob(Job(3, 5, 1, wire::Priority::kLow), 13, 0);
   EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 2, running)).empty());
   test::MarkExited(running[0], wire::ExitReason::kSucceeded);
@@ -140,7 +139,7 @@
     std::vector<wire::TaskStatus> refused;
     for (const auto& command : Starts(SendHeartbeat("vm-1", ++now))) {
       EXPECT_TRUE(attempts.insert(command.attempt).second);
-      // Every second start is lost, the others are refused.
+      // Every second start is lost; all other starts are refused.
       if (attempts.size() % 2 == 0) continue;
       refused.push_back(test::Exited(command, wire::ExitReason::kInsufficientResources));
     }
@@ -161,8 +160,9 @@
   EXPECT_EQ(Forgets(SendHeartbeat("vm-1", 3, done)).size(), 1u);
 }
 
-// At the largest size, placing an array scores each machine about once, tasks that fit nowhere cost
-// no more, and the records stay within the size limits of a value and of a request.
+// At the largest size, placing an array filters each machine about once, further jobs that fit
+// nowhere filter no more machines, and records stay within the size limits of a value and a
+// request.
 class LargestClusterTest : public SchedulerTest, public ::testing::WithParamInterface<size_t> {};
 
 TEST_P(LargestClusterTest, WorkIsBounded) {
@@ -183,7 +183,7 @@
     EXPECT_LE(bytes, size_t{48} << 10);
     scheduler_.OnRecordsWritten(1, 0);
   }
-  EXPECT_LE(writes, 1 + machines / 170);  // a machine's entry takes about thirty bytes
+  EXPECT_LE(writes, 1 + machines / 170);  // a machine's entry takes about 30 bytes
   uint64_t scored = scheduler_.candidates_scored();
   scheduler_.AddJob(Job(1, 700, 1, wire::Priority::kNormal), 11, 0);
   scheduler_.Place(2);
@@ -197,7 +197,7 @@
     scheduler_.AddJob(Job(100 + i, 600, 1, wire::Priority::kNormal), 11, 0);
   scheduler_.Place(4);
   EXPECT_LE(scheduler_.candidates_scored() - scored, machines);
-  // A heartbeat refills its own machine and scores no other.
+  // A heartbeat refills its own machine and filters no other.
   scored = scheduler_.candidates_scored();
   SendHeartbeat(ids[0], 5);
   EXPECT_LE(scheduler_.candidates_scored() - scored, machines);
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -1,4 +1,4 @@
-// When tasks of lower priority are preempted.
+// Preemption of tasks of lower priority.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -8,8 +8,8 @@
 
 using PreemptionTest = SchedulerTest;
 
-// With a long heartbeat interval, waiting for a heartbeat before stopping a task missed the
-// objective for starts.
+// Preemption waits for one heartbeat interval. With a long interval that wait missed the objective
+// for starts.
 TEST_F(PreemptionTest, PreemptionDoesNotWaitForSlowHeartbeats) {
   settings_.heartbeat_s = 8;
   settings_.agent_lease_s = 36;
