--- a/include/mosspath/scheduler/service_level_objectives.h
+++ b/include/mosspath/scheduler/service_level_objectives.h
@@ -12,8 +12,8 @@
 
 // Returns the seconds that a task of the job is expected to run.
 double ExpectedRunS(const jobs::Job& job);
-// Returns whether a task that has run for `ran_s` seconds is too recently started to have saved
-// much work by checkpoints. Stopping such a task wastes the start.
+// Returns whether a task that has run for `ran_s` seconds started too recently to have saved much
+// work in checkpoints. Stopping such a task wastes its start.
 bool IsSettling(const jobs::Job& job, double ran_s);
 
 // Finds the objectives that a job can still meet. Immutable; durations are in seconds.
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -11,7 +11,7 @@
 
 // Share of the budget that is assured to all teams together.
 constexpr double kAssuredShare = 0.25;
-// Share of a controller's free budget for teams that exceed their assured part.
+// Fraction of a controller's share that jobs of teams beyond their assured part may fill.
 constexpr double kUnassuredShare = 0.5;
 // Time constant of the decay of `ended_tasks_`, in multiples of max_retry_s.
 constexpr double kEndRateWindowRetries = 8;
