--- a/include/mosspath/scheduler/holder_role.h
+++ b/include/mosspath/scheduler/holder_role.h
@@ -17,7 +17,7 @@
   bool AcceptsUnknownMachines() const override { return false; }
   bool ProbesAtAllTimes() const override { return true; }
   bool ReceivesMachineLists() const override { return false; }
-  void OnDeliverySuspected(cluster::Machine& machine) override;
+  void OnDeliveryFailureSuspected(cluster::Machine& machine) override;
   // The leader is told in the next round of returns, so the machine stays until then.
   bool OnMachineLost(cluster::Machine& /*machine*/) override { return false; }
   void OnJobRemoved(const jobs::Job& job) override;
--- a/include/mosspath/scheduler/leader_role.h
+++ b/include/mosspath/scheduler/leader_role.h
@@ -17,7 +17,7 @@
   bool AcceptsUnknownMachines() const override { return true; }
   bool ProbesAtAllTimes() const override { return false; }
   bool ReceivesMachineLists() const override { return true; }
-  void OnDeliverySuspected(cluster::Machine& machine) override;
+  void OnDeliveryFailureSuspected(cluster::Machine& machine) override;
   bool OnMachineLost(cluster::Machine& machine) override;
   void OnJobRemoved(const jobs::Job& job) override;
   void OnTaskDone(const jobs::Job& job, uint32_t index) override;
--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -32,7 +32,7 @@
   void OnRecordDurable(cluster::Machine& machine, uint64_t revision);
   // The machine's heartbeats arrive, but what it is answered seems not to reach it. A heartbeat
   // proves nothing about the way back, and a single answer may be lost on any day.
-  void OnDeliverySuspected(cluster::Machine& machine);
+  void OnDeliveryFailureSuspected(cluster::Machine& machine);
 
   // --- Machines go ---
 
--- a/include/mosspath/scheduler/role.h
+++ b/include/mosspath/scheduler/role.h
@@ -28,7 +28,7 @@
   // another machine can be ruled out.
   virtual bool ReceivesMachineLists() const = 0;
   // The machine's heartbeats arrive, but what it is answered seems not to reach it.
-  virtual void OnDeliverySuspected(cluster::Machine& machine) = 0;
+  virtual void OnDeliveryFailureSuspected(cluster::Machine& machine) = 0;
   // The agent's lease has expired, and nothing runs on the machine any more. Returns whether the
   // machine may be forgotten once nothing else is known of it.
   virtual bool OnMachineLost(cluster::Machine& machine) = 0;
--- a/src/scheduler/holder_role.cc
+++ b/src/scheduler/holder_role.cc
@@ -10,7 +10,7 @@
 using Kind = wire::ShardMessage::Kind;
 
 // Only the leader raises tokens, so the machine is emptied and returned.
-void HolderRole::OnDeliverySuspected(Machine& machine) {
+void HolderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.recall_requested = machine.draining = true;
   machine.cordoned = false;
 }
--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -8,7 +8,7 @@
 using jobs::Job;
 
 // The machine takes no new work until it has shown a token that it can only know from an answer.
-void LeaderRole::OnDeliverySuspected(Machine& machine) {
+void LeaderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.unheeded_token = machine.fencing_token;
 }
 
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -75,7 +75,7 @@
   if (had_epoch && machine.token_confirmed && !machine.lost && lease_was_valid) {
     // Its lease has expired though it was answered all along.
     spdlog::info("scheduler: epoch_began_though_answered machine={}", machine.id);
-    OnDeliverySuspected(machine);
+    OnDeliveryFailureSuspected(machine);
   }
   // The lease of the earlier epoch has expired: the agent has killed all that it had, and refuses
   // late commands that were meant for that epoch.
@@ -123,9 +123,9 @@
   machine.next_probe_at = kLongAgo;
 }
 
-void MachineLifecycle::OnDeliverySuspected(Machine& machine) {
+void MachineLifecycle::OnDeliveryFailureSuspected(Machine& machine) {
   machine.ignored_answers = 0;
-  state_.role->OnDeliverySuspected(machine);
+  state_.role->OnDeliveryFailureSuspected(machine);
 }
 
 // ---------------------------------------------------------------------------- machines go
@@ -215,7 +215,7 @@
   }
   for (const auto& id : suspects) {
     Machine& machine = state_.cluster.machines.at(id);
-    if (machine.token_confirmed) OnDeliverySuspected(machine);
+    if (machine.token_confirmed) OnDeliveryFailureSuspected(machine);
   }
 }
 
--- a/src/scheduler/reconciler.cc
+++ b/src/scheduler/reconciler.cc
@@ -37,7 +37,7 @@
   const bool ignored =
       kind == HeartbeatKind::kPeriodic && pass.answer_was_ignored && !pass.answer_had_effect;
   if (ignored && ++machine.ignored_answers >= kMaxIgnoredAnswers) {
-    lifecycle_.OnDeliverySuspected(machine);
+    lifecycle_.OnDeliveryFailureSuspected(machine);
   }
 }
 
