--- a/src/scheduler/durable_state.cc
+++ b/src/scheduler/durable_state.cc
@@ -13,14 +13,15 @@
 namespace {
 
 constexpr uint32_t kMaxRetries = 1000;
-// How full a pack may be of what a value of the store may hold, and of what a request may hold.
+// A pack may use this share of the store's size limit for a value.
 constexpr double kPackFill = 0.7;
+// Size limit of a pack, so that packs fit into the requests that write them.
 constexpr double kMaxPackBytes = 32.0 * 1024;
 constexpr double kBytesPerKb = 1024;
-// How many packs of start markers take the room of one pack of progress.
-constexpr size_t kMarkerPacksPerPack = 8;
-// Of what a batch may still hold, start markers take one part in so many.
-constexpr size_t kMarkerRoomDivisor = 2;
+// The size limit of a start marker pack is that of a progress pack divided by this.
+constexpr size_t kMarkerPacksPerProgressPack = 8;
+// Start markers may use the remaining budget of a batch divided by this.
+constexpr size_t kMarkerBudgetDivisor = 2;
 
 size_t PackBytes(const config::Settings& settings) {
   return static_cast<size_t>(
@@ -42,7 +43,7 @@
 MachineRecord DecodeMachineRecord(const wire::Json& json) {
   if (!json.is_string()) return {};
   const auto& text = json.get_ref<const std::string&>();
-  // Earlier versions recorded the zone here.
+  // Earlier versions recorded the machine's zone instead of an address.
   if (text.find(':') == std::string::npos) return {};
   const size_t slash = text.find('/');
   MachineRecord record{.address = text.substr(0, slash)};
@@ -58,14 +59,14 @@
 DurableState::DurableState(const config::Settings& settings, uint64_t token)
     : pack_bytes_(PackBytes(settings)),
       progress_(pack_bytes_),
-      start_markers_(pack_bytes_ / kMarkerPacksPerPack),
+      start_markers_(pack_bytes_ / kMarkerPacksPerProgressPack),
       machines_(pack_bytes_),
       newest_revision_(token) {}
 
 void DurableState::LoadProgressPack(int pack, const wire::Json& value, uint64_t version) {
   PackedMapOf(pack).Load(LocalPack(pack), value, version);
-  // A segment that moved to another pack may stand in the old one too, as it was then.
-  for (const auto& [name, record] : value.items()) unclaimed_[name].push_back(record);
+  // The old pack of a segment that has moved to another pack may still contain its earlier state.
+  for (const auto& [name, record] : value.items()) unrestored_records_[name].push_back(record);
 }
 
 void DurableState::LoadMachinesPack(int pack, const wire::Json& value, uint64_t version) {
@@ -74,21 +75,21 @@
 
 std::optional<uint32_t> DurableState::RestoreJob(Job& job) {
   for (uint32_t segment = 0; segment < Segments(job); ++segment) {
-    const auto bitmaps = unclaimed_.find(jobs::SegmentRecordName(job.spec.id, segment));
-    if (bitmaps == unclaimed_.end()) continue;
+    const auto bitmaps = unrestored_records_.find(jobs::SegmentRecordName(job.spec.id, segment));
+    if (bitmaps == unrestored_records_.end()) continue;
     for (const auto& bitmap : bitmaps->second) jobs::ApplyDoneBitmap(bitmap, segment, &job);
-    unclaimed_.erase(bitmaps);
+    unrestored_records_.erase(bitmaps);
   }
-  if (const auto marker = unclaimed_.find(jobs::StartMarkerRecordName(job.spec.id));
-      marker != unclaimed_.end()) {
+  if (const auto marker = unrestored_records_.find(jobs::StartMarkerRecordName(job.spec.id));
+      marker != unrestored_records_.end()) {
     job.start_marker = Job::StartMarker::kDurable;
     job.inherited_start_marker = true;
-    unclaimed_.erase(marker);
+    unrestored_records_.erase(marker);
   }
-  const auto it = unclaimed_.find(jobs::CrashLoopRecordName(job.spec.id));
-  if (it == unclaimed_.end()) return std::nullopt;
+  const auto it = unrestored_records_.find(jobs::CrashLoopRecordName(job.spec.id));
+  if (it == unrestored_records_.end()) return std::nullopt;
   const wire::Json retries = it->second.back();
-  unclaimed_.erase(it);
+  unrestored_records_.erase(it);
   if (!retries.is_number_unsigned()) return std::nullopt;
   return std::min(retries.get<uint32_t>(), kMaxRetries);
 }
@@ -97,7 +98,7 @@
   dirty_segments_.insert({job.spec.id, index / jobs::kTasksPerSegment});
 }
 
-// Written with what is written anyway, so it costs no write of its own.
+// The record is written together with other progress, so it costs no write of its own.
 void DurableState::RecordCrashLoop(const std::string& job, uint32_t retries) {
   progress_.Set(jobs::CrashLoopRecordName(job), retries);
 }
@@ -110,8 +111,8 @@
   if (job.start_marker != Job::StartMarker::kNone) return;
   job.start_marker = Job::StartMarker::kRequested;
   unwritten_markers_.push_back(job.spec.id);
-  // Set once and never again, so it never moves to another pack: while it did, a successor could
-  // find it in neither.
+  // The marker is set once and never changed, so it never moves to another pack. During a move, a
+  // later leader could find the marker in neither pack.
   start_markers_.Set(jobs::StartMarkerRecordName(job.spec.id), 1);
 }
 
@@ -129,20 +130,20 @@
 
 void DurableState::AssignMachine(cluster::Machine& machine, const std::string& address,
                                  uint64_t lease) {
-  // Something was written between any two handovers, if only that the machine came back, so the
-  // revision is another each time.
+  // Between any two handovers of a machine there is a write, at least that of the machine's return,
+  // so the revision differs each time.
   machine.handover_revision = newest_revision_;
   machines_.Replace(machine.id, EncodeMachineRecord({address, lease, machine.handover_revision}));
   machine.in_record = true;
   machine.record_durable = false;
-  machine.record_change_number = ++machine_changes_;
+  machine.record_change_number = ++machine_record_changes_;
 }
 
 void DurableState::RemoveMachine(const std::string& id) { machines_.Erase(id, /*lazily=*/false); }
 
 // ---------------------------------------------------------------------------- writing
 
-void DurableState::BatchRoom::Use(const kvstore::PackedMap::PackWrite& write) {
+void DurableState::BatchBudget::Deduct(const kvstore::PackedMap::PackWrite& write) {
   --packs;
   bytes -= std::min(bytes, write.size_bytes);
 }
@@ -151,11 +152,11 @@
                                                  cluster::ClusterState& cluster) {
   if (!in_flight_.empty()) return {};
   EncodeDirtySegments(cluster);
-  BatchRoom room{max_packs, max_bytes};
-  // Starts wait for the records of machines, and then for start markers.
-  TakeMachinePacks(room, cluster);
-  const Packs start_marker_packs = TakeStartMarkerPacks(room);
-  TakeProgressPacks(room);
+  BatchBudget budget{max_packs, max_bytes};
+  // Task starts wait for machine records, and then for start markers, so these are taken first.
+  TakeMachinePacks(budget, cluster);
+  const Packs start_marker_packs = TakeStartMarkerPacks(budget);
+  TakeProgressPacks(budget);
   MarkStartMarkersInFlight(start_marker_packs);
   MarkTasksInFlight(cluster);
   return in_flight_;
@@ -171,39 +172,41 @@
   dirty_segments_.clear();
 }
 
-void DurableState::TakeMachinePacks(BatchRoom& room, cluster::ClusterState& cluster) {
-  in_flight_.machines = machines_.TakeDirty(room.packs, room.bytes);
+void DurableState::TakeMachinePacks(BatchBudget& budget, cluster::ClusterState& cluster) {
+  in_flight_.machines = machines_.TakeDirty(budget.packs, budget.bytes);
   Packs packs;
   for (const auto& write : in_flight_.machines) {
     packs.insert(write.pack);
-    room.Use(write);
+    budget.Deduct(write);
   }
   for (auto& [id, machine] : cluster.machines) {
     if (!machine.in_record || machine.record_durable) continue;
     if (!packs.contains(machines_.PackOf(id))) continue;
     in_flight_machines_.push_back({id, machine.record_change_number});
-    // Once the record may be durable, its holder may count on being the only one that answers.
+    // Once the record may be durable, the holder that it names may rely on being the only
+    // controller that answers the machine.
     machine.answers_suspended = machine.answers_suspended || machine.handover_lease != kNoLease;
   }
 }
 
-DurableState::Packs DurableState::TakeStartMarkerPacks(BatchRoom& room) {
+DurableState::Packs DurableState::TakeStartMarkerPacks(BatchBudget& budget) {
   Packs packs;
-  if (room.packs <= 1 || room.bytes == 0) return packs;
-  const size_t max_packs = room.packs / kMarkerRoomDivisor;
-  for (auto& write : start_markers_.TakeDirty(max_packs, room.bytes / kMarkerRoomDivisor)) {
+  if (budget.packs <= 1 || budget.bytes == 0) return packs;
+  const size_t max_packs = budget.packs / kMarkerBudgetDivisor;
+  for (auto& write : start_markers_.TakeDirty(max_packs, budget.bytes / kMarkerBudgetDivisor)) {
     packs.insert(write.pack);
-    room.Use(write);
+    budget.Deduct(write);
     write.pack += kFirstMarkerPack;
     in_flight_.progress.push_back(std::move(write));
   }
   return packs;
 }
 
-void DurableState::TakeProgressPacks(BatchRoom& room) {
-  // One pack is taken however large it is, so there must be room for a whole one.
-  if (room.packs == 0 || room.bytes < pack_bytes_) return;
-  for (auto& write : progress_.TakeDirty(room.packs, room.bytes)) {
+void DurableState::TakeProgressPacks(BatchBudget& budget) {
+  // TakeDirty returns at least one pack, whatever its size, so the budget must suffice for a full
+  // pack.
+  if (budget.packs == 0 || budget.bytes < pack_bytes_) return;
+  for (auto& write : progress_.TakeDirty(budget.packs, budget.bytes)) {
     in_flight_.progress.push_back(std::move(write));
   }
 }
@@ -223,7 +226,7 @@
   Packs packs;
   for (const auto& write : in_flight_.progress) packs.insert(write.pack);
   for (const auto& [id, job] : cluster.jobs) {
-    // The tasks are in ascending order, so each segment is looked up once.
+    // The tasks are in ascending order, so each segment is looked up only once.
     std::optional<uint32_t> segment;
     bool in_flight = false;
     for (const uint32_t index : job->done_not_durable) {
@@ -249,8 +252,9 @@
   }
   std::vector<std::string> recorded;
   for (const InFlightMachine& written : in_flight_machines_) {
-    // A machine that was removed and added meanwhile is in the record that was written all the
-    // same, but not with what its record has been changed to since.
+    // A machine that was removed and added again while the batch was in flight counts as recorded,
+    // as the written pack contains it. A machine whose record was changed in that time does not:
+    // the written pack contains the old record.
     const auto it = cluster.machines.find(written.id);
     if (it == cluster.machines.end() || !it->second.in_record ||
         it->second.record_change_number != written.record_change_number) {
