--- a/include/mosspath/scheduler/job_lifecycle.h
+++ b/include/mosspath/scheduler/job_lifecycle.h
@@ -1,4 +1,4 @@
-// Jobs, from their submission to their completion or cancellation. Pure.
+// Manages jobs from their submission to their completion or cancellation. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 namespace mosspath::scheduler {
 
-// How many tasks of a job are done, and how many are placed.
+// Numbers of tasks of a job.
 struct JobCounts {
   uint32_t done = 0;
-  uint32_t running = 0;
+  uint32_t running = 0;  // placed on a machine, or delegated to another controller
 };
 
 class JobLifecycle {
@@ -21,16 +21,17 @@
   // `state` outlives this object.
   explicit JobLifecycle(SchedulerState& state) : state_(state) {}
 
-  // Adds a job with what is recorded of it, unless it is there already. `version` is that of its
-  // record, `submitted` a time of this controller's steady clock.
+  // Adds a job and restores its recorded progress, unless the job exists already. `version` is the
+  // version of its record, `submitted` a time of this controller's steady clock in seconds.
   void Add(wire::JobSpec spec, uint64_t version, double submitted);
-  // Removes a job that is complete or cancelled, and stops what still runs of it.
+  // Removes a job that is complete or cancelled, and stops its tasks that still run.
   void Remove(const std::string& id, double now);
-  // Returns zeros if there is no such job.
+  // Returns zeros if the job does not exist.
   JobCounts Counts(const std::string& id) const;
-  // Returns the jobs whose tasks are all done, each once until `OnCompletionFailed`.
+  // Returns the ids of the jobs whose tasks are all done. Each job is returned once, and once more
+  // after each `OnCompletionFailed`.
   std::vector<std::string> TakeCompleted();
-  // The write of the job's completion has failed, and is to be tried again.
+  // The write of the job's completion has failed: TakeCompleted returns the job again.
   void OnCompletionFailed(const std::string& id);
 
  private:
--- a/include/mosspath/scheduler/status_reporter.h
+++ b/include/mosspath/scheduler/status_reporter.h
@@ -1,5 +1,6 @@
-// Describes the scheduler's state for people: the status snapshot, why tasks wait, and the periodic
-// log line with the load. Nothing is decided on it. Pure.
+// Describes the scheduler's state for operators and users: the status snapshot, the reasons why
+// tasks wait, and the periodic log line with the load. No scheduling decision depends on it. No I/O
+// except logging.
 #pragma once
 
 #include <map>
@@ -19,11 +20,11 @@
 
   // Returns jobs, queues, machines, progress and incidents as of `now`.
   wire::StatusSnapshot MakeSnapshot(double now) const;
-  // Writes one log line from which the load can be followed, if one is due.
+  // Logs one line with the current load, if it is due.
   void LogLoadIfDue(double now);
 
  private:
-  // Why the waiting tasks of a job wait. The first that applies is shown.
+  // The reasons why tasks of a job wait. If several apply, the first in this order is shown.
   enum class WaitingReason {
     kRecovery,
     kCrashLoop,
@@ -33,15 +34,15 @@
     kMachinesBusy,
     kNoUsableMachine,
   };
-  // A queue of the snapshot while it is being summed up, with the number of its waiting tasks by
-  // the reason that they wait for.
+  // A queue of the snapshot while its sums are computed, with the number of its waiting tasks by
+  // reason.
   struct QueueSummary {
     wire::StatusSnapshot::Queue queue;
     std::map<WaitingReason, size_t> waiting_by_reason;
   };
   using QueueSummaries = std::map<std::string, QueueSummary>;  // by class or team
 
-  // Returns nothing if no task of the job waits.
+  // Returns std::nullopt if no task of the job waits.
   std::optional<WaitingReason> WaitingReasonOf(const jobs::Job& job, double now) const;
   static const char* Describe(WaitingReason reason);
   bool HasUsableMachine(const jobs::Job& job, double now) const;
@@ -52,7 +53,7 @@
                            const std::map<std::string, ActivityTracker::LastActivity>& activity,
                            double now, std::vector<wire::StatusSnapshot::Queue>& queues);
   void SummarizeMachines(double now, wire::StatusSnapshot& snapshot) const;
-  // Machines that take new tasks, whichever controller commands them.
+  // Returns the machines that accept new tasks, whichever controller commands them.
   std::vector<const cluster::Machine*> SchedulableMachines(double now) const;
   std::string WaitingByClass() const;
 
--- a/src/scheduler/status_reporter.cc
+++ b/src/scheduler/status_reporter.cc
@@ -74,7 +74,7 @@
 void StatusReporter::SummarizeJobs(double now, StatusSnapshot& snapshot) const {
   QueueSummaries classes;
   QueueSummaries teams;
-  // Those whose work is all done are shown too.
+  // Classes and teams without live jobs are shown too, for the times of their last activity.
   for (const auto& [name, activity] : state_.activity.classes()) classes[name];
   for (const auto& [name, activity] : state_.activity.teams()) teams[name];
   for (const auto& [id, job] : state_.cluster.jobs) {
@@ -156,7 +156,7 @@
   for (auto& [offer, group] : groups) snapshot.machines.push_back(std::move(group));
 }
 
-// ---------------------------------------------------------------------------- the log
+// ---------------------------------------------------------------------------- logging
 
 void StatusReporter::LogLoadIfDue(double now) {
   if (!state_.activity.IsLogDue(now)) return;
