--- a/include/mosspath/scheduler/holder_role.h
+++ b/include/mosspath/scheduler/holder_role.h
@@ -1,5 +1,6 @@
-// The role of a controller that holds a shard: it commands the machines that the leader hands over,
-// runs the tasks that the leader delegates, and tells the leader what the leader must record. Pure.
+// The role of a controller that holds a shard. The holder commands the machines that the leader
+// hands over, runs the tasks that the leader delegates, and sends the leader the changes that only
+// the leader writes to the store. No I/O.
 #pragma once
 
 #include "mosspath/scheduler/holder_sharding.h"
@@ -10,7 +11,7 @@
 
 class HolderRole : public Role {
  public:
-  // Both outlive this object.
+  // Both arguments outlive this object.
   HolderRole(SchedulerState& state, HolderSharding& sharding)
       : state_(state), sharding_(sharding) {}
 
@@ -18,11 +19,12 @@
   bool ProbesAtAllTimes() const override { return true; }
   bool ReceivesMachineLists() const override { return false; }
   void OnDeliveryFailureSuspected(cluster::Machine& machine) override;
-  // The leader is told in the next round of returns, so the machine stays until then.
+  // The machine must stay until ReturnMachines (holder_sharding.h) has reported its loss to the
+  // leader.
   bool OnMachineLost(cluster::Machine& /*machine*/) override { return false; }
   void OnJobRemoved(const jobs::Job& job) override;
   void OnTaskDone(const jobs::Job& job, uint32_t index) override;
-  void OnTaskFound(jobs::Job& job, uint32_t index) override;
+  void OnAttemptRecovered(jobs::Job& job, uint32_t index) override;
   void OnCrashLoop(const jobs::Job& job) override;
   void OnCrashLoopEnded(const jobs::Job& /*job*/) override {}
   void OnReconciliationEnded(uint64_t /*reconciliation*/, size_t /*tasks*/) override {}
--- a/include/mosspath/scheduler/leader_role.h
+++ b/include/mosspath/scheduler/leader_role.h
@@ -1,4 +1,4 @@
-// The roles of a leader: alone, and with holders of shards. Pure.
+// The roles of a leader: without and with holders of shards. No I/O except logging.
 #pragma once
 
 #include "mosspath/scheduler/leader_sharding.h"
@@ -8,7 +8,7 @@
 
 namespace mosspath::scheduler {
 
-// The leader that commands all machines itself, and writes the durable state.
+// The role of a leader that commands all machines itself and writes the durable state.
 class LeaderRole : public Role {
  public:
   // `state` outlives this object.
@@ -21,7 +21,7 @@
   bool OnMachineLost(cluster::Machine& machine) override;
   void OnJobRemoved(const jobs::Job& job) override;
   void OnTaskDone(const jobs::Job& job, uint32_t index) override;
-  void OnTaskFound(jobs::Job& /*job*/, uint32_t /*index*/) override {}
+  void OnAttemptRecovered(jobs::Job& /*job*/, uint32_t /*index*/) override {}
   void OnCrashLoop(const jobs::Job& job) override;
   void OnCrashLoopEnded(const jobs::Job& job) override;
   void OnReconciliationEnded(uint64_t /*reconciliation*/, size_t /*tasks*/) override {}
@@ -33,10 +33,10 @@
   SchedulerState& state_;
 };
 
-// The leader that also delegates machines and tasks to holders of shards.
+// The role of a leader that also delegates machines and tasks to holders of shards.
 class ShardedLeaderRole : public LeaderRole {
  public:
-  // All outlive this object.
+  // All arguments outlive this object.
   ShardedLeaderRole(SchedulerState& state, MachineHandover& handover, LeaderSharding& sharding)
       : LeaderRole(state), handover_(handover), sharding_(sharding) {}
 
--- a/include/mosspath/scheduler/reconciler.h
+++ b/include/mosspath/scheduler/reconciler.h
@@ -1,6 +1,6 @@
-// Compares what a machine's heartbeat lists with what was started there: takes in the state of its
-// tasks, recovers attempts that this scheduler did not start, and removes those that are gone.
-// Pure.
+// Compares the task attempts that a machine's heartbeat lists with the allocations of the machine:
+// updates the state of listed attempts, recovers attempts that this scheduler did not start, and
+// removes attempts that are gone. No I/O except logging.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +11,42 @@
 
 namespace mosspath::scheduler {
 
-// On which occasion the agent made a heartbeat.
 enum class HeartbeatKind {
-  kPeriodic,       // sent by the agent, after the answer to the last one was taken or given up
-  kCommandAnswer,  // the answer to a command batch; the answer to a periodic one may be under way
+  // Sent at the agent's interval, after the answer to the last one has arrived or timed out.
+  kPeriodic,
+  // The answer to a command batch. The answer to a periodic heartbeat may still be in flight.
+  kCommandAnswer,
 };
 
 class Reconciler {
  public:
-  // Both outlive this object.
+  // Both arguments outlive this object.
   Reconciler(SchedulerState& state, MachineLifecycle& lifecycle)
       : state_(state), lifecycle_(lifecycle) {}
 
-  // Takes in the tasks that the heartbeat lists. The caller has checked that the heartbeat is the
-  // machine's newest, and was made under the present fencing token.
+  // Updates the machine's allocations and their jobs from the tasks that the heartbeat lists. The
+  // caller has checked that the heartbeat is the machine's newest, and was made under the machine's
+  // current fencing token.
   void Reconcile(cluster::Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatKind kind,
                  double now);
 
  private:
-  // One heartbeat being taken in.
+  // The state of one call of Reconcile.
   struct Pass {
     cluster::Machine& machine;
     const wire::Heartbeat& heartbeat;
     const HeartbeatKind kind;
-    const uint64_t number;  // counts the heartbeats that were taken in
+    const uint64_t pass_number;  // rises with each call
     const double now;
-    bool answer_had_effect = false;   // the agent did some of what the last answer said
-    bool answer_was_ignored = false;  // or it did not
+    bool answer_had_effect = false;   // the heartbeat shows the effect of a command
+    bool answer_was_ignored = false;  // a command in an earlier answer had no effect
   };
 
-  void TakeStatus(Pass& pass, const wire::TaskStatus& status);
-  void OnStatus(Pass& pass, const cluster::AllocationKey& key, cluster::Allocation& allocation,
-                const wire::TaskStatus& status);
+  void ReconcileListedTask(Pass& pass, const wire::TaskStatus& status);
+  void UpdateAllocation(Pass& pass, const cluster::AllocationKey& key,
+                        cluster::Allocation& allocation, const wire::TaskStatus& status);
   void OnTaskRunning(const wire::TaskId& task, cluster::Allocation& allocation, double now);
-  void RemoveUnlisted(Pass& pass);
+  void RemoveUnlistedAllocations(Pass& pass);
   static bool WouldBeListed(const Pass& pass, const cluster::Allocation& allocation);
 
   // --- Attempts that this scheduler did not start ---
@@ -61,8 +63,8 @@
                     cluster::Allocation& allocation, double now);
   void OnTaskSucceeded(cluster::Machine& machine, jobs::Job& job, const wire::TaskId& task,
                        const cluster::Allocation& allocation, double now);
-  void OnTaskEndedEarly(cluster::Machine& machine, jobs::Job* job, const wire::TaskId& task,
-                        const cluster::Allocation& allocation, double now);
+  void OnTaskStoppedOrFailed(cluster::Machine& machine, jobs::Job* job, const wire::TaskId& task,
+                             const cluster::Allocation& allocation, double now);
   void OnTaskDone(jobs::Job& job, uint32_t index);
   void OnHealthVerdict(const cluster::Machine& machine, const jobs::Job& job,
                        MachineHealth::Verdict verdict, double now);
--- a/include/mosspath/scheduler/role.h
+++ b/include/mosspath/scheduler/role.h
@@ -1,6 +1,6 @@
-// What a scheduler does differently, depending on whether it leads alone, leads holders of shards,
-// or holds a shard itself. The units of the scheduler call the present role instead of asking which
-// one it is. Pure.
+// The behavior of a scheduler that depends on the role of its controller: a leader without shard
+// holders, a leader with shard holders, or the holder of a shard. The components of the scheduler
+// call the current role instead of testing which one it is. No I/O except logging.
 #pragma once
 
 #include <cstddef>
@@ -20,37 +20,40 @@
 
   // --- Machines ---
 
-  // Whether a machine that is not known yet may be taken in from its heartbeat.
+  // Returns whether the heartbeat of an unknown machine adds the machine.
   virtual bool AcceptsUnknownMachines() const = 0;
-  // Whether machines are probed also when no takeover or reconciliation waits for them.
+  // Returns whether machines are probed even if no takeover or reconciliation waits for them.
   virtual bool ProbesAtAllTimes() const = 0;
-  // Whether the cloud's lists of machines arrive here, from which a start that may have reached
-  // another machine can be ruled out.
+  // Returns whether this controller receives the cloud's lists of machines. These lists are needed
+  // to rule out that a start command reached a different machine at the same address.
   virtual bool ReceivesMachineLists() const = 0;
-  // The machine's heartbeats arrive, but what it is answered seems not to reach it.
+  // Heartbeats of the machine arrive, but the answers to them seem not to reach it.
   virtual void OnDeliveryFailureSuspected(cluster::Machine& machine) = 0;
-  // The agent's lease has expired, and nothing runs on the machine any more. Returns whether the
-  // machine may be forgotten once nothing else is known of it.
+  // The agent's lease has expired, so nothing runs on the machine any more. Returns whether the
+  // caller may erase the machine if its agent has never reported.
   virtual bool OnMachineLost(cluster::Machine& machine) = 0;
 
   // --- Jobs and tasks ---
 
-  // The job is about to be removed; what it still has elsewhere must be accounted for.
+  // The job is about to be removed. The role accounts for the tasks that another controller
+  // has, or that may still run.
   virtual void OnJobRemoved(const jobs::Job& job) = 0;
   // The task has just been marked as done.
   virtual void OnTaskDone(const jobs::Job& job, uint32_t index) = 0;
-  // A machine runs an attempt of the task that this scheduler has not started.
-  virtual void OnTaskFound(jobs::Job& job, uint32_t index) = 0;
-  // The job's tasks fail on every machine, as has been found now or once more.
+  // A machine reports a running attempt of the task that this scheduler has not started.
+  virtual void OnAttemptRecovered(jobs::Job& job, uint32_t index) = 0;
+  // The job has been found to be crash looping (its tasks fail on every machine), or a retry of it
+  // has failed.
   virtual void OnCrashLoop(const jobs::Job& job) = 0;
-  // A task of a job that was crash looping has succeeded.
+  // A task of the crash-looping job has succeeded, which ends the crash loop.
   virtual void OnCrashLoopEnded(const jobs::Job& job) = 0;
-  // All machines of the reconciliation are known; `tasks` of its tasks were on none of them.
+  // All machines of the reconciliation have been checked. `tasks` of its tasks were on none of them
+  // and are pending again.
   virtual void OnReconciliationEnded(uint64_t reconciliation, size_t tasks) = 0;
 
   // --- Time and records ---
 
-  // Called in each tick, before and after waiting tasks are placed.
+  // Called in each tick, before and after the placement of waiting tasks.
   virtual void BeforePlacement(double now) = 0;
   virtual void AfterPlacement(double now) = 0;
   // A batch of records has become durable.
--- a/include/mosspath/scheduler/scheduler.h
+++ b/include/mosspath/scheduler/scheduler.h
@@ -1,8 +1,11 @@
-// The scheduler: where every task is or may be, where waiting tasks go, and what agents are told.
-// Pure: heartbeats, jobs and the time go in; commands, records to write and scaling plans come out.
+// The scheduler tracks where each task runs or may run, places waiting tasks on machines, and
+// decides which commands agents receive. It does no I/O except logging, reads no clock and takes no
+// locks: heartbeats, jobs and the time are its inputs; commands, records to write and scaling plans
+// are its outputs. Times are in seconds on the controller's steady clock.
 //
-// This facade passes each event on to the unit that handles it. The units share one SchedulerState;
-// what differs between a leader and a holder of a shard is behind the Role interface.
+// The Scheduler class is a facade that forwards each event to the component that handles it. The
+// components share one SchedulerState. The Role interface hides the differences between a leader
+// and the holder of a shard.
 #pragma once
 
 #include <cstdint>
@@ -38,33 +41,36 @@
 
 class Scheduler {
  public:
-  // One term of leadership, or one shard lease: nothing is known but what is loaded next. `now` is
-  // after the last moment at which an earlier leader could have answered an agent. It leads alone
-  // until LeadShards or HoldShard is called.
+  // An instance serves one term of leadership or one shard lease, and starts empty: the caller
+  // loads the records next. `token` is the fencing token of the term, or the number of the lease.
+  // `now` is later than any time at which an earlier controller could have answered an agent. The
+  // instance is a leader without shard holders until LeadShards or HoldShard is called.
   Scheduler(const config::Settings& settings, const config::DerivedSettings& derived,
             uint64_t token, double now);
 
   // --- Takeover ---
 
-  // Take over a pack of a predecessor's records. `version` is that of the pack in the store.
+  // Loads one pack of records that an earlier leader wrote. `version` is the version of the pack in
+  // the store.
   void LoadProgressPack(int pack, const wire::Json& value, uint64_t version);
   void LoadMachinesPack(int pack, const wire::Json& value, uint64_t version);
   void SetMachineTypes(std::vector<wire::MachineType> types);
-  // Whether every place is known that tasks of earlier leaders could be at.
+  // Returns whether every machine and shard lease that could still have tasks of earlier leaders
+  // has been accounted for.
   bool recovery_complete() const { return state_.failover.recovery_complete(); }
 
   // --- Jobs: see JobLifecycle ---
 
   void AddJob(wire::JobSpec spec, uint64_t version, double submitted) {
-    jobs_.Add(std::move(spec), version, submitted);
+    job_lifecycle_.Add(std::move(spec), version, submitted);
   }
-  void RemoveJob(const std::string& id, double now) { jobs_.Remove(id, now); }
+  void RemoveJob(const std::string& id, double now) { job_lifecycle_.Remove(id, now); }
   const jobs::Job* FindJob(const std::string& id) const { return state_.cluster.FindJob(id); }
-  JobCounts Counts(const std::string& id) const { return jobs_.Counts(id); }
-  // Returns jobs whose tasks are all done and whose completion is not being written yet.
-  std::vector<std::string> TakeCompletedJobs() { return jobs_.TakeCompleted(); }
-  void OnCompletionFailed(const std::string& id) { jobs_.OnCompletionFailed(id); }
-  // The job's completion is durable: counts it towards the objectives.
+  JobCounts Counts(const std::string& id) const { return job_lifecycle_.Counts(id); }
+  // Returns the jobs whose tasks are all done and whose completion is not being written yet.
+  std::vector<std::string> TakeCompletedJobs() { return job_lifecycle_.TakeCompleted(); }
+  void OnCompletionFailed(const std::string& id) { job_lifecycle_.OnCompletionFailed(id); }
+  // Counts the job towards the service level objectives. Called once its completion is durable.
   void OnJobFinished(const std::string& id, double now);
 
   // --- Agents: see HeartbeatHandler, CommandPlanner and CommandOutcomeHandler ---
@@ -72,11 +78,12 @@
   HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& heartbeat, double now) {
     return heartbeats_.OnHeartbeat(heartbeat, now);
   }
-  // Returns at most so many batches. What is left goes with answers to heartbeats, or later.
+  // Returns at most `max_batches` batches to send directly to agents. Further commands are sent in
+  // answers to heartbeats or in later batches.
   std::vector<CommandBatch> TakeCommands(double now, size_t max_batches = kUnlimitedBatches) {
     return commands_.TakeBatches(now, max_batches);
   }
-  // `heartbeat` is null if the agent did not answer with one.
+  // `heartbeat` is the one in the agent's answer, or null if the answer had none.
   void OnCommandOutcome(const CommandBatch& batch, CommandOutcome outcome,
                         const wire::Heartbeat* heartbeat, double now) {
     outcomes_.OnOutcome(batch, outcome, heartbeat, now);
@@ -84,55 +91,59 @@
 
   // --- Machines: see MachineLifecycle and ProvisioningTracker ---
 
-  void OnMachineDeleted(const std::string& id, double now) { lifecycle_.OnMachineDeleted(id, now); }
-  // The machine is being deleted, or could not be.
+  void OnMachineDeleted(const std::string& id, double now) {
+    machine_lifecycle_.OnMachineDeleted(id, now);
+  }
+  // Marks the machine as being deleted, or removes the mark after the deletion has failed.
   void OnMachineDeleting(const std::string& id);
   void OnDeletionFailed(const std::string& id);
-  // The cloud's list of all machines, requested at `asked`.
-  void OnMachineList(const std::vector<wire::ListedMachine>& machines, double asked, double now);
-  // The cloud has provisioned these machines as the offer says.
+  // Processes the cloud's list of all machines, which was requested at `requested_at`.
+  void OnMachineList(const std::vector<wire::ListedMachine>& machines, double requested_at,
+                     double now);
+  // Adds machines that the cloud has provisioned for the offer.
   void OnProvisioned(const std::vector<std::string>& ids, const autoscaler::ScaleOutRequest& offer,
                      double now) {
     state_.provisioning.OnProvisioned(ids, offer, state_.AllMachines(), now);
   }
-  // The cloud has no capacity for the offer, which is not to be asked for before `until`.
+  // Excludes the offer, for which the cloud has no capacity, from scaling plans until `until`.
   void OnProvisioningRefused(const autoscaler::ScaleOutRequest& offer, double until) {
     state_.provisioning.OnRefused(offer, until);
   }
 
   // --- Time ---
 
-  // Whether most agents that this controller heard are silent now, all at once: it can't do its
-  // work, though another controller may.
+  // Returns whether most of the agents that have sent heartbeats to this controller are silent at
+  // the same time. This controller can't command machines then, but another controller may be able
+  // to.
   bool IsPartitionedFromAgents(double now) {
     return state_.failover.IsPartitionedFromAgents(state_.cluster.machines, now);
   }
-  // This process did not run from `from` until `now`, while its clock did: nobody was silent, slow
-  // or gone in that time.
+  // Accounts for a stall: this process did not run from `from` until `now`, while its clock went
+  // on. Machines do not count as silent, nor their tasks as slow, because of that time.
   void OnProcessStall(double from, double now);
-  // Does what is due: called a few times per heartbeat interval.
+  // Runs the periodic work, such as lease expiry and placement. Called a few times per heartbeat
+  // interval.
   void Tick(double now);
-  // Places what can be placed now.
+  // Runs a placement pass over the waiting jobs, if the cluster state has changed since the last.
   void Place(double now) { state_.placer.Place(now); }
   // See ScalingCoordinator::Plan.
   autoscaler::ScalingPlan PlanScaling(double now) { return scaling_.Plan(now); }
-  // Whether something has come that no scaling plan has seen yet: jobs, or machines whose tasks
-  // must be ruled out.
+  // Returns whether a new scaling plan should be made soon; see SchedulerState.
   bool wants_scaling_plan() const { return state_.wants_scaling_plan; }
 
   // --- Records to write, conditional on the leader key and on the packs' versions ---
 
-  // Whether machines have come whose records are not being written yet.
+  // Returns whether records of machines wait to be written and no batch is in flight.
   bool has_unrecorded_machines() const { return state_.durable_state.has_unwritten_machines(); }
-  // Returns what should be written now in one transaction of at most `max_packs` packs and about
-  // `max_bytes` bytes; nothing while the last batch is in flight.
+  // Returns the records to write now, in one transaction of at most `max_packs` packs and about
+  // `max_bytes` bytes. Returns an empty batch while the last one is in flight.
   DurableState::WriteBatch TakeRecords(size_t max_packs, size_t max_bytes) {
     return state_.durable_state.TakeBatch(max_packs, max_bytes, state_.cluster);
   }
-  // The last batch taken is durable at this revision, or was not written.
+  // Ends the batch in flight: it is durable at this store revision, or it was not written.
   void OnRecordsWritten(uint64_t revision, double now);
   void OnRecordsFailed() { state_.durable_state.OnBatchFailed(); }
-  // The store shows a pack of ours under this version.
+  // Records the version that a watch event of the store shows for the pack.
   void OnProgressVersion(int pack, uint64_t version) {
     state_.durable_state.OnProgressVersion(pack, version);
   }
@@ -142,19 +153,21 @@
 
   // --- Shards, as the leader (docs/sharding.md): see LeaderSharding ---
 
-  // From now on machines are handed over to the holders of shards. `own_shard`: the leader's.
+  // Makes the instance a leader that hands machines over to the holders of shards. `own_shard` is
+  // the shard that the leader keeps.
   void LeadShards(size_t own_shard);
   void OpenLease(uint64_t lease, size_t shard, bool inherited) {
     leader_sharding_.OpenLease(lease, shard, inherited);
   }
   void SetLeaseReady(uint64_t lease, bool ready) { leader_sharding_.SetLeaseReady(lease, ready); }
-  // The lease is over. Its holder may have commanded machines until `last_acted`.
+  // Ends the lease. Its holder may have commanded machines until `last_acted`.
   void CloseLease(uint64_t lease, double last_acted, double /*now*/) {
     leader_sharding_.CloseLease(lease, last_acted);
   }
-  // Returns leases that are over, whose machines are not all known yet.
+  // Returns the ended leases of which some machines have not been reconciled yet.
   std::set<uint64_t> ExpiredLeases() const { return leader_sharding_.ExpiredLeases(); }
-  // The holder of that lease has certainly stopped commanding machines.
+  // Records that the holder of the ended lease has provably stopped commanding machines. This
+  // may shorten the wait until the leases of the machines' agents have expired.
   void OnHolderCeased(uint64_t lease, double now) { leader_sharding_.OnHolderCeased(lease, now); }
   bool HasLease(uint64_t lease) const { return state_.shard_leases.Find(lease) != nullptr; }
   void OnHolderMessage(uint64_t lease, const wire::ShardMessage& message, double now) {
@@ -163,13 +176,14 @@
   std::vector<wire::ShardMessage> TakeHolderMessages(uint64_t lease) {
     return state_.shard_leases.TakeMessages(lease);
   }
-  // Returns the lease under which the machine is another controller's; kNoLease if it is ours, or
-  // unknown.
+  // Returns the lease under which another controller commands the machine; kNoLease if this
+  // controller commands it or it is unknown.
   uint64_t LeaseOf(const std::string& machine) const { return leader_sharding_.LeaseOf(machine); }
 
   // --- Shards, as a holder: see HolderSharding ---
 
-  // From now on only what the leader delegates is placed, and only on machines that it assigned.
+  // Makes the instance the holder of a shard: it places only tasks that the leader delegates, and
+  // only on machines that the leader has assigned to it.
   void HoldShard(size_t own_shard);
   void LoadJob(wire::JobSpec spec, uint64_t version, double submitted) {
     holder_sharding_.LoadJob(std::move(spec), version, submitted);
@@ -178,7 +192,7 @@
                      double now) {
     holder_sharding_.AcceptMachine(id, address, token, now);
   }
-  // Whether this controller commands the machine.
+  // Returns whether this controller commands the machine.
   bool Owns(const std::string& id) const { return state_.cluster.machines.contains(id); }
   void OnLeaderMessage(const wire::ShardMessage& message, double now) {
     holder_sharding_.OnLeaderMessage(message, now);
@@ -188,8 +202,8 @@
   }
   std::vector<wire::ShardMessage> AllClaims() const { return holder_sharding_.AllClaims(); }
   bool AllMachinesKnown() const { return holder_sharding_.AllMachinesKnown(); }
-  void ReturnExcess(double patience_s, bool leader_hears, double now) {
-    holder_sharding_.ReturnExcess(patience_s, leader_hears, now);
+  void ReturnExcess(double max_wait_s, bool leader_is_up, double now) {
+    holder_sharding_.ReturnExcess(max_wait_s, leader_is_up, now);
   }
   wire::ShardMessage MakeLoadMessage(uint64_t applied_batch) const {
     return holder_sharding_.MakeLoadMessage(applied_batch);
@@ -207,7 +221,8 @@
   // --- Status and tests ---
 
   wire::StatusSnapshot MakeSnapshot(double now) const { return reporter_.MakeSnapshot(now); }
-  // How many jobs were tried, and how many machines were looked at for them, so far.
+  // Return how many placement attempts of jobs were made so far, and how many candidate machines
+  // these examined.
   uint64_t placement_attempts() const { return state_.placer.placement_attempts(); }
   uint64_t candidates_scored() const { return state_.placer.candidates_scored(); }
   const cluster::Machines& machines() const { return state_.cluster.machines; }
@@ -215,19 +230,19 @@
 
  private:
   SchedulerState state_;
-  // Each unit refers to the state and to units above it.
-  MachineLifecycle lifecycle_{state_};
-  JobLifecycle jobs_{state_};
+  // Each component refers to the state and to components that are declared before it.
+  MachineLifecycle machine_lifecycle_{state_};
+  JobLifecycle job_lifecycle_{state_};
   TaskMigration migration_{state_};
   ScalingCoordinator scaling_{state_, migration_};
   StatusReporter reporter_{state_};
-  Reconciler reconciler_{state_, lifecycle_};
+  Reconciler reconciler_{state_, machine_lifecycle_};
   CommandPlanner commands_{state_};
-  HeartbeatHandler heartbeats_{state_, lifecycle_, reconciler_, commands_};
+  HeartbeatHandler heartbeats_{state_, machine_lifecycle_, reconciler_, commands_};
   CommandOutcomeHandler outcomes_{state_, heartbeats_, reconciler_};
   MachineHandover handover_{state_};
   LeaderSharding leader_sharding_{state_, handover_};
-  HolderSharding holder_sharding_{state_, jobs_, lifecycle_, migration_};
+  HolderSharding holder_sharding_{state_, job_lifecycle_, machine_lifecycle_, migration_};
   LeaderRole leader_role_{state_};
   ShardedLeaderRole sharded_leader_role_{state_, handover_, leader_sharding_};
   HolderRole holder_role_{state_, holder_sharding_};
--- a/include/mosspath/scheduler/scheduler_state.h
+++ b/include/mosspath/scheduler/scheduler_state.h
@@ -1,6 +1,6 @@
-// The state of one term of leadership, or of one shard lease, that the units of the scheduler share
-// by reference. Each member owns one part of it; the invariants stand in the members' headers.
-// Pure.
+// The state of one term of leadership or of one shard lease. The components of the scheduler share
+// it by reference. Each member owns one part of the state and documents its invariants in its own
+// header. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -24,28 +24,30 @@
 
 class Role;
 
-// What operators may change while the scheduler runs, beside the policy of the task placer.
+// Settings that operators may change while the scheduler runs, except those of the task placer.
 struct SchedulingPolicy {
   autoscaler::ScalingTuning scaling;
-  // Whether waiting work may stop running work of a lower rank.
+  // Whether waiting tasks may stop running tasks of a lower priority.
   bool preemption = true;
 };
 
-// Neither copied nor moved: the task placer and all units keep references to its members.
+// Neither copyable nor movable: the task placer and the scheduler's components keep references to
+// its members.
 struct SchedulerState {
-  // `fencing_token` is the token of this term. `now` is after the last moment at which an earlier
-  // controller could have answered an agent.
+  // `fencing_token` is the token of the term, or the number of the shard lease. `now` is later than
+  // any time at which an earlier controller could have answered an agent.
   SchedulerState(const config::Settings& settings, const config::DerivedSettings& derived,
                  uint64_t fencing_token, double now);
   SchedulerState(const SchedulerState&) = delete;
   SchedulerState& operator=(const SchedulerState&) = delete;
 
-  // Returns the machine, whichever controller commands it; null if it is unknown.
+  // Returns the machine, whichever controller commands it, or null if it is unknown.
   cluster::Machine* FindMachine(const std::string& id);
-  // Whether the task may be on machines that another controller commanded until now, of which some
-  // are not known yet.
+  // Returns whether the task may be on machines that another controller has commanded and of which
+  // some have not been reconciled yet.
   bool IsReconciling(const wire::TaskId& task) const;
-  // Returns the provisioning tracker's view of the machines that are up.
+  // Returns this controller's machines and the delegated ones, as the provisioning tracker takes
+  // them.
   ProvisioningTracker::MachineMaps AllMachines() {
     return {&cluster.machines, &cluster.delegated_machines};
   }
@@ -65,10 +67,11 @@
   const MachineHealth machine_health;
   TaskPlacer placer;
   SchedulingPolicy policy;
-  // The present role, owned by the scheduler. Null only while the scheduler is being constructed.
+  // The current role, owned by the Scheduler. Null only while the Scheduler is being constructed.
   Role* role = nullptr;
-  // Something has come since the last scaling plan that the next one should see at once: jobs, or
-  // machines whose tasks must be ruled out.
+  // Set if a scaling plan should be made soon instead of at the next interval: since the last plan
+  // jobs were added, machines came back from holders of shards, or probes of a machine have failed
+  // repeatedly, so that the plan may have to delete the machine to rule out tasks on it.
   bool wants_scaling_plan = false;
 };
 
--- a/include/mosspath/scheduler/task_reconciliation.h
+++ b/include/mosspath/scheduler/task_reconciliation.h
@@ -1,5 +1,6 @@
-// Tasks that may be on machines which another controller commanded until now: nobody knows before
-// what is on each of these machines is known, or that nothing is (rule 3 of docs/design.md). Pure.
+// Tracks reconciliations of tasks that may be on machines which another controller has commanded.
+// Where such a task runs is certain only once every one of these machines has reported its tasks,
+// or is certain to run none (rule 3 of docs/design.md). No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +14,25 @@
 
 class TaskReconciliation {
  public:
-  // Begins a reconciliation that waits for these machines. Its id is that of the lease under which
-  // the tasks were delegated. Returns false if there are no machines, so the tasks are nowhere.
+  // Begins a reconciliation that waits for these machines. Its id is the lease number under which
+  // the tasks were delegated. Returns false if there are no machines, and thus no running tasks.
   bool Begin(uint64_t reconciliation, const std::vector<std::string>& machines);
-  // It is known what is on the machine. Returns the reconciliations that end with it.
+  // The machine has reported its tasks, or is certain to run none. Returns the ids of the
+  // reconciliations that waited only for this machine, and thus end.
   std::vector<uint64_t> OnMachineKnown(const std::string& machine);
   bool IsActive(uint64_t reconciliation) const { return pending_.contains(reconciliation); }
   bool empty() const { return pending_.empty(); }
-  // Whether each reconciliation that waits for this machine waits for at most that share of its
-  // machines, or for this one alone.
+  // Returns whether each reconciliation that waits for this machine waits for at most `max_share`
+  // of its machines, or for this machine alone. Returns false if none waits for it.
   bool IsNearlyComplete(const std::string& machine, double max_share) const;
 
  private:
   struct PendingMachines {
-    std::set<std::string> machines;  // not known yet
-    size_t total = 0;                // when the reconciliation began
+    std::set<std::string> machines;  // still waited for
+    size_t total = 0;                // number of machines when the reconciliation began
   };
   std::map<uint64_t, PendingMachines> pending_;
-  std::map<std::string, std::set<uint64_t>> by_machine_;
+  std::map<std::string, std::set<uint64_t>> reconciliations_by_machine_;
 };
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/holder_role.cc
+++ b/src/scheduler/holder_role.cc
@@ -9,25 +9,27 @@
 using jobs::TaskPhase;
 using Kind = wire::ShardMessage::Kind;
 
-// Only the leader raises tokens, so the machine is emptied and returned.
+// Only the leader can raise the machine's fencing token, so the holder drains the machine and
+// returns it to the leader.
 void HolderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.recall_requested = machine.draining = true;
   machine.cordoned = false;
 }
 
-// The reconciliation of tasks that may be on machines which were handed over goes on: when a holder
-// returned such a task at once, a leader that had not heard of the cancellation started it
-// elsewhere.
+// Tasks that may be on machines which were handed over stay in reconciliation until those machines
+// are checked. A holder that returned such a task at once caused a second run: a leader that had
+// not yet received the cancellation started the task elsewhere.
 void HolderRole::OnJobRemoved(const Job& job) { sharding_.OnJobRemoved(job); }
 
-// Only the leader writes what is done.
+// Only the leader records completed tasks in the store.
 void HolderRole::OnTaskDone(const Job& job, uint32_t index) {
   state_.shard_leases.SendToLeader(
       {.kind = Kind::kTasksDone, .name = job.spec.id, .tasks = {index}});
 }
 
-// The task is on a machine of this holder's shard, so no other controller can have it.
-void HolderRole::OnTaskFound(Job& job, uint32_t index) {
+// Claims a delegated task. It runs on a machine of this holder's shard, so no other controller can
+// have the task.
+void HolderRole::OnAttemptRecovered(Job& job, uint32_t index) {
   if (job.tasks[index].phase != TaskPhase::kDelegated) return;
   job.tasks[index].phase = TaskPhase::kPending;
   job.pending.insert(index);
--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -7,7 +7,8 @@
 using cluster::Machine;
 using jobs::Job;
 
-// The machine takes no new work until it has shown a token that it can only know from an answer.
+// Marks the current token. The machine gets no new tasks until it has reported under a higher
+// token, which it can only have received in an answer.
 void LeaderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.unheeded_token = machine.fencing_token;
 }
@@ -18,8 +19,8 @@
   return true;
 }
 
-// What holders still have of the job counts towards its team until they report that it is gone,
-// unless the team has no limit.
+// If the team has a limit, tasks of the job that holders of shards still have count towards that
+// limit until the holders return them. Without a limit the leader stops tracking them at once.
 void LeaderRole::OnJobRemoved(const Job& job) {
   cluster::ClusterState& cluster = state_.cluster;
   if (!cluster.quota.IsUnlimited(job.spec.team)) return;
@@ -41,8 +42,7 @@
 }
 
 void ShardedLeaderRole::OnReconciliationEnded(uint64_t reconciliation, size_t tasks) {
-  spdlog::info("scheduler: reconciliation_ended lease={} tasks_waiting_again={}", reconciliation,
-               tasks);
+  spdlog::info("scheduler: reconciliation_ended lease={} tasks_requeued={}", reconciliation, tasks);
 }
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/reconciler.cc
+++ b/src/scheduler/reconciler.cc
@@ -20,10 +20,11 @@
 
 namespace {
 
-// Answers in a row without effect, before a machine must show that answers reach it.
+// Consecutive answers without effect after which answers are suspected not to reach the machine.
 constexpr int kMaxIgnoredAnswers = 2;
 
-// The value of Allocation::forget_sent_sequence while no answer has said to forget the attempt.
+// The value of Allocation::forget_sent_sequence while no answer contains a forget command for the
+// attempt.
 constexpr uint64_t kForgetNotSent = 0;
 
 }  // namespace
@@ -31,8 +32,8 @@
 void Reconciler::Reconcile(Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatKind kind,
                            double now) {
   Pass pass{machine, heartbeat, kind, ++reconciled_heartbeats_, now};
-  for (const wire::TaskStatus& status : heartbeat.tasks) TakeStatus(pass, status);
-  RemoveUnlisted(pass);
+  for (const wire::TaskStatus& status : heartbeat.tasks) ReconcileListedTask(pass, status);
+  RemoveUnlistedAllocations(pass);
   if (pass.answer_had_effect) machine.ignored_answers = 0;
   const bool ignored =
       kind == HeartbeatKind::kPeriodic && pass.answer_was_ignored && !pass.answer_had_effect;
@@ -41,24 +42,24 @@
   }
 }
 
-// ---------------------------------------------------------------------------- what is listed
+// ---------------------------------------------------------------------------- listed attempts
 
-void Reconciler::TakeStatus(Pass& pass, const wire::TaskStatus& status) {
+void Reconciler::ReconcileListedTask(Pass& pass, const wire::TaskStatus& status) {
   std::map<AllocationKey, Allocation>& allocations = pass.machine.allocations;
   const AllocationKey key{status.task, status.attempt};
   auto it = allocations.find(key);
   if (it == allocations.end()) {
     RecoverAllocation(pass.machine, status, pass.now);
     it = allocations.find(key);
-    if (it != allocations.end()) it->second.last_listed_in = pass.number;
+    if (it != allocations.end()) it->second.last_listed_in = pass.pass_number;
     return;
   }
-  OnStatus(pass, key, it->second, status);
+  UpdateAllocation(pass, key, it->second, status);
 }
 
-void Reconciler::OnStatus(Pass& pass, const AllocationKey& key, Allocation& allocation,
-                          const wire::TaskStatus& status) {
-  allocation.last_listed_in = pass.number;
+void Reconciler::UpdateAllocation(Pass& pass, const AllocationKey& key, Allocation& allocation,
+                                  const wire::TaskStatus& status) {
+  allocation.last_listed_in = pass.pass_number;
   pass.answer_had_effect =
       pass.answer_had_effect || allocation.state == Allocation::State::kStartSent;
   if (allocation.forget_sent_sequence != kForgetNotSent && pass.kind == HeartbeatKind::kPeriodic &&
@@ -90,14 +91,14 @@
   state_.activity.OnTaskStarted(*job, task.index, now);
 }
 
-// ---------------------------------------------------------------------------- what is missing
+// ---------------------------------------------------------------------------- unlisted attempts
 
-void Reconciler::RemoveUnlisted(Pass& pass) {
+void Reconciler::RemoveUnlistedAllocations(Pass& pass) {
   Machine& machine = pass.machine;
   for (auto it = machine.allocations.begin(); it != machine.allocations.end();) {
     const auto next = std::next(it);
     const Allocation& allocation = it->second;
-    if (allocation.last_listed_in != pass.number && WouldBeListed(pass, allocation)) {
+    if (allocation.last_listed_in != pass.pass_number && WouldBeListed(pass, allocation)) {
       const bool start_was_lost = allocation.state == Allocation::State::kStartSent;
       pass.answer_had_effect =
           pass.answer_had_effect || allocation.forget_sent_sequence != kForgetNotSent;
@@ -113,10 +114,11 @@
   }
 }
 
-// Whether the heartbeat lists the attempt if it is on the machine, or a start that was sent was
-// taken or will be. The agent makes its next periodic heartbeat only after the answer to the last
-// one was taken or given up. The answer to a command batch can be made while the answer to a
-// periodic heartbeat is still on its way, so it tells nothing about starts that went with that.
+// Returns whether the heartbeat would list the attempt if it were on the machine, or if its start
+// had been or could still be executed. Then an unlisted attempt is gone. The agent makes its next
+// periodic heartbeat only after the answer to the last one has arrived or timed out. The answer to
+// a command batch can be made while the answer to a periodic heartbeat is still in flight, so it
+// proves nothing about the starts in that answer.
 bool Reconciler::WouldBeListed(const Pass& pass, const Allocation& allocation) {
   if (allocation.state == Allocation::State::kReported) return true;
   if (allocation.state != Allocation::State::kStartSent) return false;
@@ -128,7 +130,8 @@
 
 // ---------------------------------------------------------------------------- recovery
 
-// An attempt that this scheduler did not start: an earlier leader's, or of a job that is over.
+// Adds an attempt that this scheduler did not start: an earlier leader started it, or its job is
+// over.
 void Reconciler::RecoverAllocation(Machine& machine, const wire::TaskStatus& status, double now) {
   Job* job = state_.cluster.FindJob(status.task.job);
   if (job != nullptr && status.task.index >= job->spec.tasks) job = nullptr;
@@ -149,7 +152,7 @@
   RecoverRunning(machine, job, key, std::move(allocation), now);
 }
 
-// `job` is null if there is no such job or task any more.
+// `job` is null if the job or the task does not exist any more.
 void Reconciler::RecoverExited(Machine& machine, Job* job, const AllocationKey& key,
                                Allocation allocation) {
   const wire::TaskId& task = key.first;
@@ -166,7 +169,7 @@
   machine.allocations.emplace(key, std::move(allocation));
 }
 
-// `job` is null if there is no such job or task any more.
+// `job` is null if the job or the task does not exist any more.
 void Reconciler::RecoverRunning(Machine& machine, Job* job, const AllocationKey& key,
                                 Allocation allocation, double now) {
   const wire::TaskId& task = key.first;
@@ -175,7 +178,7 @@
     if (state_.IsReconciling(task)) {
       EndReconciliationOf(task);
     } else {
-      state_.role->OnTaskFound(*job, task.index);
+      state_.role->OnAttemptRecovered(*job, task.index);
     }
     allocation.cpus = job->spec.cpus;
     allocation.gpus = job->spec.gpus;
@@ -183,9 +186,9 @@
   } else {
     state_.cluster.quota.AddUnknownTask();
   }
-  const bool is_wanted = job != nullptr && job->tasks[task.index].phase == TaskPhase::kPending;
-  const bool is_duplicate = job != nullptr && !is_wanted;
-  if (!is_wanted) {
+  const bool is_pending = job != nullptr && job->tasks[task.index].phase == TaskPhase::kPending;
+  const bool is_duplicate = job != nullptr && !is_pending;
+  if (!is_pending) {
     allocation.orphaned = true;
     if (is_duplicate) state_.cluster.AddDuplicate(task, machine.id);
     cluster::RequestStop(machine, allocation, /*grace_s=*/0);
@@ -194,13 +197,15 @@
   }
   state_.cluster.Allocate(machine, key, std::move(allocation));
   if (is_duplicate) {
-    // If the task was withheld, this is the attempt that was looked for.
+    // If the task was withheld because a start may have reached another machine, this attempt is
+    // the result of that start.
     state_.unconfirmed_starts.Forget(task);
     state_.cluster.ReleaseWithheld(task);
   }
 }
 
-// Gives up a start of the task that is planned elsewhere. One that was sent can't be given up.
+// Withdraws a planned start of the task on another machine. A start that was sent can't be
+// withdrawn.
 void Reconciler::RemovePlannedStart(const wire::TaskId& task, double now) {
   for (auto& [id, machine] : state_.cluster.machines) {
     for (auto it = machine.allocations.lower_bound({task, 0});
@@ -217,7 +222,7 @@
   state_.cluster.ReturnDelegated(task, state_.cluster.delegated_tasks.LeaseOf(task));
 }
 
-// ---------------------------------------------------------------------------- attempts that ended
+// ---------------------------------------------------------------------------- ended attempts
 
 void Reconciler::OnTaskExited(Machine& machine, const wire::TaskId& task, Allocation& allocation,
                               double now) {
@@ -227,7 +232,7 @@
   if (job != nullptr && allocation.exit_reason == ExitReason::kSucceeded) {
     OnTaskSucceeded(machine, *job, task, allocation, now);
   } else {
-    OnTaskEndedEarly(machine, job, task, allocation, now);
+    OnTaskStoppedOrFailed(machine, job, task, allocation, now);
   }
   const bool is_idle = std::all_of(machine.allocations.begin(), machine.allocations.end(),
                                    [](const auto& it) { return it.second.exited(); });
@@ -246,9 +251,9 @@
   if (was_crash_looping) state_.role->OnCrashLoopEnded(job);
 }
 
-// `job` is null if the attempt was only to be stopped.
-void Reconciler::OnTaskEndedEarly(Machine& machine, Job* job, const wire::TaskId& task,
-                                  const Allocation& allocation, double now) {
+// `job` is null if the job is over, or if the attempt is orphaned and was only to be stopped.
+void Reconciler::OnTaskStoppedOrFailed(Machine& machine, Job* job, const wire::TaskId& task,
+                                       const Allocation& allocation, double now) {
   const ExitReason reason = allocation.exit_reason;
   if (job != nullptr && reason == ExitReason::kFailed) {
     const auto verdict =
@@ -269,7 +274,7 @@
   if (job.MarkDone(index)) state_.role->OnTaskDone(job, index);
 }
 
-// Tells people, the log, and whoever records it of a verdict.
+// Logs a verdict, adds it to the incidents of the status page, and passes crash loops to the role.
 void Reconciler::OnHealthVerdict(const Machine& machine, const Job& job,
                                  MachineHealth::Verdict verdict, double now) {
   switch (verdict) {
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -32,7 +32,7 @@
   if (!value.is_object()) return;
   state_.durable_state.LoadMachinesPack(pack, value, version);
   for (const auto& [id, record] : value.items()) {
-    lifecycle_.AddRecorded(id, DecodeMachineRecord(record));
+    machine_lifecycle_.AddRecorded(id, DecodeMachineRecord(record));
   }
 }
 
@@ -58,16 +58,16 @@
   if (Machine* machine = state_.FindMachine(id)) machine->deleting = false;
 }
 
-void Scheduler::OnMachineList(const std::vector<wire::ListedMachine>& machines, double asked,
+void Scheduler::OnMachineList(const std::vector<wire::ListedMachine>& machines, double requested_at,
                               double now) {
-  state_.provisioning.OnMachineList(machines, state_.AllMachines(), asked, now);
-  state_.unconfirmed_starts.OnMachineList(machines, asked);
+  state_.provisioning.OnMachineList(machines, state_.AllMachines(), requested_at, now);
+  state_.unconfirmed_starts.OnMachineList(machines, requested_at);
 }
 
 void Scheduler::OnRecordsWritten(uint64_t revision, double now) {
   for (const auto& id : state_.durable_state.OnBatchWritten(revision, state_.cluster)) {
     Machine& machine = state_.cluster.machines.at(id);
-    lifecycle_.OnRecordDurable(machine, revision);
+    machine_lifecycle_.OnRecordDurable(machine, revision);
     if (machine.handover_lease != kNoLease) handover_.CompleteHandover(machine, now);
   }
   state_.role->OnRecordsWritten();
@@ -76,9 +76,9 @@
 // ---------------------------------------------------------------------------- time
 
 void Scheduler::Tick(double now) {
-  lifecycle_.ExpireLeases(now);
+  machine_lifecycle_.ExpireLeases(now);
   migration_.LeaveUnschedulableMachines(now);
-  lifecycle_.ReleaseRuledOutStarts();
+  machine_lifecycle_.ReleaseRuledOutStarts();
   commands_.RaiseTokens();
   state_.role->BeforePlacement(now);
   state_.cluster.changed_since_pass = true;
@@ -89,16 +89,17 @@
 }
 
 void Scheduler::OnProcessStall(double from, double now) {
-  const double gap_s = now - from;
+  const double stall_s = now - from;
   state_.failover.OnProcessStall(now);
   for (auto& [id, machine] : state_.cluster.machines) {
-    // What was heard of it before tells as much as it did then. The last renewal of its lease is a
-    // promise to its agent, and stands as it is.
+    // The stall does not add to the time since the last contact. `lease_renewed_at` stays: the
+    // agent counts its lease from that renewal, whether this process runs or not.
     if (from - machine.last_contact_at < state_.derived.agent_suspect_s) {
-      machine.last_contact_at += gap_s;
+      machine.last_contact_at += stall_s;
     }
     machine.failed_probes = 0;
-    // Whatever ended meanwhile ended at a time that nobody saw, so its run time tells nothing.
+    // A task may have ended at any time during the stall, so its run time is unknown and must not
+    // count in the comparison of machines.
     for (auto& [key, allocation] : machine.allocations) allocation.recovered = true;
   }
   state_.cluster.changed_since_pass = true;
--- a/src/scheduler/scheduler_state.cc
+++ b/src/scheduler/scheduler_state.cc
@@ -2,7 +2,7 @@
 
 namespace mosspath::scheduler {
 
-// The members are passed on, not the arguments: the task placer keeps the references.
+// The task placer gets the member `settings`, not the argument `s`, as it keeps the reference.
 SchedulerState::SchedulerState(const config::Settings& s, const config::DerivedSettings& d,
                                uint64_t fencing_token, double now)
     : settings(s),
--- a/src/scheduler/task_reconciliation.cc
+++ b/src/scheduler/task_reconciliation.cc
@@ -9,7 +9,7 @@
   PendingMachines& pending = pending_[reconciliation];
   for (const auto& id : machines) {
     pending.machines.insert(id);
-    by_machine_[id].insert(reconciliation);
+    reconciliations_by_machine_[id].insert(reconciliation);
   }
   pending.total = pending.machines.size();
   return true;
@@ -17,8 +17,8 @@
 
 std::vector<uint64_t> TaskReconciliation::OnMachineKnown(const std::string& machine) {
   std::vector<uint64_t> ended;
-  const auto it = by_machine_.find(machine);
-  if (it == by_machine_.end()) return ended;
+  const auto it = reconciliations_by_machine_.find(machine);
+  if (it == reconciliations_by_machine_.end()) return ended;
   for (const uint64_t reconciliation : it->second) {
     PendingMachines& pending = pending_[reconciliation];
     pending.machines.erase(machine);
@@ -26,13 +26,13 @@
     ended.push_back(reconciliation);
     pending_.erase(reconciliation);
   }
-  by_machine_.erase(it);
+  reconciliations_by_machine_.erase(it);
   return ended;
 }
 
 bool TaskReconciliation::IsNearlyComplete(const std::string& machine, double max_share) const {
-  const auto it = by_machine_.find(machine);
-  if (it == by_machine_.end()) return false;
+  const auto it = reconciliations_by_machine_.find(machine);
+  if (it == reconciliations_by_machine_.end()) return false;
   return std::all_of(it->second.begin(), it->second.end(), [&](uint64_t reconciliation) {
     const PendingMachines& pending = pending_.at(reconciliation);
     return static_cast<double>(pending.machines.size()) <=
--- a/tests/reconciliation_test.cc
+++ b/tests/reconciliation_test.cc
@@ -1,4 +1,4 @@
-// What the scheduler concludes about tasks from heartbeats and from outcomes of commands.
+// Tests what the scheduler concludes about tasks from heartbeats and outcomes of command batches.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,8 +11,8 @@
 
 using ReconciliationTest = SchedulerTest;
 
-// An outcome of direct commands, made while the answer to a heartbeat was in flight, was taken as
-// proof that the starts in that answer were lost; they ran twice.
+// Guards against tasks that run twice. The agent's answer to a command batch, made while the answer
+// to a heartbeat was in flight, was taken as proof that the starts in the latter were lost.
 TEST_F(ReconciliationTest, CommandOutcomesDoNotDisproveStartsInHeartbeatAnswers) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -21,21 +21,21 @@
   ASSERT_EQ(batches.size(), 1u);
   scheduler_.AddJob(Job(2, 1, 1, wire::Priority::kNormal), 12, 0);
   ASSERT_EQ(Starts(SendHeartbeat("vm-1", 1.1)).size(),
-            1u);  // on its way to the agent
-  wire::Heartbeat direct;
-  direct.machine = "vm-1";
-  direct.agent_epoch = 1;
-  direct.sequence = ++sequences_["vm-1"];
-  direct.fencing_token = 10;
+            1u);  // in flight to the agent
+  wire::Heartbeat command_answer;
+  command_answer.machine = "vm-1";
+  command_answer.agent_epoch = 1;
+  command_answer.sequence = ++sequences_["vm-1"];
+  command_answer.fencing_token = 10;
   const auto& command = batches[0].commands[0];
-  direct.tasks = {
+  command_answer.tasks = {
       {command.task, command.attempt, wire::TaskState::kFetching, wire::ExitReason::kNone, false}};
-  scheduler_.OnCommandOutcome(batches[0], CommandOutcome::kExecuted, &direct, 1.2);
+  scheduler_.OnCommandOutcome(batches[0], CommandOutcome::kExecuted, &command_answer, 1.2);
   EXPECT_EQ(scheduler_.Counts("req-2").running, 1u);
 }
 
-// The outcome was made before the heartbeat that arrived first; the start in the answer to that
-// heartbeat is in flight.
+// The heartbeat in a command outcome was made before a heartbeat that has arrived already, so it
+// must not undo what the newer one has reported.
 TEST_F(ReconciliationTest, ADelayedCommandOutcomeChangesNothing) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -66,8 +66,8 @@
   ASSERT_EQ(batches.size(), 1u);
   scheduler_.OnCommandOutcome(batches[0], CommandOutcome::kUndetermined, nullptr, 2);
   SendHeartbeat("vm-1", 2.5);
-  EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);  // may still be executed
-  scheduler_.Tick(2.6);  // needs a store revision, and writes to get one
+  EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);  // the start may still be executed
+  scheduler_.Tick(2.6);  // a higher token is a store revision, so a record is written
   ASSERT_FALSE(scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty());
   scheduler_.OnRecordsWritten(30, 0);
   scheduler_.Tick(3);
@@ -75,7 +75,7 @@
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
   SendHeartbeat("vm-1", 4, {}, 30);
   const auto starts = Starts(SendHeartbeat("vm-1", 4.5, {}, 30));
-  ASSERT_EQ(starts.size(), 1u);  // certainly not there: started again
+  ASSERT_EQ(starts.size(), 1u);  // the first start is certainly void, so the task starts again
   EXPECT_NE(starts[0].attempt, batches[0].commands[0].attempt);
 }
 
