--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -37,7 +37,7 @@
   void OnRecordDurable(cluster::Machine& machine, uint64_t revision);
   // Called when the machine's heartbeats arrive but the answers seem not to reach it. A heartbeat
   // does not prove that answers arrive, and a single lost answer does not prove that they don't.
-  void OnDeliverySuspected(cluster::Machine& machine);
+  void OnDeliveryFailureSuspected(cluster::Machine& machine);
 
   // --- Removing machines ---
 
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -76,7 +76,7 @@
   if (had_epoch && machine.token_confirmed && !machine.lost && lease_was_valid) {
     // The agent's lease has expired although all of its heartbeats were answered.
     spdlog::info("scheduler: unexpected_agent_epoch machine={}", machine.id);
-    OnDeliverySuspected(machine);
+    OnDeliveryFailureSuspected(machine);
   }
   // The lease of the earlier epoch has expired: the agent has killed all of its tasks, and refuses
   // late commands that were sent for that epoch.
@@ -125,9 +125,9 @@
   machine.next_probe_at = kLongAgo;
 }
 
-void MachineLifecycle::OnDeliverySuspected(Machine& machine) {
+void MachineLifecycle::OnDeliveryFailureSuspected(Machine& machine) {
   machine.ignored_answers = 0;
-  state_.role->OnDeliverySuspected(machine);
+  state_.role->OnDeliveryFailureSuspected(machine);
 }
 
 // ---------------------------------------------------------------------------- removing machines
@@ -218,7 +218,7 @@
   }
   for (const auto& id : suspects) {
     Machine& machine = state_.cluster.machines.at(id);
-    if (machine.token_confirmed) OnDeliverySuspected(machine);
+    if (machine.token_confirmed) OnDeliveryFailureSuspected(machine);
   }
 }
 
