--- a/include/mosspath/election/cancellation_log.h
+++ b/include/mosspath/election/cancellation_log.h
@@ -1,9 +1,10 @@
-// The cancellations that a controller may have confirmed to its users, and the part of them that a
-// leader has not read yet. A peer sends that part with its promise (docs/design.md, "The state
-// service refuses the leader alone, and then everybody"). Pure.
+// The log of the job cancellations that a controller may have confirmed to its users. A peer adds
+// to its leadership promise those entries that the leader has not read yet (docs/design.md, "The
+// state service refuses the leader alone, and then everybody"). Does no I/O.
 //
-// Invariant: whatever this process has confirmed, and whatever the process before it may have
-// confirmed, has a revision of at most newest(); of those after listed_from() the ids are here.
+// Invariant: each cancellation that this process has confirmed, or that the previous process may
+// have confirmed, has a revision of at most newest(). The log holds the job id of each one with a
+// revision after listed_from().
 #pragma once
 
 #include <cstddef>
@@ -17,19 +18,19 @@
 
 class CancellationLog {
  public:
-  // Keeps the latest `max_entries` ids.
+  // The log keeps the latest `max_entries` ids.
   explicit CancellationLog(size_t max_entries) : max_entries_(max_entries) {}
 
-  // The process before this one may have confirmed any cancellation up to `revision`.
+  // Records that the previous process may have confirmed any cancellation up to `revision`.
   void AssumeReportedUpTo(uint64_t revision);
-  // The cancellation of job `id` is durable since `revision`. Must be called before any user is
-  // told of it.
+  // Adds the cancellation of job `id`, which is durable since `revision`. Must be called before the
+  // cancellation is confirmed to any user.
   void Add(const std::string& id, uint64_t revision);
 
   [[nodiscard]] uint64_t newest() const { return newest_; }
   [[nodiscard]] uint64_t listed_from() const { return listed_from_; }
-  // What came after the revision `seen`, ascending, as far as one answer can hold it; the slice
-  // says over which revisions it is complete.
+  // Returns the entries after the revision `seen`, in ascending order and as many as fit into one
+  // response. The slice states the range of revisions for which it is complete.
   [[nodiscard]] wire::CancellationLogSlice Since(uint64_t seen) const;
 
  private:
@@ -40,7 +41,7 @@
   };
   using Entries = std::set<LogEntry>;
 
-  // The first entry after `revision`.
+  // Returns the first entry after `revision`.
   [[nodiscard]] Entries::const_iterator FirstAfter(uint64_t revision) const {
     return entries_.lower_bound(LogEntry{revision + 1, {}});
   }
--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -1,7 +1,7 @@
-// Leader election over the state service's leases (etcd: lease, election): obtains and renews this
-// controller's store lease, and campaigns for the leader key, which hangs on that lease and whose
-// version is the fencing token of the term. This class does the I/O and the timers; the decisions
-// are election/leadership's.
+// Leader election over the state service's leases (as in etcd: lease, election). The elector
+// obtains and renews this controller's store lease and campaigns for the leader key. The leader key
+// is attached to that lease, and its version is the fencing token of the term. This class does the
+// I/O and runs the timers; election/leadership makes the decisions.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,13 @@
 
 namespace mosspath::election {
 
-// Lives on the thread of its io_context, as `client` does, which must outlive it.
+// Runs on the thread of its io_context, as `client` does. `client` must outlive the elector.
 class Elector {
  public:
   struct Handlers {
-    // This controller leads from now on, under `token`.
+    // This controller leads from now on, with `token` as its fencing token.
     std::function<void(uint64_t token)> elected;
-    // It no longer leads, and must command nothing more.
+    // This controller no longer leads and must send no more commands.
     std::function<void()> lost;
   };
 
@@ -29,20 +29,20 @@
   Elector(asio::io_context& io, kvstore::Client& client, const config::Settings& settings,
           const config::DerivedSettings& derived, std::string key, Handlers handlers);
 
-  // Asks for a store lease. To be called once.
+  // Requests a store lease. Must be called once.
   void Start();
 
-  // --- What the watch cache reads ---
+  // --- Events of the watch cache ---
   void OnLeaderKey(const kvstore::Event& event);
   void OnReset() { leadership_.Reset(); }
-  // `fresh`: the cache is empty, so nobody has ever led.
+  // `fresh`: the cache is empty, so no controller has ever led.
   void OnCacheLoaded(bool fresh);
-  // The cache holds all that was written before `as_of`, which is up to `revision`.
+  // The cache holds everything that was written before `as_of`, up to `revision`.
   void OnReadUpTo(double as_of, uint64_t revision) { leadership_.OnReadUpTo(as_of, revision); }
   // The leader has sent its view as of `as_of`.
   void OnLeaderView(double as_of) { leadership_.OnLeaderView(as_of); }
 
-  // Gives the leadership up at once, for another controller to take. No effect on a follower.
+  // Resigns at once, so that another controller can be elected. Has no effect on a follower.
   void Resign(LeadershipLossReason reason);
   [[nodiscard]] bool MayResign(double now) const { return leadership_.MayResign(now); }
 
@@ -67,11 +67,11 @@
                                                              double now);
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return leadership_.token(); }
-  // Who leads, as far as is known; empty: nobody.
+  // The name of the last known leader; empty if none is known.
   [[nodiscard]] const std::string& leader() const { return leadership_.leader(); }
-  // The present leader's token, as far as is known; kNoToken: nobody leads.
+  // The fencing token of the last known leader; kNoToken if none is known.
   [[nodiscard]] uint64_t leader_token() const { return leadership_.leader_token(); }
-  // This controller's store lease; kvstore::kNoLease while it has none.
+  // This controller's store lease; kvstore::kNoLease while this controller has none.
   [[nodiscard]] uint64_t store_lease() const { return leadership_.store_lease(); }
   [[nodiscard]] const std::string& key() const { return key_; }
 
@@ -94,7 +94,7 @@
   net::Timer evaluate_timer_;
   net::Backoff backoff_;
   Leadership leadership_;
-  bool lapse_logged_ = false;  // in this term, and not renewed since
+  bool lapse_logged_ = false;  // the store lease lapsed in this term and was not renewed since
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/failure_detector.h
+++ b/include/mosspath/election/failure_detector.h
@@ -1,6 +1,6 @@
-// A heartbeat failure detector between controllers: which of them are up, and what each can't
-// reach. Its verdicts are hints for routing and for the status page. Nothing that must be safe is
-// decided on them, since silence proves nothing. Pure.
+// A heartbeat failure detector between controllers: which controllers are up, and which services
+// and peers each of them can't reach. Its results are hints for routing and for the status page. No
+// safety decision depends on them, since missing heartbeats don't prove a failure. Does no I/O.
 #pragma once
 
 #include <map>
@@ -18,48 +18,54 @@
  public:
   explicit FailureDetector(const config::Settings& settings);
 
-  // Heartbeats of controllers that are not in the settings are ignored.
+  // Ignores heartbeats of controllers that are not in the settings.
   void OnHeartbeat(const wire::PeerHeartbeat& heartbeat, double now);
-  // This process did not run between `from` and `now`: no peer was silent for that time.
+  // Reports that this process did not run between `from` and `now`. That time does not count as
+  // silence of the peers.
   void OnProcessStall(double from, double now);
 
-  // No heartbeat has come for several intervals; false for a peer that was never heard.
+  // True if no heartbeat of the controller has arrived for several intervals; false if none has
+  // ever arrived.
   [[nodiscard]] bool IsSuspected(const std::string& node, double now) const;
-  // When the state service last answered any peer, as far as their heartbeats say.
+  // When the state service last answered any peer, according to the peers' heartbeats.
   [[nodiscard]] std::optional<double> state_contact() const { return state_contact_; }
-  // All peers were heard, and all are suspected now.
+  // True if a heartbeat of each peer has arrived before, and all peers are suspected now.
   [[nodiscard]] bool IsIsolated(double now) const;
-  // Whether the load balancer should send users here. `state_contact` is when the state service
-  // last answered this controller, which may be up to `patience_s` ago.
+  // Whether the load balancer should route users to this controller. `state_contact` is when the
+  // state service last answered this controller; up to `contact_timeout_s` ago counts as reachable.
   //
-  // In an outage that everybody has, leaving the load balancer would only send the users after it.
-  // A controller that is refused alone leaves, since the others can serve. So does one that is cut
-  // off from the others too: it can't tell the two cases apart, and it would answer 503 to users
-  // whom the others could serve.
-  [[nodiscard]] bool ShouldServeUsers(double state_contact, double patience_s, double now) const;
-  // How long ago each peer was heard; wire::kNeverS if it never was.
+  // In an outage of the state service for all controllers this controller stays in the load
+  // balancer: withdrawing would only move its users to controllers with the same outage. If the
+  // state service refuses only this controller, it withdraws, since the peers can serve. An
+  // isolated controller withdraws too: it can't distinguish the two cases, and it would answer 503
+  // to users that the peers could serve.
+  [[nodiscard]] bool ShouldServeUsers(double state_contact, double contact_timeout_s,
+                                      double now) const;
+  // Seconds since the last heartbeat of each peer; wire::kNeverS if none has arrived.
   [[nodiscard]] std::vector<wire::PeerHeartbeat::PeerContact> PeerContacts(double now) const;
-  // The state of all controllers by name; this one's from its own heartbeat.
+  // The state of all controllers, sorted by name. The state of this controller comes from `own`,
+  // its own heartbeat.
   [[nodiscard]] std::vector<wire::ControllerState> ControllerStates(const wire::PeerHeartbeat& own,
                                                                     double now) const;
 
-  // Seconds between two heartbeats.
+  // The heartbeat interval in seconds.
   [[nodiscard]] double interval_s() const { return interval_s_; }
 
  private:
   struct Peer {
     std::string zone;
     std::optional<double> heard_at;
-    wire::PeerHeartbeat heartbeat;  // valid once it was heard
+    wire::PeerHeartbeat heartbeat;  // valid once `heard_at` is set
   };
 
-  // How long ago the peer was heard; at most wire::kNeverS.
+  // Seconds since the last heartbeat of the peer; at most wire::kNeverS.
   [[nodiscard]] static double SilenceOf(const Peer& peer, double now);
   [[nodiscard]] wire::ControllerState StateOf(const std::string& name, const Peer& peer,
                                               double now) const;
-  // Takes a later contact over from what the other peers say of the controller.
+  // Updates the last contact with the controller if another peer has received a later heartbeat.
   void ApplyIndirectContacts(double now, wire::ControllerState& state) const;
-  // Adds what the sender of a heartbeat could not reach when it was received `age_s` ago.
+  // Adds the services and peers that the sender of `heartbeat` could not reach. The heartbeat was
+  // received `age_s` seconds ago.
   void AddUnreachable(const wire::PeerHeartbeat& heartbeat, double age_s,
                       wire::ControllerState& state) const;
 
--- a/include/mosspath/election/lease_clock.h
+++ b/include/mosspath/election/lease_clock.h
@@ -1,4 +1,4 @@
-// How long the holder of a store lease may rely on it (etcd: lease keep-alive). Pure.
+// How long the holder of a store lease may rely on it (as in etcd: lease keep-alive). Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,19 +9,21 @@
 // All times are seconds on the holder's steady clock.
 class LeaseClock {
  public:
-  // The lease lives for `life_s` after each renewal; `margin_s` of it covers clock drift.
-  LeaseClock(double life_s, double margin_s) : usable_s_(life_s - margin_s) {}
+  // The lease expires `ttl_s` after its last renewal; `margin_s` of that time covers clock drift.
+  LeaseClock(double ttl_s, double margin_s) : usable_s_(ttl_s - margin_s) {}
 
-  // The request that renewed the lease left at `sent`. The service counts from when it received the
-  // request, which is later, so counting from `sent` is safe.
-  void OnRenewed(double sent) { until_ = std::max(until_, std::optional(sent + usable_s_)); }
+  // The request that renewed the lease was sent at `sent`. Counting from `sent` is safe: the state
+  // service counts from its receipt of the request, which is later.
+  void OnRenewed(double sent) {
+    expires_at_ = std::max(expires_at_, std::optional(sent + usable_s_));
+  }
   // The lease has ended or is about to be revoked.
-  void OnLost() { until_.reset(); }
-  [[nodiscard]] bool Holds(double now) const { return until_ && now < *until_; }
+  void OnLost() { expires_at_.reset(); }
+  [[nodiscard]] bool Holds(double now) const { return expires_at_ && now < *expires_at_; }
 
  private:
   double usable_s_;
-  std::optional<double> until_;
+  std::optional<double> expires_at_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/staleness_bound.h
+++ b/include/mosspath/election/staleness_bound.h
@@ -1,6 +1,7 @@
-// How old the leader's view of the jobs may be while it acts on it (docs/design.md, rule 12). An
-// agent that is answered keeps its tasks for a lease, whether or not the leader knows that their
-// job was cancelled. Pure: the caller passes the time.
+// The bound on the age of the view of the jobs that a leader may act on (docs/design.md, rule 12).
+// Each answer to an agent extends the agent's lease on its tasks, even if the leader has not yet
+// read that their job was cancelled. So a stale view would delay cancellations. Does no I/O; the
+// caller passes the time.
 #pragma once
 
 #include <algorithm>
@@ -12,17 +13,18 @@
 // All times are seconds on one steady clock.
 class StalenessBound {
  public:
-  // A view older than `max_age_s` must not be acted on.
+  // A leader must not act on a view older than `max_age_s`.
   explicit StalenessBound(double max_age_s) : max_age_s_(max_age_s) {}
 
-  // Everything that any user was told before `as_of` is known here. Calls may come in any order:
-  // the latest moment counts.
+  // The view holds everything that was confirmed to any user before `as_of`. Calls may come in any
+  // order; the latest `as_of` counts.
   void AdvanceTo(double as_of) { as_of_ = std::max(as_of_, std::optional(as_of)); }
 
   [[nodiscard]] bool IsFresh(double now) const { return age_s(now) <= max_age_s_; }
-  // More than half of the bound is used up: a controller that reads more should lead instead.
+  // True once more than half of the bound is used up. A controller with a fresher view should lead
+  // instead.
   [[nodiscard]] bool IsAging(double now) const { return age_s(now) > max_age_s_ / 2; }
-  // Infinite before the first AdvanceTo.
+  // The age of the view in seconds; infinite before the first AdvanceTo.
   [[nodiscard]] double age_s(double now) const {
     return as_of_ ? now - *as_of_ : std::numeric_limits<double>::infinity();
   }
--- a/src/election/cancellation_log.cc
+++ b/src/election/cancellation_log.cc
@@ -15,7 +15,7 @@
   if (revision <= listed_from_) return;
   entries_.insert(LogEntry{revision, id});
   while (entries_.size() > max_entries_) {
-    // All entries of that revision go: the list stays complete after listed_from_.
+    // Drops all entries of that revision, so that the list stays complete after listed_from_.
     listed_from_ = entries_.begin()->revision;
     entries_.erase(entries_.begin(), FirstAfter(listed_from_));
   }
@@ -28,10 +28,11 @@
   slice.to_revision = std::max(slice.from_revision, newest_);
   for (auto it = FirstAfter(slice.from_revision); it != entries_.end(); ++it) {
     if (slice.entries.size() == wire::kMaxCancelledIds) {
-      // The slice ends before this revision, of which some entries may already be in it.
-      const uint64_t next = it->revision;
-      std::erase_if(slice.entries, [&](const auto& entry) { return entry.revision >= next; });
-      slice.to_revision = next - 1;
+      // The slice must end before this revision: some of its entries may already be in the slice.
+      const uint64_t excluded_revision = it->revision;
+      std::erase_if(slice.entries,
+                    [&](const auto& entry) { return entry.revision >= excluded_revision; });
+      slice.to_revision = excluded_revision - 1;
       break;
     }
     slice.entries.push_back({it->id, it->revision});
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -9,10 +9,10 @@
 
 constexpr double kFirstGrantRetryS = 0.1;
 constexpr double kFailedCampaignPauseS = 0.3;
-// A renewal that failed is repeated after this part of the renewal interval.
+// A failed renewal is retried after this fraction of the renewal interval.
 constexpr double kRenewRetryRatio = 0.25;
 
-// The fields of the leader key's value, as they are stored.
+// Field names of the stored value of the leader key.
 constexpr const char* kNodeField = "node";
 constexpr const char* kStoreLeaseField = "grant";
 
@@ -53,7 +53,7 @@
   const double sent = net::Now();
   const uint64_t store_lease = leadership_.store_lease();
   client_.RenewLease(store_lease, [this, sent, store_lease](kvstore::Outcome outcome) {
-    if (store_lease != leadership_.store_lease()) return;  // resigned meanwhile
+    if (store_lease != leadership_.store_lease()) return;  // this controller resigned meanwhile
     OnRenewal(outcome, sent);
   });
 }
@@ -123,7 +123,8 @@
   transaction.changes.push_back(
       {key_, wire::Json{{kNodeField, node_}, {kStoreLeaseField, store_lease()}}, store_lease()});
   const auto on_committed = [this](const kvstore::TransactionResult& result) {
-    // The watch cache shows whether the key was put; until then no other campaign begins.
+    // The watch cache shows whether the key was put. No other campaign begins before the pause
+    // ends.
     const bool done = result.outcome == kvstore::Outcome::kDone;
     const double pause_s = done ? derived_.call_timeout_s : kFailedCampaignPauseS;
     campaign_timer_.After(pause_s, [this] {
--- a/src/election/failure_detector.cc
+++ b/src/election/failure_detector.cc
@@ -7,12 +7,13 @@
 
 constexpr double kMinIntervalS = 0.5;
 constexpr double kIntervalsPerAgentHeartbeat = 4;
-constexpr double kSuspectIntervals = 3;  // a peer that is silent for longer is suspected
-// A controller that had no contact for this many agent heartbeat intervals can't reach ...
-constexpr double kUnreachableHeartbeats = 3;        // ... the state service, or the agents
-constexpr double kUnreachableCloudHeartbeats = 20;  // ... the cloud, which is asked less often
+// A peer is suspected after this many heartbeat intervals without a heartbeat.
+constexpr double kSuspectIntervals = 3;
+// A service counts as unreachable after this many agent heartbeat intervals without contact.
+constexpr double kUnreachableHeartbeats = 3;        // the state service, or the agents
+constexpr double kUnreachableCloudHeartbeats = 20;  // the cloud, which is polled less often
 
-// Texts of the status page.
+// Texts that the status page shows.
 constexpr const char* kStateService = "state service";
 constexpr const char* kWorkers = "workers";
 constexpr const char* kCloud = "cloud";
@@ -55,10 +56,11 @@
   });
 }
 
-bool FailureDetector::ShouldServeUsers(double state_contact, double patience_s, double now) const {
-  if (now - state_contact < patience_s) return true;
+bool FailureDetector::ShouldServeUsers(double state_contact, double contact_timeout_s,
+                                       double now) const {
+  if (now - state_contact < contact_timeout_s) return true;
   const bool peers_are_answered =
-      state_contact_ && *state_contact_ >= state_contact + patience_s / 2;
+      state_contact_ && *state_contact_ >= state_contact + contact_timeout_s / 2;
   return !peers_are_answered && !IsIsolated(now);
 }
 
@@ -109,7 +111,8 @@
   ApplyIndirectContacts(now, state);
   if (silence_s < wire::kNeverS) AddUnreachable(peer.heartbeat, silence_s, state);
   if (state.heard_ago_s >= wire::kNeverS) state.heard_by.clear();
-  // A heartbeat describes its sender at the time it was received; later it may be in any state.
+  // A heartbeat describes its sender only as of its arrival. Once the sender is suspected, its
+  // state is unknown.
   if (IsSuspected(name, now) || silence_s >= wire::kNeverS) state.unreachable = {kNoHeartbeat};
   return state;
 }
--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -6,14 +6,15 @@
 namespace mosspath::election {
 namespace {
 
-// Each change takes one revision, and changes are limited for all controllers together; leases that
-// end take revisions too. More than this many times the limit can't have come since the last read.
+// Each change takes one revision, and the rate of changes of all controllers together is limited.
+// Leases that end take revisions too. Since the last read, the revision can't have risen by more
+// than this multiple of the limit.
 constexpr double kRevisionsPerChange = 4;
 // A burst of this many seconds' worth of changes is allowed on top.
 constexpr double kRevisionBurstS = 1;
-// After resigning a controller lets others campaign first for this many lives of a store lease.
-constexpr double kHoldBackLeases = 2;
-// A leader that resigned before stays for at least this many lives of a store lease.
+// After a resignation a controller lets others campaign first for this many store lease durations.
+constexpr double kDeferCampaignLeases = 2;
+// A leader that has resigned before stays for at least this many store lease durations.
 constexpr double kMinTenureLeases = 2;
 
 }  // namespace
@@ -47,7 +48,7 @@
       staleness_(derived.max_view_age_s),
       read_at_(now) {
   for (const auto& peer : settings.peers) peers_.insert(peer.name);
-  promises_.Promise(now);  // whatever the process before this one promised
+  promises_.Promise(now);  // covers any promise of the previous process
 }
 
 void Leadership::OnStoreLeaseGranted(uint64_t store_lease, double sent) {
@@ -64,7 +65,7 @@
 Leadership::MaybeLoss Leadership::Resign(LeadershipLossReason reason, double now) {
   store_lease_clock_.OnLost();
   store_lease_ = kvstore::kNoLease;
-  hold_back_until_ = now + kHoldBackLeases * derived_.store_lease_s;
+  defer_campaign_until_ = now + kDeferCampaignLeases * derived_.store_lease_s;
   resignation_backoff_.OnResigned(now);
   return StepDown(reason);
 }
@@ -76,8 +77,8 @@
 
 Leadership::MaybeLoss Leadership::OnLeaderKey(const LeaderKey& key) {
   leader_key_ = key;
-  const bool is_led = key.version != kvstore::kKeyAbsent;
-  had_leader_before_ = had_leader_before_ || (is_led && key.store_lease != store_lease_);
+  const bool has_leader = key.version != kvstore::kKeyAbsent;
+  had_leader_before_ = had_leader_before_ || (has_leader && key.store_lease != store_lease_);
   if (leads() && token_ != key.version) return StepDown(LeadershipLossReason::kLeaderKeyChanged);
   return std::nullopt;
 }
@@ -101,41 +102,41 @@
 Leadership::Step Leadership::NextStep(double now) {
   using Kind = Step::Kind;
   if (!loaded_ || store_lease_ == kvstore::kNoLease) return {};
-  if (HoldsLeaderKey()) return TakeOffice(now);
-  if (const auto wait_s = HoldBack(now)) {
+  if (HoldsLeaderKey()) return AssumeLeadership(now);
+  if (const auto wait_s = CampaignDelay(now)) {
     return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = *wait_s};
   }
-  // A key of this node under another store lease was left by an earlier process of it: nobody else
-  // may take it over before that lease ends.
+  // A leader key of this node under another store lease was put by an earlier process of this node.
+  // This controller may overwrite it, but no other controller may before that lease ends.
   const bool led_by_other = leader_key_.version != kvstore::kKeyAbsent && leader_key_.node != node_;
   if (led_by_other || campaigning_ || !store_lease_clock_.Holds(now)) return {};
   return {.kind = Kind::kCampaign, .version = leader_key_.version, .wait_s = 0};
 }
 
-// The key was read, and with it all that earlier leaders wrote.
-Leadership::Step Leadership::TakeOffice(double now) {
+// This controller has read its own leader key, and therefore all writes of earlier leaders.
+Leadership::Step Leadership::AssumeLeadership(double now) {
   using Kind = Step::Kind;
   if (token_ == leader_key_.version) return {};
-  const double bound_s = promises_.RemainingPromise(now);
-  if (bound_s > 0 && had_leader_before_) {
-    return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = bound_s};
+  const double remaining_s = promises_.RemainingPromise(now);
+  if (remaining_s > 0 && had_leader_before_) {
+    return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = remaining_s};
   }
   token_ = leader_key_.version;
   resignation_backoff_.OnElected(now);
   return {.kind = Kind::kElected, .version = kvstore::kKeyAbsent, .wait_s = 0};
 }
 
-// Others campaign first; but somebody must lead, so this controller campaigns early once the key
-// has been free for half a lease.
-std::optional<double> Leadership::HoldBack(double now) {
-  if (!hold_back_until_ || now >= *hold_back_until_) return std::nullopt;
-  const double look_again_s = derived_.store_lease_s / 2;
+// Other controllers campaign first. If none does and the leader key stays absent for half a store
+// lease duration, this controller campaigns early.
+std::optional<double> Leadership::CampaignDelay(double now) {
+  if (!defer_campaign_until_ || now >= *defer_campaign_until_) return std::nullopt;
+  const double recheck_s = derived_.store_lease_s / 2;
   if (leader_key_.version != kvstore::kKeyAbsent) {
     key_free_since_.reset();
-    return std::min(*hold_back_until_ - now, look_again_s);
+    return std::min(*defer_campaign_until_ - now, recheck_s);
   }
   if (!key_free_since_) key_free_since_ = now;
-  const double campaign_at = *key_free_since_ + look_again_s;
+  const double campaign_at = *key_free_since_ + recheck_s;
   if (now < campaign_at) return campaign_at - now;
   return std::nullopt;
 }
@@ -153,8 +154,8 @@
 }
 
 std::optional<uint64_t> Leadership::BeginPromiseRound(double contact, double now) {
-  // While everything is read anew, what has ended since is not known here, whatever the revision
-  // says.
+  // During a reload this controller lacks jobs that have ended since, even if the revision of the
+  // loaded pages is recent.
   if (!leads() || !loaded_ || !IsDisconnected(contact, now)) return std::nullopt;
   return promises_.BeginRound(now);
 }
@@ -167,18 +168,19 @@
     return PromiseResponseResult::kImplausible;
   }
   learned = slice.entries;
-  // The tasks of a job whose cancellation was confirmed but is not known here must not go on. Only
-  // what was read here is known up to a revision: a peer may learn of an earlier cancellation after
-  // a later one, when the answers to its changes come in another order. So each response lists all
-  // of them since read_revision_.
+  // If this controller lacks a confirmed cancellation, the job's tasks must not be kept running. A
+  // peer may receive the responses to its changes out of order, and so record an earlier
+  // cancellation after a later one. Only what this controller has read itself is complete up to a
+  // revision. So each response lists all cancellations since read_revision_.
   const bool all_known = slice.from_revision <= read_revision_ &&
                          slice.newest <= std::max(read_revision_, slice.to_revision);
   if (!response.promised || !all_known || !loaded_ || !leads()) {
     return PromiseResponseResult::kNotCounted;
   }
-  // Whatever any peer had confirmed when it was asked is known here, so the promises of all peers
-  // together are as good as a read of the state service at the time they were asked for.
-  if (const auto asked_at = promises_.OnPromise(round, peer)) staleness_.AdvanceTo(*asked_at);
+  // This controller has all cancellations that any peer had confirmed when it received its request.
+  // So the promises of all peers together are equivalent to a read of the state service at the time
+  // the requests were sent.
+  if (const auto sent_at = promises_.OnPromise(round, peer)) staleness_.AdvanceTo(*sent_at);
   return PromiseResponseResult::kCounted;
 }
 
@@ -190,7 +192,8 @@
 Leadership::PromiseDecision Leadership::OnPromiseRequest(const wire::PromiseRequest& request,
                                                          double contact, double now) {
   PromiseDecision decision;
-  // Before everything was read it is not known what the process before this one may have confirmed.
+  // Before the load is complete, the cancellations that the previous process may have confirmed are
+  // unknown.
   if (!loaded_) return decision;
   if (!IsWellFormed(request, now)) {
     decision.well_formed = false;
@@ -198,9 +201,9 @@
   }
   if (!IsDisconnected(contact, now)) return decision;
   if (request.token != leader_key_.version) {
-    // A token that is not above all that was read here is a former leader's. A later one belongs to
-    // a key that was put after all that was read, so the key that was read is gone, even an own
-    // one.
+    // A token that is not above the read revision belongs to a former leader. A later token belongs
+    // to a leader key that was put after the last read. So the leader key that this controller has
+    // read is gone, even if it is its own.
     if (request.token <= read_revision_ || request.token <= leader_key_.version) return decision;
     leader_key_ = {request.node, kvstore::kNoLease, request.token};
     had_leader_before_ = true;
--- a/tests/cancellation_log_test.cc
+++ b/tests/cancellation_log_test.cc
@@ -1,4 +1,4 @@
-// The log of cancellations that a controller has reported.
+// The log of cancellations that a controller may have confirmed to users.
 #include "mosspath/election/cancellation_log.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   EXPECT_TRUE(log.Since(0).entries.empty());
   EXPECT_EQ(log.Since(0).from_revision, 100u);
   log.Add("req-2", 120);
-  log.Add("req-2", 120);  // once from its own answer, once from the watch cache
+  log.Add("req-2", 120);  // once from the response to its write, once from the watch cache
   log.Add("req-3", 110);
   EXPECT_EQ(Ids(log.Since(100)), (std::vector<std::string>{"req-3", "req-2"}));
   EXPECT_EQ(Ids(log.Since(110)), std::vector<std::string>{"req-2"});
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -1,4 +1,4 @@
-// Which controllers are suspected, and by whom they were heard.
+// Which controllers are suspected, and which peer last received a heartbeat of each.
 #include "mosspath/election/failure_detector.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,8 @@
   return settings;
 }
 
-// A heartbeat that `node` sends, which reached the state service and the other peer so long ago.
+// A heartbeat of `node`, whose last contacts with the state service and with the other peer were
+// `state_ago_s` and `other_ago_s` ago.
 wire::PeerHeartbeat HeartbeatFrom(const char* node, double state_ago_s, double other_ago_s) {
   wire::PeerHeartbeat heartbeat;
   heartbeat.node = node;
@@ -31,7 +32,7 @@
 
 TEST(FailureDetectorTest, ReportsLastContactAndUnreachableServicesOfEachController) {
   FailureDetector detector(Settings());
-  EXPECT_FALSE(detector.IsSuspected("hut-1", 100));  // never heard from: no evidence
+  EXPECT_FALSE(detector.IsSuspected("hut-1", 100));  // no heartbeat yet, so no evidence
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 30, 0.2), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-9", 0, 0), 100);  // not a controller of this cluster
@@ -42,7 +43,7 @@
   EXPECT_TRUE(states[1].unreachable.empty());
   EXPECT_EQ(states[2].unreachable, std::vector<std::string>{"state service"});
   EXPECT_DOUBLE_EQ(detector.state_contact().value(), 99.9);
-  // hut-1 falls silent here, but hut-2 still hears from it.
+  // This controller no longer receives heartbeats of hut-1, but hut-2 still does.
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.5), 110);
   EXPECT_TRUE(detector.IsSuspected("hut-1", 110));
   EXPECT_FALSE(detector.IsSuspected("hut-2", 110));
@@ -52,7 +53,7 @@
   EXPECT_EQ(states[1].unreachable, std::vector<std::string>{"word from it here"});
 }
 
-TEST(FailureDetectorTest, AStallOfItsOwnMakesNobodySuspect) {
+TEST(FailureDetectorTest, AProcessStallRaisesNoSuspicion) {
   FailureDetector detector(Settings());
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 90);
@@ -61,32 +62,32 @@
   EXPECT_TRUE(detector.IsSuspected("hut-2", 130.1));  // was silent before the stall
 }
 
-// A controller that has lost the state service and its peers, but not its agents and users,
-// redirects its users.
+// A controller that can't reach the state service and its peers, but is still reachable for agents
+// and users, withdraws from the load balancer.
 TEST(FailureDetectorTest, AnIsolatedControllerRedirectsUsers) {
   FailureDetector detector(Settings());
-  constexpr double kPatience = 5;
-  EXPECT_TRUE(detector.ShouldServeUsers(100, kPatience, 104));
-  // An outage of the state service for all controllers, as far as is known.
+  constexpr double kContactTimeoutS = 5;
+  EXPECT_TRUE(detector.ShouldServeUsers(100, kContactTimeoutS, 104));
+  // An outage of the state service for all controllers, according to the heartbeats.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 10, 0.1), 110);
-  EXPECT_TRUE(detector.ShouldServeUsers(100, kPatience, 110));
-  // Only this controller is cut from the state service.
+  EXPECT_TRUE(detector.ShouldServeUsers(100, kContactTimeoutS, 110));
+  // Only this controller is cut off from the state service.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 110.2);
-  EXPECT_FALSE(detector.ShouldServeUsers(100, kPatience, 110.2));
-  // It is back, and then partitioned from everything: not suspected before the others would be
-  // heard from.
+  EXPECT_FALSE(detector.ShouldServeUsers(100, kContactTimeoutS, 110.2));
+  // The contact is restored and then lost together with the peers. The controller is not isolated
+  // before heartbeats of the peers are overdue.
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 111);
-  EXPECT_TRUE(detector.ShouldServeUsers(111, kPatience, 112));
+  EXPECT_TRUE(detector.ShouldServeUsers(111, kContactTimeoutS, 112));
   EXPECT_FALSE(detector.IsIsolated(112));
   EXPECT_TRUE(detector.IsIsolated(120));
-  EXPECT_FALSE(detector.ShouldServeUsers(111, kPatience, 120));
-  // The state service answers: nothing else is needed.
-  EXPECT_TRUE(detector.ShouldServeUsers(120, kPatience, 121));
-  // Or another controller is reachable, with the same outage.
+  EXPECT_FALSE(detector.ShouldServeUsers(111, kContactTimeoutS, 120));
+  // The state service answers, which is sufficient.
+  EXPECT_TRUE(detector.ShouldServeUsers(120, kContactTimeoutS, 121));
+  // Or a peer is reachable and has the same outage.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 30, 0.1), 125);
-  EXPECT_TRUE(detector.ShouldServeUsers(113, kPatience, 125));
+  EXPECT_TRUE(detector.ShouldServeUsers(113, kContactTimeoutS, 125));
 }
 
 }  // namespace
--- a/tests/leadership_promises_test.cc
+++ b/tests/leadership_promises_test.cc
@@ -1,4 +1,4 @@
-// Promises of peers not to lead, by rounds.
+// Rounds of peers' promises not to lead.
 #include "mosspath/election/leadership_promises.h"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,7 @@
 namespace mosspath::election {
 namespace {
 
-// Promises of all peers together are as good as a read of all that was reported; promises of some
-// are not.
+// A round counts from its requests, and only once all peers have promised in it.
 TEST(LeadershipPromisesTest, PromisesOfAllPeersCountFromTheRequest) {
   LeadershipPromises promises(1.0, 2);
   const uint64_t round = promises.BeginRound(50);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -1,5 +1,5 @@
-// Who leads, who promises not to, and what a leader learns from its peers while the state service
-// is silent.
+// Election, promises not to lead, and what a leader receives from its peers during an outage of the
+// state service.
 #include "mosspath/election/leadership.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   LeadershipTest()
       : settings_(test::PeerSettings()), derived_(settings_), leadership_(settings_, derived_, 0) {}
 
-  // Is elected at 10 s under `token`, and has read all records up to it.
+  // Elects this controller at 10 s under `token`, with all records up to that revision read.
   void Lead(uint64_t token) {
     leadership_.OnStoreLeaseGranted(7, 10);
     leadership_.OnLoaded(false);
@@ -29,29 +29,30 @@
     EXPECT_EQ(leadership_.NextStep(10).kind, Kind::kElected);
     leadership_.OnReadUpTo(10, token);
   }
-  // A promise, with a slice of the log of cancellations.
+  // A promise with a slice of the cancellation log.
   static wire::PromiseResponse Promise(uint64_t newest, uint64_t from,
                                        std::vector<wire::CancellationLogSlice::Entry> ids = {}) {
     return {true, {newest, from, std::max(newest, from), std::move(ids)}};
   }
-  // Delivers a peer's response; returns the ids of the cancellations learned from it.
+  // Delivers a peer's response and returns the ids of the cancellations in it.
   std::vector<std::string> Receive(uint64_t round, const char* peer,
-                                   const wire::PromiseResponse& answer, double now) {
+                                   const wire::PromiseResponse& response, double now) {
     std::vector<wire::CancellationLogSlice::Entry> learned;
-    accepted_ = leadership_.OnPromiseResponse(round, peer, answer, now, learned) !=
+    accepted_ = leadership_.OnPromiseResponse(round, peer, response, now, learned) !=
                 PromiseResponseResult::kImplausible;
     std::vector<std::string> ids;
     for (const auto& entry : learned) ids.push_back(entry.id);
     return ids;
   }
-  // A peer that has read up to the revision 100, while hut-1 leads under the token 90.
+  // Makes this controller a peer that has read up to revision 100; hut-1 leads under token 90.
   void Follow() {
     leadership_.OnLoaded(false);
     leadership_.OnLeaderKey({"hut-1", 9, 90});
     leadership_.OnReadUpTo(10, 100);
   }
-  bool GetsPromise(uint64_t token, double contact, double now, const std::string& asker = "hut-1") {
-    return leadership_.OnPromiseRequest({asker, token, 0}, contact, now).promised;
+  bool GetsPromise(uint64_t token, double contact, double now,
+                   const std::string& sender = "hut-1") {
+    return leadership_.OnPromiseRequest({sender, token, 0}, contact, now).promised;
   }
 
   const config::Settings settings_;
@@ -76,15 +77,15 @@
   EXPECT_FALSE(leadership_.MayAct(40));
 }
 
-// Its previous process may have made a promise just before it ended.
+// The previous process may have made a promise just before it ended.
 TEST_F(LeadershipTest, LeadsOnlyAfterItsOwnPromiseExpires) {
-  Leadership back(settings_, derived_, 10);
-  back.OnStoreLeaseGranted(8, 10);
-  back.OnLoaded(false);
-  back.OnLeaderKey({"hut-0", 8, 70});
-  EXPECT_EQ(back.NextStep(10 + derived_.promise_s / 2).kind, Kind::kWait);
-  EXPECT_EQ(back.NextStep(10 + derived_.promise_s + 0.01).kind, Kind::kElected);
-  // Where nobody ever led, no promise can have been made.
+  Leadership restarted(settings_, derived_, 10);
+  restarted.OnStoreLeaseGranted(8, 10);
+  restarted.OnLoaded(false);
+  restarted.OnLeaderKey({"hut-0", 8, 70});
+  EXPECT_EQ(restarted.NextStep(10 + derived_.promise_s / 2).kind, Kind::kWait);
+  EXPECT_EQ(restarted.NextStep(10 + derived_.promise_s + 0.01).kind, Kind::kElected);
+  // If no controller has ever led, no promise can have been made.
   Leadership first(settings_, derived_, 10);
   first.OnStoreLeaseGranted(8, 10);
   first.OnLoaded(true);
@@ -100,7 +101,7 @@
   EXPECT_EQ(leadership_.NextStep(11).kind, Kind::kWait);
   EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 4).kind, Kind::kWait);
   EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind,
-            Kind::kCampaign);  // nobody else does
+            Kind::kCampaign);  // no other controller campaigns
 }
 
 TEST_F(LeadershipTest, ContinuesWhileAllPeersPromise) {
@@ -122,17 +123,17 @@
   EXPECT_FALSE(leadership_.MayAct(now + derived_.promise_s));
 }
 
-// A peer reported a cancellation to its user while only this leader could not reach the state
-// service: the tasks must not go on.
+// A peer confirms a cancellation to its user while only this leader can't reach the state service.
+// The leader must not keep the job's tasks running.
 TEST_F(LeadershipTest, AnUnreadCancellationIsLearnedFirst) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
   const uint64_t round = *leadership_.BeginPromiseRound(10, now);
   Receive(round, "hut-1", Promise(0, 50), now);
-  // The peer's process is new: what its predecessor reported cannot be listed.
+  // The peer has restarted and can't list what its previous process confirmed.
   EXPECT_TRUE(Receive(round, "hut-2", Promise(60, 60), now).empty());
   EXPECT_FALSE(leadership_.MayAct(now));
-  // Later entries do not make up for it.
+  // Later entries don't close that gap.
   Receive(round, "hut-2", Promise(70, 60, {{"req-1", 70}}), now);
   EXPECT_FALSE(leadership_.MayAct(now));
   leadership_.OnReadUpTo(10, 60);
@@ -144,9 +145,9 @@
   EXPECT_TRUE(leadership_.MayAct(now));
 }
 
-// The answers to two changes reach a peer in the opposite order: it learns of the earlier
-// cancellation after it has reported the later one. Asked only for later ones, it never listed the
-// earlier one.
+// A peer receives the responses to two changes in reverse order, and so logs the earlier
+// cancellation after it has sent the later one to the leader. A leader that requested only later
+// entries never received the earlier one.
 TEST_F(LeadershipTest, AnEarlierCancellationMayBecomeKnownLater) {
   Lead(50);
   CancellationLog peer(10);
@@ -164,8 +165,8 @@
   EXPECT_EQ(round(now + 0.1), (std::vector<std::string>{"req-1", "req-2"}));
 }
 
-// There are more cancellations than a response holds: those that it lists are ended, but it does
-// not refresh the view.
+// If there are more cancellations than a response holds, the leader ends the listed jobs, but the
+// response does not refresh its view.
 TEST_F(LeadershipTest, APartialCancellationListDoesNotRefreshTheView) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
@@ -177,7 +178,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));
 }
 
-// What ended during its reload it does not know, whatever the revision of the first page says.
+// During a reload the leader lacks jobs that have ended since, even if the revision of the first
+// page is recent.
 TEST_F(LeadershipTest, ALeaderThatReloadsGetsNoPromises) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
@@ -190,23 +192,25 @@
 }
 
 TEST_F(LeadershipTest, APeerPromisesOnlyWhatItKnows) {
-  EXPECT_FALSE(GetsPromise(90, 0, 20));  // it has read nothing
+  EXPECT_FALSE(GetsPromise(90, 0, 20));  // nothing was read yet
   leadership_.OnLeaderKey({"hut-1", 9, 90});
-  EXPECT_FALSE(GetsPromise(90, 0, 20));  // not all: what its predecessor reported is unknown
+  // Before the load is complete, the confirmations of the previous process are unknown.
+  EXPECT_FALSE(GetsPromise(90, 0, 20));
   Follow();
-  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // it reaches the state service itself
+  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // this peer reaches the state service
   EXPECT_TRUE(GetsPromise(90, 0, 20));
   EXPECT_FALSE(GetsPromise(89, 0, 20));  // an earlier leader
   leadership_.OnLeaderKey({});
   leadership_.OnReadUpTo(15, 110);
-  EXPECT_FALSE(GetsPromise(90, 0, 20));  // its key is gone
+  EXPECT_FALSE(GetsPromise(90, 0, 20));  // the leader key is gone
 }
 
-// The first leader alone was cut from the state service, another was elected, and then nobody could
-// read: the first one did not know of the other, promised nothing, and all leases expired.
+// Only the first leader loses the state service, a second leader is elected, and then no controller
+// can read. The first leader has not read the second election. When it refused to promise the
+// second leader, all leases expired.
 TEST_F(LeadershipTest, ALaterLeaderIsAccepted) {
   Lead(50);
-  EXPECT_FALSE(GetsPromise(50, 10, 20));  // nobody else leads under its own token
+  EXPECT_FALSE(GetsPromise(50, 10, 20));  // no other controller can lead under this token
   EXPECT_EQ(leadership_.token(), 50u);
   const auto promise = leadership_.OnPromiseRequest({"hut-1", 60, 0}, 10, 20);
   EXPECT_TRUE(promise.promised);
@@ -214,9 +218,9 @@
   EXPECT_EQ(promise.loss->token, 50u);
   EXPECT_EQ(leadership_.token(), 0u);
   EXPECT_EQ(leadership_.leader(), "hut-1");
-  EXPECT_FALSE(GetsPromise(50, 10, 20, "hut-2"));  // nor any earlier leader
+  EXPECT_FALSE(GetsPromise(50, 10, 20, "hut-2"));  // a leader of an earlier term
   EXPECT_EQ(leadership_.NextStep(20).kind, Kind::kNone);
-  // What it reads later takes precedence over a request.
+  // A later read takes precedence over a request.
   leadership_.OnLeaderKey({});
   leadership_.OnReadUpTo(21, 70);
   EXPECT_FALSE(GetsPromise(60, 10, 22));
--- a/tests/resignation_backoff_test.cc
+++ b/tests/resignation_backoff_test.cc
@@ -1,4 +1,4 @@
-// How soon after its election a leader may resign.
+// The minimum time between an election and a resignation.
 #include "mosspath/election/resignation_backoff.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace mosspath::election {
 namespace {
 
-// Two controllers that could reach no agent passed the leadership to each other all the time.
+// Without a backoff, two controllers that can reach no agent pass the leadership back and forth.
 TEST(ResignationBackoffTest, RepeatedResignationsBackOff) {
   ResignationBackoff backoff(3, 26);
   EXPECT_TRUE(backoff.MayResign(1000));
--- a/tests/staleness_bound_test.cc
+++ b/tests/staleness_bound_test.cc
@@ -1,4 +1,4 @@
-// How old the leader's view may be.
+// The bound on the age of the leader's view.
 #include "mosspath/election/staleness_bound.h"
 
 #include <gtest/gtest.h>
@@ -18,12 +18,12 @@
   EXPECT_FALSE(view.IsFresh(110.1));
   EXPECT_FALSE(view.IsAging(105));
   EXPECT_TRUE(view.IsAging(105.1));
-  view.AdvanceTo(90);  // an answer to an earlier request, which came later
+  view.AdvanceTo(90);  // a delayed response to an earlier request
   EXPECT_TRUE(view.IsFresh(110));
 }
 
-// A cancellation takes effect in time on every deployment: tasks that were acknowledged on the
-// oldest view that is allowed end with their agent's lease before that.
+// A cancellation takes effect within cancel_within_s in each deployment. Tasks whose agent's lease
+// was renewed on the oldest allowed view end with that lease before the deadline.
 TEST(StalenessBoundTest, TheBoundLeavesTimeForTheAgentLease) {
   for (const auto& [lease, cancel, heartbeat] :
        {std::tuple{26.0, 46.0, 3.0}, {12.0, 42.0, 1.5}, {31.0, 51.0, 6.0}, {10.0, 20.0, 1.5}}) {
@@ -36,8 +36,8 @@
         10;
     const config::DerivedSettings derived(settings);
     EXPECT_LT(derived.max_view_age_s + lease * (1 + 2 * config::kMaxClockDrift), cancel);
-    // And a leader with nothing to read does not resign: its view ages by two waits and a little.
-    // (With a quarter of the bound for a wait, leaders passed the leadership round in quiet times.)
+    // A leader without new events does not resign: its view ages by two watch timeouts and a
+    // little. (With a watch timeout of a quarter of the bound, idle leaders kept resigning.)
     EXPECT_LT(2 * derived.watch_s + derived.catch_up_interval_s + derived.call_timeout_s / 2,
               derived.max_view_age_s / 2);
   }
