--- a/include/mosspath/kvstore/client.h
+++ b/include/mosspath/kvstore/client.h
@@ -1,5 +1,5 @@
-// The client of the state service: reads, transactions, watches and leases (as an etcd client), all
-// within this controller's share of the service's request rates.
+// The client of the state service: reads, transactions, watches and leases (as an etcd client). It
+// keeps this controller within its share of the state service's request rates.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -19,7 +19,8 @@
 
 namespace mosspath::kvstore {
 
-// Lives on the thread of `io`. Callbacks run there, once each, and never before the call returns.
+// Runs on the thread of `io`. Each callback runs there exactly once, and never before the call
+// returns.
 class Client {
  public:
   Client(asio::io_context& io, const config::Settings& settings,
@@ -28,31 +29,33 @@
   // See TransactionCommitter::Commit. `deadline_s` is in seconds from now.
   void Commit(const Transaction& transaction, double deadline_s,
               std::function<void(TransactionResult)> done);
-  // Fails at once when the budget has no room.
+  // Fails without a request if the request budget is exhausted.
   void Get(const std::string& key, std::function<void(GetResult)> done);
-  // The page of keys under `prefix` after the key `after`; empty: the first page.
+  // Lists the page of keys under `prefix` that follows the key `after`; empty: the first page.
   void List(const std::string& prefix, const std::string& after,
             std::function<void(ListResult)> done);
-  // Changes under `prefix` after the revision `since`. If there are none, the service answers after
-  // `wait_s` seconds; 0: at once, which makes this a read of all that was written before.
+  // Reads the changes under `prefix` after the revision `since`. Without changes, the state service
+  // answers after `wait_s` seconds. With `wait_s` 0 it answers at once; the result then includes
+  // everything that was written before the call.
   void Watch(const std::string& prefix, uint64_t since, double wait_s,
              std::function<void(WatchResult)> done);
 
-  // A new lease that lives for `life_s` seconds after each renewal; kNoLease unless done.
-  void GrantLease(double life_s, std::function<void(Outcome, uint64_t lease)> done);
+  // Grants a lease that expires `ttl_s` seconds after its last renewal. The lease is kNoLease
+  // unless the outcome is kDone.
+  void GrantLease(double ttl_s, std::function<void(Outcome, uint64_t lease)> done);
   void RenewLease(uint64_t lease, std::function<void(Outcome)> done);
-  // Ends the lease now rather than when it runs out; nothing tells whether that worked.
+  // Ends the lease before it expires. The result is not reported.
   void RevokeLease(uint64_t lease);
 
-  // Seconds until the budgets have room for a transaction with so many changes.
+  // Seconds until the request budget has room for a transaction with `changes` changes.
   [[nodiscard]] double WriteDelay(double changes);
 
-  // When the last request was sent that the service answered (other than with 503), in seconds on
-  // the steady clock; far in the past if there was none.
+  // When the last request was sent that the state service answered other than with 503, in seconds
+  // on the steady clock; far in the past if there was none.
   [[nodiscard]] double last_contact() const { return transport_.last_contact(); }
   [[nodiscard]] uint64_t throttled_requests() const { return transport_.throttled_requests(); }
 
-  // Called for each answer that can't be understood.
+  // Called for each malformed answer.
   net::OnMalformed on_malformed;
 
  private:
@@ -60,7 +63,7 @@
   const config::DerivedSettings derived_;
   net::HttpClient requests_;
   net::HttpClient watches_;
-  net::HttpClient renewals_;  // never queue behind other requests
+  net::HttpClient renewals_;  // separate, so that renewals never queue behind other requests
   RequestBudget budget_;
   Transport transport_;
   TransactionCommitter committer_;
--- a/include/mosspath/kvstore/packed_map.h
+++ b/include/mosspath/kvstore/packed_map.h
@@ -1,4 +1,5 @@
-// Many small items kept in few state-service values: no write per item. Pure.
+// A map of many small items, stored in a few values ("packs") of the state service, so that a
+// change of many items takes few writes. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,33 +18,34 @@
  public:
   struct PackWrite {
     int pack = 0;
-    uint64_t version = 0;  // that the stored pack must still have: a late write of ours must fail
+    // The version that the stored pack must still have, so that a delayed earlier write fails.
+    uint64_t version = 0;
     wire::Json value;
-    size_t size_bytes = 0;  // about, as text
+    size_t size_bytes = 0;  // approximate size as JSON text
   };
 
   explicit PackedMap(size_t pack_bytes) : pack_bytes_limit_(pack_bytes) {}
 
-  // Takes over a pack as read from the state service.
+  // Loads a pack as read from the state service.
   void Load(int pack, const wire::Json& value, uint64_t version);
   void Set(const std::string& item, wire::Json value);
-  // Changes an item where it is: it never stands in two packs. What it grows by is taken from what
-  // a value may hold beyond a full pack.
+  // Replaces the value of an item within its pack, so that the item is never stored in two packs.
+  // The pack may exceed its limit by the growth: a stored value may be larger than a full pack.
   void Replace(const std::string& item, wire::Json value);
-  // `lazily`: the stored pack may keep the item until it is next written anyway.
+  // `lazily`: does not mark the pack dirty; the stored pack keeps the item until its next write.
   void Erase(const std::string& item, bool lazily);
-  // The item's pack is to be written again as it is.
+  // Marks the item's pack dirty, so that it is written again.
   void Touch(const std::string& item);
   bool Has(const std::string& item) const { return pack_of_item_.contains(item); }
-  // The pack that holds the item, or -1.
+  // Returns the pack that holds the item, or -1.
   int PackOf(const std::string& item) const;
 
   bool dirty() const { return !dirty_.empty(); }
-  // Packs that need writing, up to `most` and about `bytes` in all, one at least; they count as
-  // clean until MarkDirty.
-  std::vector<PackWrite> TakeDirty(size_t most, size_t bytes);
+  // Returns dirty packs to write: at least one if any is dirty, at most `max_packs`, and about
+  // `max_bytes` together. They count as clean until MarkDirty.
+  std::vector<PackWrite> TakeDirty(size_t max_packs, size_t max_bytes);
   void MarkDirty(int pack) { dirty_.insert(pack); }
-  // The stored pack is known to have this version.
+  // Records that the stored pack has reached `version`; earlier versions are ignored.
   void OnPackVersion(int pack, uint64_t version);
 
  private:
@@ -52,13 +54,14 @@
     size_t size_bytes = 2;
     uint64_t version = 0;
   };
+  // The approximate size in bytes that the item takes in a pack.
   static size_t Cost(const std::string& item, const wire::Json& value);
 
   size_t pack_bytes_limit_;
   std::map<int, Pack> packs_;
   std::map<std::string, int> pack_of_item_;
   std::set<int> dirty_;
-  int next_ = 0;
+  int next_pack_ = 0;  // where the next TakeDirty begins
 };
 
 }  // namespace mosspath::kvstore
--- a/include/mosspath/kvstore/request_budget.h
+++ b/include/mosspath/kvstore/request_budget.h
@@ -1,4 +1,4 @@
-// The share of the state service's request rates that this controller may use. Pure.
+// The share of the state service's request rates that this controller may use. Does no I/O.
 #pragma once
 
 #include "mosspath/config/settings.h"
@@ -6,17 +6,17 @@
 
 namespace mosspath::kvstore {
 
-// All times are seconds on the controller's steady clock, all amounts are requests or changes.
+// All times are seconds on this controller's steady clock; all amounts are requests or changes.
 class RequestBudget {
  public:
   explicit RequestBudget(const config::Settings& settings);
 
-  // Seconds until a transaction with so many changes may be sent.
+  // Seconds until a transaction with `changes` changes may be sent.
   [[nodiscard]] double DelayForTransaction(double changes, double now);
-  // Counts a transaction that is sent now.
+  // Charges a transaction that is sent now.
   void TakeTransaction(double changes, double now);
-  // Counts a request without changes, if there is room. Requests that this controller can't do
-  // without (watches, lists, renewals) are sent even if there is none.
+  // Charges a request without changes; false if the budget is exhausted. Callers send requests that
+  // this controller depends on (watches, lists, lease requests) regardless of the result.
   bool TryTakeRequest(double now) { return requests_.TryTake(now); }
 
  private:
--- a/include/mosspath/kvstore/transaction_committer.h
+++ b/include/mosspath/kvstore/transaction_committer.h
@@ -1,5 +1,5 @@
-// Commits transactions: waits for the request budget, and repeats what was certainly not executed,
-// until a deadline.
+// Commits transactions: waits for the request budget, and until a deadline retries transactions
+// that were certainly not executed.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,14 +17,15 @@
  public:
   using Done = std::function<void(TransactionResult)>;
 
-  // All references must outlive this object and the transactions under way.
+  // All references must outlive this object and its transactions in flight.
   TransactionCommitter(asio::io_context& io, const config::DerivedSettings& derived,
                        Transport& transport, net::HttpClient& connections, RequestBudget& budget,
                        const net::OnMalformed& on_malformed);
 
-  // Calls `done` once, within `deadline_s` seconds and the timeout of a request, and never before
-  // this call returns. An outage (503) and an undetermined outcome are reported at once, so that
-  // users are answered at once; only the caller can know whether a repetition is safe.
+  // Calls `done` exactly once, at most `deadline_s` seconds plus the timeout of a request later,
+  // and never before this call returns. Reports an outage (503) and an undetermined outcome without
+  // a retry, so that the caller can answer its user at once. For an undetermined outcome only the
+  // caller can decide whether a retry is safe.
   void Commit(const Transaction& transaction, double deadline_s, Done done);
 
  private:
@@ -33,7 +34,7 @@
   void Try(const std::shared_ptr<Attempt>& attempt);
   void Send(const std::shared_ptr<Attempt>& attempt, double now);
   void OnReply(const std::shared_ptr<Attempt>& attempt, const Reply& reply);
-  // False: no time is left for another try.
+  // Schedules a retry; false if the deadline leaves no time for one.
   bool TryAgain(const std::shared_ptr<Attempt>& attempt);
   [[nodiscard]] TransactionResult ResultOf(const Reply& reply) const;
 
--- a/include/mosspath/kvstore/transport.h
+++ b/include/mosspath/kvstore/transport.h
@@ -1,4 +1,4 @@
-// One HTTP request to the state service and its answer, without retries.
+// Sends single HTTP requests to the state service and parses the answers, without retries.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace mosspath::kvstore {
 
-// HTTP statuses that the state service answers with.
+// HTTP status codes of the state service's answers.
 namespace http_status {
 inline constexpr int kOk = 200;
 inline constexpr int kBadRequest = 400;
@@ -25,13 +25,13 @@
 struct Reply {
   enum class Kind {
     kAnswered,
-    kNotSent,   // the request certainly never left
-    kNoAnswer,  // none, or not JSON: the request may have been executed
-    kTooLarge,  // the answer was given up for its size; the request may have been executed
+    kNotSent,   // the request was certainly not sent
+    kNoAnswer,  // no answer, or it is not JSON; the request may have been executed
+    kTooLarge,  // the answer exceeds the size limit; the request may have been executed
   };
   Kind kind = Kind::kNoAnswer;
-  int status = 0;   // of an answer
-  wire::Json body;  // of an answer
+  int status = 0;   // only if answered
+  wire::Json body;  // only if answered
 
   [[nodiscard]] bool Has(int expected_status) const {
     return kind == Kind::kAnswered && status == expected_status;
@@ -47,20 +47,20 @@
     double timeout_s = 0;
   };
 
-  // `on_malformed` is called for answers that are not JSON; it must outlive this object.
+  // Calls `on_malformed` for answers that are not JSON; it must outlive this object.
   explicit Transport(const net::OnMalformed& on_malformed) : on_malformed_(on_malformed) {}
 
-  // Sends through the given connections, which must outlive the request.
+  // Sends `request` over `connections`, which must outlive the request.
   void Send(net::HttpClient& connections, Request request, std::function<void(Reply)> done);
 
-  // When the last request was sent that the service answered other than with 503, in seconds on the
-  // steady clock; kNeverAnswered before.
+  // When the last request was sent that the state service answered other than with 503, in seconds
+  // on the steady clock; kNeverAnswered before the first one.
   [[nodiscard]] double last_contact() const { return last_contact_; }
-  // Requests that were answered with 429 or 503.
+  // The number of requests that were answered with 429 or 503.
   [[nodiscard]] uint64_t throttled_requests() const { return throttled_requests_; }
 
  private:
-  // Longer ago than any patience, so that "now - last_contact()" needs no special case.
+  // Earlier than any timeout, so that `now - last_contact()` needs no special case.
   static constexpr double kNeverAnswered = -1e9;
 
   Reply Receive(net::HttpResult result, double sent);
--- a/include/mosspath/kvstore/types.h
+++ b/include/mosspath/kvstore/types.h
@@ -12,20 +12,21 @@
 
 namespace mosspath::kvstore {
 
-// A compare of a transaction: the key must have this version.
+// A condition of a transaction: the key must have this version.
 struct Condition {
   std::string key;
   uint64_t version = kKeyAbsent;
 };
 
-// A put or a delete of a transaction.
+// A put or a delete in a transaction.
 struct Change {
   std::string key;
   std::optional<wire::Json> value;  // none: the key is deleted
   uint64_t lease = kNoLease;        // the key is deleted when this lease ends
 };
 
-// A compare-and-swap: all changes are made at once if all conditions hold, else none is.
+// A compare-and-swap: if all conditions hold, all changes are applied atomically; otherwise none
+// is.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Change> changes;
@@ -36,26 +37,26 @@
   kConflict,       // a condition failed; nothing was changed
   kLeaseNotFound,  // the lease has ended; nothing was changed
   kRefused,        // certainly not executed: over budget, unavailable, or never sent
-  kUndetermined,   // no usable answer: executed, or not, or later
+  kUndetermined,   // no usable answer: executed, not executed, or still to be executed
 };
 
 struct TransactionResult {
   Outcome outcome = Outcome::kUndetermined;
-  uint64_t revision = 0;  // of the changes; only when done
+  uint64_t revision = 0;  // of the changes; only if the outcome is kDone
 };
 
-// The state of a key, as a list or a watch shows it.
+// The state of a key, as a list or a watch returns it.
 struct Event {
   std::string key;
   std::optional<wire::Json> value;  // none: the key was deleted
-  uint64_t version = kKeyAbsent;    // the revision of this change
+  uint64_t version = kKeyAbsent;    // the revision of the change
 };
 
 // A page of the keys under a prefix.
 struct ListResult {
-  bool ok = false;  // false: no usable answer, and the other fields are void
+  bool ok = false;  // false: no usable answer; the other fields are not valid
   std::vector<Event> items;
-  bool more = false;  // there are keys after the last item
+  bool more = false;  // more keys follow the last item
   uint64_t revision = 0;
 };
 
@@ -63,11 +64,13 @@
 struct WatchResult {
   enum class Kind {
     kOk,
-    kTooOld,  // the log no longer reaches back, or is too large: everything must be listed anew
+    // The change log no longer covers the revision, or the answer is too large. All keys must be
+    // listed again.
+    kTooOld,
     kFailed,
   };
   Kind kind = Kind::kFailed;
-  uint64_t revision = 0;  // up to which the events are complete
+  uint64_t revision = 0;  // the events are complete up to this revision
   std::vector<Event> events;
 };
 
--- a/include/mosspath/kvstore/watch_cache.h
+++ b/include/mosspath/kvstore/watch_cache.h
@@ -1,6 +1,5 @@
-// This controller's copy of the live keys of the state service: listed once, then followed by a
-// watch, and caught up on demand (as a Kubernetes informer: list, then watch from the list's
-// revision).
+// Keeps this controller up to date with the live keys of the state service: lists them once, then
+// watches them from the list's revision (as a Kubernetes informer), and catches up on demand.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +12,33 @@
 
 namespace mosspath::kvstore {
 
-// Holds no values itself: the handlers apply the events. Lives on the thread of its io_context, as
-// `client` does, which must outlive it.
+// Stores no values: the handlers apply the events. Runs on the thread of its io_context, as
+// `client` does. `client` must outlive the cache.
 class WatchCache {
  public:
   struct Handlers {
-    std::function<void()> reset;                // what is known is void; a full load follows
-    std::function<void(const Event&)> changed;  // in the order of the revisions after the load
+    std::function<void()> reset;                // discard all state; a full load follows
+    std::function<void(const Event&)> changed;  // after the load in the order of revisions
     std::function<void()> loaded;               // all live keys were passed to `changed`
     std::function<void()> advanced;             // after the load and each batch of events
-    std::function<void(double as_of)> current;  // all that was written before `as_of` was passed
+    // Everything that was written before `as_of` was passed to `changed`.
+    std::function<void(double as_of)> current;
   };
 
-  // Lists the keys under `loaded_prefix`, and follows those under the wider `followed_prefix`.
+  // Lists the keys under `loaded_prefix`, and watches those under the wider `watched_prefix`.
   WatchCache(asio::io_context& io, Client& client, const config::DerivedSettings& derived,
-             std::string loaded_prefix, std::string followed_prefix, Handlers handlers);
+             std::string loaded_prefix, std::string watched_prefix, Handlers handlers);
 
-  // To be called once.
+  // Begins the load. Must be called once.
   void Start();
   [[nodiscard]] bool loaded() const { return loaded_; }
-  // Up to which all changes were passed on; 0 before the first page is read.
+  // The revision up to which all changes were passed to the handlers; 0 before the first page is
+  // read.
   [[nodiscard]] uint64_t revision() const { return revision_.value_or(0); }
 
-  // Calls `done` with true once the cache holds all that was written before this call; requests
-  // that come while a read is in flight share the next one. False: that can't be known now.
+  // Calls `done` with true once the handlers have received everything that was written before this
+  // call, or with false if that can't be established now. Calls made while a read is in flight
+  // share the next read.
   void CatchUp(std::function<void(bool caught_up)> done);
 
  private:
@@ -46,32 +48,33 @@
   void LoadPage(const std::string& after);
   void OnPage(const ListResult& page, const std::string& after);
   void OnLoaded();
-  void Follow();
-  void OnFollowed(const WatchResult& result, uint64_t generation, double asked_at);
-  // `asked_at`: when the request was sent. False: nothing was applied.
-  bool Apply(const WatchResult& result, double asked_at);
+  void StartWatch();
+  void OnWatchResult(const WatchResult& result, uint64_t generation, double sent_at);
+  // Applies the events of `result`, whose request was sent at `sent_at`. False if there is no
+  // usable result.
+  bool Apply(const WatchResult& result, double sent_at);
   void ReloadIfLoaded();
-  void ReadNow();
-  void OnRead(const WatchResult& result, const Waiters& waiters, double asked_at);
-  [[nodiscard]] bool MayRead() const { return !reading_ && !read_planned_; }
+  void StartRead();
+  void OnReadResult(const WatchResult& result, const Waiters& waiters, double sent_at);
+  [[nodiscard]] bool CanStartRead() const { return !read_in_flight_ && !read_scheduled_; }
 
   Client& client_;
   const config::DerivedSettings derived_;
   const std::string loaded_prefix_;
-  const std::string followed_prefix_;
+  const std::string watched_prefix_;
   Handlers handlers_;
   net::Timer retry_timer_;
-  net::Timer follow_timer_;
+  net::Timer watch_timer_;
   net::Timer read_timer_;
   net::Backoff backoff_;
   std::optional<uint64_t> revision_;
-  uint64_t generation_ = 0;  // counts loads: answers to watches of an earlier one are void
+  uint64_t generation_ = 0;  // number of loads; watch results of an earlier load are ignored
   bool loaded_ = false;
-  bool reading_ = false;
-  bool read_planned_ = false;
+  bool read_in_flight_ = false;
+  bool read_scheduled_ = false;
   std::optional<double> last_read_at_;
   double load_began_at_ = 0;
-  Waiters waiting_;
+  Waiters waiters_;
 };
 
 }  // namespace mosspath::kvstore
--- a/src/kvstore/client.cc
+++ b/src/kvstore/client.cc
@@ -8,10 +8,11 @@
 namespace mosspath::kvstore {
 namespace {
 
-// A page of a list may take longer than other requests: this many of their timeouts.
+// A page of a list may take this many times the timeout of other requests.
 constexpr double kListTimeouts = 2;
 
-// A request without a usable answer may have been executed; other answers are refusals.
+// The outcome of a request that did not succeed. Without a usable answer the request may have been
+// executed; any answer is a refusal.
 Outcome FailureOf(const Reply& reply) {
   return reply.kind == Reply::Kind::kAnswered ? Outcome::kRefused : Outcome::kUndetermined;
 }
@@ -90,9 +91,9 @@
   transport_.Send(connections, std::move(request),
                   [this, done = std::move(done)](const Reply& reply) {
                     WatchResult result;
-                    // A log that has grown beyond the size of an answer only grows further: listing
-                    // all keys anew is the way out. (A node that had been cut off for minutes never
-                    // caught up.)
+                    // Changes that exceed the size limit of an answer only grow further, so all
+                    // keys must be listed again. (Otherwise a node that was partitioned for minutes
+                    // never catches up.)
                     if (reply.Has(http_status::kGone) || reply.kind == Reply::Kind::kTooLarge) {
                       result.kind = WatchResult::Kind::kTooOld;
                     }
@@ -105,11 +106,11 @@
                   });
 }
 
-void Client::GrantLease(double life_s, std::function<void(Outcome, uint64_t)> done) {
+void Client::GrantLease(double ttl_s, std::function<void(Outcome, uint64_t)> done) {
   budget_.TryTakeRequest(net::Now());
   Transport::Request request{.method = "POST",
                              .target = kLeasesTarget,
-                             .body = EncodeLeaseRequest(life_s),
+                             .body = EncodeLeaseRequest(ttl_s),
                              .timeout_s = derived_.renew_timeout_s};
   transport_.Send(
       renewals_, std::move(request), [this, done = std::move(done)](const Reply& reply) {
--- a/src/kvstore/codec.cc
+++ b/src/kvstore/codec.cc
@@ -12,14 +12,14 @@
 constexpr int kPageSize = 500;
 constexpr double kMsPerS = 1000;
 
-// The service's field names and the terms of the field that they stand for.
+// The state service's field names, by the usual terms for them.
 namespace field {
 constexpr const char* kKey = "k";
 constexpr const char* kValue = "v";
 constexpr const char* kVersion = "mark";
 constexpr const char* kRevision = "epoch";
 constexpr const char* kLease = "berth";
-constexpr const char* kLifeMs = "life_ms";
+constexpr const char* kTtlMs = "life_ms";
 constexpr const char* kConditions = "if";
 constexpr const char* kChanges = "apply";
 constexpr const char* kPut = "put";
@@ -87,8 +87,8 @@
   return body.dump();
 }
 
-std::string EncodeLeaseRequest(double life_s) {
-  return Json{{field::kLifeMs, static_cast<uint64_t>(life_s * kMsPerS)}}.dump();
+std::string EncodeLeaseRequest(double ttl_s) {
+  return Json{{field::kTtlMs, static_cast<uint64_t>(ttl_s * kMsPerS)}}.dump();
 }
 
 uint64_t DecodeRevision(const Json& body) { return Number(body, field::kRevision); }
--- a/src/kvstore/codec.h
+++ b/src/kvstore/codec.h
@@ -1,4 +1,4 @@
-// The state service's HTTP targets and JSON bodies. Its field names stand here and nowhere else.
+// The state service's HTTP targets and JSON bodies. No other file uses its field names.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace mosspath::kvstore {
 
-// The source of malformed answers in logs and metrics.
+// The source under which malformed answers are logged and counted.
 inline constexpr const char* kMalformedSource = "state";
 
 inline constexpr const char* kTransactionTarget = "/multi";
@@ -16,15 +16,15 @@
 [[nodiscard]] std::string GetTarget(const std::string& key);
 // The page of keys under `prefix` after the key `after`; empty: the first page.
 [[nodiscard]] std::string ListTarget(const std::string& prefix, const std::string& after);
-// Changes after `since`; the service answers after `wait_s` seconds at the latest.
+// Changes after the revision `since`; the state service answers within `wait_s` seconds.
 [[nodiscard]] std::string WatchTarget(const std::string& prefix, uint64_t since, double wait_s);
 [[nodiscard]] std::string LeaseTarget(uint64_t lease);
 [[nodiscard]] std::string RenewalTarget(uint64_t lease);
 
 [[nodiscard]] std::string EncodeTransaction(const Transaction& transaction);
-[[nodiscard]] std::string EncodeLeaseRequest(double life_s);
+[[nodiscard]] std::string EncodeLeaseRequest(double ttl_s);
 
-// Each throws an exception on what is not an answer of its kind.
+// Each function throws if `body` is not an answer of its kind.
 [[nodiscard]] uint64_t DecodeRevision(const wire::Json& body);
 [[nodiscard]] uint64_t DecodeLease(const wire::Json& body);
 void DecodeValue(const wire::Json& body, GetResult& result);
--- a/src/kvstore/request_budget.cc
+++ b/src/kvstore/request_budget.cc
@@ -7,7 +7,7 @@
 
 constexpr double kMinBurst = 2;
 constexpr double kRequestBurstS = 0.5;  // a burst of requests is this many seconds' worth
-// Nearly all changes are the leader's, so one controller may use most of their rate.
+// The leader makes nearly all changes, so one controller may use most of their rate.
 constexpr double kChangeShare = 0.7;
 constexpr double kChangeBurstS = 0.5;
 
--- a/src/kvstore/transaction_committer.cc
+++ b/src/kvstore/transaction_committer.cc
@@ -15,11 +15,11 @@
 
 constexpr double kFirstRetryS = 0.1;
 constexpr double kLongestRetryS = 0.8;
-// Added to the wait for the budget, so that it has room for certain by then.
+// Added to the wait for the budget, so that the budget certainly has room when the wait ends.
 constexpr double kBudgetSlackS = 0.002;
 constexpr double kMinTimeoutS = 0.05;
 
-// The service certainly did not execute the request, and may do so when it is repeated.
+// True if the state service certainly did not execute the request and a retry may succeed.
 bool IsRepeatable(const Reply& reply) {
   if (reply.kind == Reply::Kind::kNotSent) return true;
   if (reply.kind != Reply::Kind::kAnswered) return false;
--- a/src/kvstore/watch_cache.cc
+++ b/src/kvstore/watch_cache.cc
@@ -15,14 +15,14 @@
 }  // namespace
 
 WatchCache::WatchCache(asio::io_context& io, Client& client, const config::DerivedSettings& derived,
-                       std::string loaded_prefix, std::string followed_prefix, Handlers handlers)
+                       std::string loaded_prefix, std::string watched_prefix, Handlers handlers)
     : client_(client),
       derived_(derived),
       loaded_prefix_(std::move(loaded_prefix)),
-      followed_prefix_(std::move(followed_prefix)),
+      watched_prefix_(std::move(watched_prefix)),
       handlers_(std::move(handlers)),
       retry_timer_(io),
-      follow_timer_(io),
+      watch_timer_(io),
       read_timer_(io),
       backoff_(kFirstRetryS, kLongestRetryS) {}
 
@@ -32,8 +32,8 @@
   ++generation_;
   loaded_ = false;
   read_timer_.Cancel();
-  read_planned_ = false;
-  const Waiters waiters = std::exchange(waiting_, {});
+  read_scheduled_ = false;
+  const Waiters waiters = std::exchange(waiters_, {});
   for (const auto& done : waiters) done(false);
   revision_.reset();
   handlers_.reset();
@@ -51,7 +51,7 @@
     retry_timer_.After(backoff_.Next(), [this, after] { LoadPage(after); });
     return;
   }
-  // Changes made while the pages are read are replayed from the first page's revision.
+  // The watch replays changes made during the load, since it begins at the first page's revision.
   if (!revision_) revision_ = page.revision;
   for (const Event& event : page.items) handlers_.changed(event);
   if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
@@ -65,7 +65,7 @@
   handlers_.loaded();
   handlers_.current(load_began_at_);
   handlers_.advanced();
-  Follow();
+  StartWatch();
 }
 
 void WatchCache::ReloadIfLoaded() {
@@ -74,10 +74,10 @@
   Load();
 }
 
-bool WatchCache::Apply(const WatchResult& result, double asked_at) {
+bool WatchCache::Apply(const WatchResult& result, double sent_at) {
   if (result.kind == WatchResult::Kind::kTooOld) ReloadIfLoaded();
   if (result.kind != WatchResult::Kind::kOk) return false;
-  // The watch and the reads on demand overlap: what was applied already is passed over.
+  // The watch and the reads on demand overlap, so events that were already applied are skipped.
   const uint64_t applied_revision = revision();
   bool any_applied = false;
   for (const Event& event : result.events) {
@@ -86,58 +86,58 @@
     any_applied = true;
   }
   revision_ = std::max(revision(), result.revision);
-  handlers_.current(asked_at);
+  handlers_.current(sent_at);
   if (any_applied) handlers_.advanced();
   return true;
 }
 
-void WatchCache::Follow() {
+void WatchCache::StartWatch() {
   const uint64_t generation = generation_;
-  const double asked_at = net::Now();
-  client_.Watch(followed_prefix_, revision(), derived_.watch_s,
-                [this, generation, asked_at](const WatchResult& result) {
-                  OnFollowed(result, generation, asked_at);
+  const double sent_at = net::Now();
+  client_.Watch(watched_prefix_, revision(), derived_.watch_s,
+                [this, generation, sent_at](const WatchResult& result) {
+                  OnWatchResult(result, generation, sent_at);
                 });
 }
 
-void WatchCache::OnFollowed(const WatchResult& result, uint64_t generation, double asked_at) {
+void WatchCache::OnWatchResult(const WatchResult& result, uint64_t generation, double sent_at) {
   if (generation != generation_) return;
   double pause_s = derived_.catch_up_interval_s;
-  if (Apply(result, asked_at)) {
+  if (Apply(result, sent_at)) {
     backoff_.Reset();
   } else {
     pause_s = backoff_.Next();
   }
-  if (generation != generation_) return;  // a load began, and follows by itself
-  follow_timer_.After(pause_s, [this] { Follow(); });
+  if (generation != generation_) return;  // a new load began; it starts its own watch
+  watch_timer_.After(pause_s, [this] { StartWatch(); });
 }
 
 void WatchCache::CatchUp(std::function<void(bool caught_up)> done) {
   if (!loaded_) return done(false);
-  waiting_.push_back(std::move(done));
-  if (MayRead()) ReadNow();
+  waiters_.push_back(std::move(done));
+  if (CanStartRead()) StartRead();
 }
 
-void WatchCache::ReadNow() {
+void WatchCache::StartRead() {
   const double now = net::Now();
   if (last_read_at_ && *last_read_at_ + derived_.catch_up_interval_s > now) {
-    read_planned_ = true;
-    read_timer_.After(*last_read_at_ + derived_.catch_up_interval_s - now, [this] { ReadNow(); });
+    read_scheduled_ = true;
+    read_timer_.After(*last_read_at_ + derived_.catch_up_interval_s - now, [this] { StartRead(); });
     return;
   }
-  read_planned_ = false;
-  reading_ = true;
+  read_scheduled_ = false;
+  read_in_flight_ = true;
   last_read_at_ = now;
-  client_.Watch(followed_prefix_, revision(), kNoWait,
-                [this, asked_at = now, waiters = std::exchange(waiting_, {})](
-                    const WatchResult& result) { OnRead(result, waiters, asked_at); });
+  client_.Watch(watched_prefix_, revision(), kNoWait,
+                [this, sent_at = now, waiters = std::exchange(waiters_, {})](
+                    const WatchResult& result) { OnReadResult(result, waiters, sent_at); });
 }
 
-void WatchCache::OnRead(const WatchResult& result, const Waiters& waiters, double asked_at) {
-  reading_ = false;
-  const bool caught_up = loaded_ && Apply(result, asked_at);
+void WatchCache::OnReadResult(const WatchResult& result, const Waiters& waiters, double sent_at) {
+  read_in_flight_ = false;
+  const bool caught_up = loaded_ && Apply(result, sent_at);
   for (const auto& done : waiters) done(caught_up);
-  if (!waiting_.empty() && loaded_ && MayRead()) ReadNow();
+  if (!waiters_.empty() && loaded_ && CanStartRead()) StartRead();
 }
 
 }  // namespace mosspath::kvstore
--- a/tests/packed_map_test.cc
+++ b/tests/packed_map_test.cc
@@ -1,4 +1,4 @@
-// Maps that are stored as packs of bounded size.
+// Maps that are stored in packs of bounded size.
 #include "mosspath/kvstore/packed_map.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace mosspath {
 namespace {
 
-// Packs lose nothing, stay within their size, and survive being written and read again.
+// Packs lose no item, stay within their size limit, and can be written and loaded again.
 TEST(PackedMapTest, KeepsEverythingWithinThePackSize) {
   kvstore::PackedMap map(300);
   std::map<std::string, wire::Json> stored;
@@ -44,9 +44,9 @@
   EXPECT_EQ(items, 0u);
 }
 
-// A write that got no answer may be executed minutes later, after newer ones of the same leader: it
-// would remove machines from the records that may run tasks. It must carry the version that it was
-// based on.
+// A write without an answer may be executed minutes later, after newer writes of the same leader.
+// It would then remove machines from the record that may still run tasks. So each write is
+// conditional on the version that it is based on.
 TEST(PackedMapTest, ALateWriteCarriesAnOldVersion) {
   kvstore::PackedMap map(300);
   map.Set("vm-1", "a");
@@ -55,11 +55,11 @@
   map.Set("vm-2", "a");
   const auto next = map.TakeDirty(1, 300);
   ASSERT_EQ(next.size(), 1u);
-  EXPECT_EQ(next[0].version, late[0].version);  // one of the two fails
+  EXPECT_EQ(next[0].version, late[0].version);  // so only one of the two can succeed
   map.OnPackVersion(0, 7);
   map.Set("vm-3", "a");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
-  map.OnPackVersion(0, 5);  // a late event
+  map.OnPackVersion(0, 5);  // a delayed event
   map.Touch("vm-3");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
 }
