--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -1,16 +1,15 @@
-// What may be where: live jobs, machines, and the attempts that are or may be on them. One owner of
-// the counts that follow from these, so that they can't drift apart. Pure.
+// The cluster as this controller sees it: live jobs, machines, and the attempts that are or may be
+// on the machines. This class is the only owner of the counts derived from them, so that the counts
+// stay consistent. Does no I/O.
 //
-// Invariants, from a start that may be sent until the attempt is certainly off its machine
-// (docs/design.md, rule 3):
-//   - a machine's use is the sum of its slots' sizes, and so is a team's;
-//   - a task is pending, done, or placed; it is placed if a slot that is no orphan holds it, or it
-//   is
-//     withheld;
-//   - a job's counts by zone are those of its placed tasks;
-//   - a task that another controller has is away, and counts towards its team, until that
-//   controller
-//     says that it is back, or every machine of that controller is known (docs/sharding.md).
+// Invariants (docs/design.md, rule 3). An allocation counts from the moment its start may be sent
+// until its attempt is certainly no longer on the machine:
+//   - the usage of a machine is the sum of its allocations, and so is the usage of a team;
+//   - a task is pending, placed, delegated or done; it is placed if a non-orphaned allocation holds
+//     it, or if it is withheld;
+//   - the counts of a job by zone are those of its placed tasks;
+//   - a task that another controller has is delegated and counts towards its team, until that
+//     controller returns it, or until all machines of that controller are known (docs/sharding.md).
 #pragma once
 
 #include <map>
@@ -33,47 +32,53 @@
  public:
   ClusterState(const config::Settings& settings, const config::DerivedSettings& derived)
       : quota(settings.teams),
-        silent_s_(derived.agent_suspect_s),
-        lease_s_(settings.agent_lease_s) {}
+        suspect_after_s_(derived.agent_suspect_s),
+        agent_lease_s_(settings.agent_lease_s) {}
 
   jobs::Job* FindJob(const std::string& id);
   const jobs::Job* FindJob(const std::string& id) const;
 
-  void Allocate(Machine& m, const AllocationKey& key, Allocation slot);
-  // Gives back what a slot takes; its place in the machine's list stays until it is forgotten.
-  void ReleaseResources(Machine& m, Allocation& slot, const wire::TaskId& task);
-  // The attempt is certainly not on the machine any more.
-  void RemoveAllocation(Machine& m, std::map<AllocationKey, Allocation>::iterator it, double now);
-  void RemoveAllAllocations(Machine& m, double now);
-  // Another controller has the task from now on, under that lease.
+  // Adds an allocation and charges its resources to the machine and to the team.
+  void Allocate(Machine& machine, const AllocationKey& key, Allocation allocation);
+  // Releases the resources of an allocation. The allocation itself stays listed until the agent has
+  // forgotten the attempt.
+  void ReleaseResources(Machine& machine, Allocation& allocation, const wire::TaskId& task);
+  // Removes the allocation of an attempt that is certainly no longer on the machine.
+  void RemoveAllocation(Machine& machine, std::map<AllocationKey, Allocation>::iterator it,
+                        double now);
+  void RemoveAllAllocations(Machine& machine, double now);
+  // Marks the task as delegated to the holder of `lease`.
   void Delegate(jobs::Job& job, uint32_t index, uint64_t lease);
-  // It is certainly not with the holder of that lease; waits again unless its job is over. False:
-  // it was not there.
+  // Handles that the holder of `lease` certainly no longer has the task. The task becomes pending
+  // again unless its job has ended. Returns false if the task was not delegated under that lease.
   bool ReturnDelegated(const wire::TaskId& task, uint64_t lease);
-  // A second copy of a placed task is there, to be stopped.
+  // Records that `machine` runs a second copy of a task that is already placed; the copy is being
+  // stopped.
   void AddDuplicate(const wire::TaskId& task, const std::string& machine) {
     duplicates_[task] = machine;
   }
   bool HasDuplicate(const wire::TaskId& task) const { return duplicates_.contains(task); }
   void ForgetDuplicates(const std::string& job);
-  // The task, placed now, may be on a machine that nobody knows of once it is nowhere else: it goes
-  // on counting towards its team, and waits for nothing, until it is certain that it is not.
+  // Withholds a placed task that may also run on an unknown machine. Without an allocation the task
+  // stays placed and charged to its team, and is not started again, until ReleaseWithheld.
   void Withhold(const wire::TaskId& task);
+  // Ends the withholding, once it is known whether and where the task still runs.
   void ReleaseWithheld(const wire::TaskId& task);
-  // Whether the machine takes new tasks.
-  bool IsSchedulable(const Machine& m, double now) const;
+  // Whether new tasks may be placed on the machine.
+  bool IsSchedulable(const Machine& machine, double now) const;
 
   Jobs jobs;
   Machines machines;            // commanded by this controller
-  Machines delegated_machines;  // commanded by others, as they tell; without their tasks
-  double began_at = -1e18;      // no controller before this one answered a machine after that
+  Machines delegated_machines;  // commanded by holders, as they report them; without allocations
+  double began_at = -1e18;      // no earlier controller answered a machine after this time
   DelegatedTasks delegated_tasks;
   MachineTypeCatalog machine_types;
   QuotaUsage quota;
   bool changed_since_pass = true;  // since the last pass over the waiting jobs
 
  private:
-  // The task is no longer where it was placed: it waits, or is where a copy of it may still run.
+  // Updates a task whose allocation was removed. A second copy that may still run becomes its
+  // allocation; otherwise the task becomes pending, unless it is withheld.
   void OnAllocationRemoved(jobs::Job& job, uint32_t index);
 
   std::map<wire::TaskId, std::string> duplicates_;
@@ -83,11 +88,11 @@
     double gpus = 0;
   };
   std::map<wire::TaskId, QuotaCharge> withheld_;
-  const double silent_s_;
-  const double lease_s_;
+  const double suspect_after_s_;
+  const double agent_lease_s_;
 };
 
-// The worker is to be told to stop it.
-void RequestStop(Machine& m, Allocation& slot, double grace_s);
+// Requests that the agent stops the attempt within `grace_s` seconds.
+void RequestStop(Machine& machine, Allocation& allocation, double grace_s);
 
 }  // namespace mosspath::cluster
--- a/include/mosspath/cluster/delegated_tasks.h
+++ b/include/mosspath/cluster/delegated_tasks.h
@@ -1,6 +1,6 @@
-// Tasks that other controllers have, or may have: by the lease under which they were given. What a
-// task takes of its team's limit counts until it is certainly back, also when its job is over.
-// Pure.
+// Tasks that other controllers have or may have, by the lease under which they were delegated. A
+// task stays charged to its team until it has certainly been returned, even if its job has ended.
+// Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
     double gpus = 0;
   };
 
-  // The lease under which the task is away; 0: it is not.
+  // Returns the lease under which the task is delegated; 0 if it is not delegated.
   uint64_t LeaseOf(const wire::TaskId& task) const;
-  void Add(const wire::TaskId& task, uint64_t lease, const QuotaCharge& size);
-  // What it took, if it was away under that lease.
+  void Add(const wire::TaskId& task, uint64_t lease, const QuotaCharge& charge);
+  // Removes the task and returns its charge, if it was delegated under that lease.
   std::optional<QuotaCharge> Remove(const wire::TaskId& task, uint64_t lease);
   std::vector<wire::TaskId> UnderLease(uint64_t lease) const;
   std::vector<wire::TaskId> OfJob(const std::string& job) const;
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -1,4 +1,6 @@
-// A machine as the leader pictures it: what may be on it, and what it holds. Pure.
+// A machine in the view of the controller that commands it: its agent's state, the attempts that
+// may be on it, and its resources. Times are seconds on this controller's steady clock. Does no
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +18,29 @@
 // An attempt of a task that is, or may be, on a machine.
 struct Allocation {
   enum class State { kPlanned, kStartSent, kReported } state = State::kPlanned;
-  // Reports after this one tell whether the start was taken. While a start that went straight to
-  // the worker is unanswered, no report does.
+  // A heartbeat with a higher sequence shows whether the agent has executed the start. kNoHeartbeat
+  // while a start that was sent directly to the agent is unanswered: no heartbeat shows it then.
   uint64_t start_sent_sequence = 0;
   uint64_t start_sent_token = 0;
-  bool start_sent_directly = false;  // the start went straight to the worker
-  double start_sent_at = 0;          // and when
-  bool start_unconfirmed =
-      false;  // such a start got no answer: it may be executed until the token rises
+  bool start_sent_directly = false;  // the start was sent to the agent, not in a heartbeat's answer
+  double start_sent_at = 0;          // only of a start sent directly
+  // A start sent directly got no answer. The agent may still execute it until it has seen a higher
+  // token.
+  bool start_unconfirmed = false;
   wire::TaskState reported = wire::TaskState::kFetching;
   wire::ExitReason exit_reason = wire::ExitReason::kNone;
   bool stop_requested = false;
   double grace_s = 0;
-  uint64_t last_listed_in = 0;  // the last report taken in that listed it
+  uint64_t last_listed_in = 0;  // number of the last reconciled heartbeat that listed the attempt
   double stop_sent_at = -1e18;
-  uint64_t forget_sent_sequence = 0;  // the report whose answer said to forget it; 0: none
-  double placed_at = 0;               // when it was placed
+  // Sequence of the heartbeat whose answer had the command to forget the attempt; 0: none.
+  uint64_t forget_sent_sequence = 0;
+  double placed_at = 0;
   double running_since = 0;
-  bool recovered = false;     // begun before we knew: its run time is not known
+  bool recovered = false;     // started before this controller knew the attempt; run time unknown
   bool orphaned = false;      // no live job, or a second copy: only to be stopped and forgotten
-  double expected_run_s = 0;  // of run time
-  // What it takes of the machine and of its team's limit.
+  double expected_run_s = 0;  // expected run time
+  // Resources charged to the machine and to the team's quota.
   double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
@@ -46,15 +50,17 @@
   bool exited() const { return state == State::kReported && reported == wire::TaskState::kExited; }
 };
 
+// The value of Allocation::start_sent_sequence while no heartbeat shows whether the start arrived.
 inline constexpr uint64_t kNoHeartbeat = ~uint64_t{0};
 
 using AllocationKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
 
-// Images on a machine, most recently used first; a placed task marks its image present at once.
+// The images on a machine in LRU order. The image of a task counts as present once the task is
+// placed.
 class ImageCache {
  public:
   ImageCache() = default;
-  // The index of a copy is its own.
+  // Rebuilds the index, since its iterators point into the list of `other`.
   ImageCache(const ImageCache& other);
   ImageCache& operator=(const ImageCache& other);
   ImageCache(ImageCache&&) = default;
@@ -72,15 +78,15 @@
   double total_ = 0;
 };
 
-// What its holder tells of a machine (seconds, CPUs, GB).
+// The status that a holder reports of a delegated machine (seconds, CPUs, GB).
 struct MachineStatusUpdate {
-  bool schedulable = false;  // takes new tasks, as far as its holder knows
+  bool schedulable = false;  // takes new tasks, according to its holder
   bool idle = false;
-  bool has_on_demand_work = false;  // runs work that allows no cheap machine
+  bool has_on_demand_work = false;  // runs work that requires an on-demand machine
   bool unresponsive = false;
   double idle_s = 0;
-  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to take yet
-  double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;  // used
+  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to use still
+  double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
   friend bool operator==(const MachineStatusUpdate&, const MachineStatusUpdate&) = default;
 };
 
@@ -93,77 +99,85 @@
   size_t shard = 0;
   uint64_t agent_epoch = 0;
   uint64_t heartbeat_sequence = 0;
-  uint64_t min_agent_epoch = 0;    // reports of earlier sessions are void
-  uint64_t fencing_token = 0;      // the one it is commanded under
-  bool token_confirmed = false;    // has reported under that token
-  bool command_in_flight = false;  // commands are on their way straight to the worker
-  bool awaits_recovery = false;    // was in the predecessor's list and is not ruled out yet
-  // Where a predecessor says its worker is; what it answered when asked there.
+  uint64_t min_agent_epoch = 0;    // heartbeats of earlier agent epochs are ignored
+  uint64_t fencing_token = 0;      // the token of the commands to this machine
+  bool token_confirmed = false;    // the agent has sent a heartbeat under that token
+  bool command_in_flight = false;  // a direct command batch to the agent is unanswered
+  bool awaits_recovery = false;    // inherited from a leader or holder; its tasks are not known yet
+  // The agent's address according to the record, and the state of probes to that address.
   std::string recorded_address;
   double next_probe_at = -1e18;
   uint64_t probe_epoch = 1;
   int failed_probes = 0;
   double first_contact_at = 0;
-  double last_contact_at = -1e18;  // that it takes what we say, not only that its reports arrive
-  double lease_renewed_at = 0;     // the last 200 that any entitled controller could have sent
-  double epoch_seen_at = -1e18;    // when we learned of the session, which had begun by then
-  // --- Whether what it is told reaches it ---
-  double token_unconfirmed_since =
-      0;                    // first answered under a token that it has not shown since; 0: it has
-  int ignored_answers = 0;  // answers in a row whose commands had no effect
-  uint64_t unheeded_token = 0;       // what it was told under this one had none
-  std::optional<double> reclaim_at;  // when the cloud takes it away
+  // The last proof that the agent receives this controller's answers or commands. A heartbeat is a
+  // proof only if it carries the current token.
+  double last_contact_at = -1e18;
+  // The latest time at which any entitled controller may have answered a heartbeat with 200, which
+  // renews the agent's lease.
+  double lease_renewed_at = 0;
+  double epoch_seen_at = -1e18;  // when the agent epoch was first seen; it had begun by then
+  // --- Whether answers reach the agent ---
+  // When a heartbeat was first answered with the current token, while the agent has not confirmed
+  // the token; 0 otherwise.
+  double token_unconfirmed_since = 0;
+  int ignored_answers = 0;           // consecutive answers whose commands had no effect
+  uint64_t unheeded_token = 0;       // the token under which answers had no effect; 0: none
+  std::optional<double> reclaim_at;  // when the cloud reclaims the machine
   bool draining = false;             // takes no new tasks
-  bool cordoned = false;  // the same, but urgent work that finds no room elsewhere may come here
+  bool cordoned = false;             // takes only urgent tasks that find no room elsewhere
   bool quarantined = false;
-  bool lost = false;  // silent beyond its lease: nothing is on it
+  bool lost = false;  // its agent's lease has expired, so no task runs on it
   bool deleting = false;
-  bool failed = false;             // the cloud says that it stopped
-  bool missing_from_list = false;  // silent, and no longer in the cloud's list
+  bool failed = false;             // stopped, according to the cloud
+  bool missing_from_list = false;  // silent, and no longer in the cloud's list of machines
   double idle_since = 0;
-  std::map<std::string, int> errors_by_job;  // since the last success, by job
-  double slowdown = 1;  // how long tasks take here, against others of their jobs elsewhere
+  std::map<std::string, int> errors_by_job;  // failures since the last success, by job
+  double slowdown = 1;  // run time of tasks relative to the mean of their jobs; 1: average
   int timed_tasks = 0;
   std::map<AllocationKey, Allocation> allocations;
   ImageCache image_cache;
 
-  // --- Blocks (docs/sharding.md) ---
-  uint64_t shard_lease = 0;      // another controller holds it under this lease; 0: this one
-  uint64_t handover_lease = 0;   // is being handed over under that one; takes nothing new
-  bool blocks_recovery = false;  // inherited, and a takeover waits for it
-  bool answers_suspended =
-      false;  // that may be durable: its holder may count from there, so it is not answered
-  bool needs_new_token =
-      false;  // its holder is gone: nothing is said to it before its token is raised
-  uint64_t expired_lease = 0;      // its entry names this lease, which is over, until it is known
-  uint64_t handover_revision = 0;  // which time it is handed over; see scheduler/durable_state.h
-  uint64_t record_change_number = 0;   // changes of its entry in the record
-  bool recall_requested = false;       // its holder is to give it back
-  double handover_not_before = -1e18;  // not handed over before
-  MachineStatusUpdate holder_status;   // from its holder; as of
-  double holder_status_at = -1e18;
-
-  bool in_record = false;               // its entry is in the record, durable or not
-  bool record_durable = false;          // its entry in the record is durable
-  bool has_unconfirmed_starts = false;  // has a start that got no answer
-  bool has_pending_commands = false;  // has starts or stops that a worker may still have to be told
+  // --- Shards (docs/sharding.md) ---
+  uint64_t shard_lease = 0;     // the lease of the holder that commands it; 0: this controller does
+  uint64_t handover_lease = 0;  // being handed over under this lease, and takes no tasks; 0: none
+  bool blocks_recovery = false;  // inherited; recovery is not complete before its tasks are known
+  // The record of the handover may be durable. Its holder may then rely on being the only
+  // controller that answers the agent, so this controller does not answer.
+  bool answers_suspended = false;
+  // An earlier holder may have used the current token, so no command is sent before it is raised.
+  bool needs_new_token = false;
+  // An expired lease that the record still names, until the machine's tasks are known; 0: none.
+  uint64_t expired_lease = 0;
+  uint64_t handover_revision = 0;     // identifies the handover; see scheduler/durable_state.h
+  uint64_t record_change_number = 0;  // number of the last change of its record
+  bool recall_requested = false;      // its holder is to return it
+  double handover_not_before = -1e18;
+  MachineStatusUpdate holder_status;  // the last status from its holder
+  double holder_status_at = -1e18;    // when that status applied
+
+  bool in_record = false;               // its record is written, durable or not
+  bool record_durable = false;          // its record is durable
+  bool has_unconfirmed_starts = false;  // a direct start got no answer
+  bool has_pending_commands = false;    // starts or stops may still have to be sent to the agent
 
   double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;  // of its type
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
 
-  // For how long its reports have arrived without showing the token that they were answered with.
+  // Seconds for which heartbeats have arrived without confirming the token that they were answered
+  // with.
   double TokenUnconfirmedFor(double now) const {
     return token_unconfirmed_since > 0 ? now - token_unconfirmed_since : 0;
   }
-  // Whether (session, seq) is newer than what is known.
-  bool IsNewer(uint64_t s, uint64_t q) const {
-    return s >= min_agent_epoch &&
-           (s > agent_epoch || (s == agent_epoch && q > heartbeat_sequence));
+  // Whether a heartbeat with this epoch and sequence is newer than the last one.
+  bool IsNewer(uint64_t epoch, uint64_t sequence) const {
+    return epoch >= min_agent_epoch &&
+           (epoch > agent_epoch || (epoch == agent_epoch && sequence > heartbeat_sequence));
   }
-  bool Fits(double c, double g, double m) const {
+  bool Fits(double more_cpus, double more_gpus, double more_memory_gb) const {
     constexpr double kSlack = 1e-6;
-    return used_cpus + c <= cpus + kSlack && used_gpus + g <= gpus + kSlack &&
-           used_memory_gb + m <= memory_gb + kSlack;
+    return used_cpus + more_cpus <= cpus + kSlack && used_gpus + more_gpus <= gpus + kSlack &&
+           used_memory_gb + more_memory_gb <= memory_gb + kSlack;
   }
 };
 
--- a/include/mosspath/cluster/machine_type_catalog.h
+++ b/include/mosspath/cluster/machine_type_catalog.h
@@ -1,4 +1,4 @@
-// The machine types that the cloud offers, as it last told. Pure.
+// The machine types that the cloud offers, as last read. Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 class MachineTypeCatalog {
  public:
   void Set(std::vector<wire::MachineType> types) {
-    for (auto& t : types) {
-      fastest_fetch_gb_per_s_ = std::max(fastest_fetch_gb_per_s_, t.fetch_gb_per_s);
-      types_[t.name] = std::move(t);
+    for (auto& type : types) {
+      fastest_fetch_gb_per_s_ = std::max(fastest_fetch_gb_per_s_, type.fetch_gb_per_s);
+      types_[type.name] = std::move(type);
     }
   }
   const wire::MachineType* Find(const std::string& name) const {
@@ -25,17 +25,17 @@
   }
   bool empty() const { return types_.empty(); }
   const std::map<std::string, wire::MachineType>& all() const { return types_; }
-  // GB a second of the type that fetches fastest; 0: not known.
+  // The highest image fetch rate of all types in GB per second; 0 if unknown.
   double fastest_fetch_gb_per_s() const { return fastest_fetch_gb_per_s_; }
-  // The machine has what its type says, if that is known.
-  void ApplyTo(Machine& m) const {
-    const auto* t = Find(m.type);
-    if (t == nullptr) return;
-    m.cpus = t->cpus;
-    m.gpus = t->gpus;
-    m.memory_gb = t->memory_gb;
-    m.cache_gb = t->cache_gb;
-    m.fetch_gb_per_s = t->fetch_gb_per_s;
+  // Sets the machine's resources to those of its type; no effect if the type is unknown.
+  void ApplyTo(Machine& machine) const {
+    const auto* type = Find(machine.type);
+    if (type == nullptr) return;
+    machine.cpus = type->cpus;
+    machine.gpus = type->gpus;
+    machine.memory_gb = type->memory_gb;
+    machine.cache_gb = type->cache_gb;
+    machine.fetch_gb_per_s = type->fetch_gb_per_s;
   }
 
  private:
--- a/include/mosspath/cluster/quota_usage.h
+++ b/include/mosspath/cluster/quota_usage.h
@@ -1,5 +1,5 @@
-// What the teams' tasks take, against their limits: from the moment a start may be sent until the
-// task is certainly gone. Pure.
+// The usage of the teams against their quotas. A task counts from the moment its start may be sent
+// until it is certainly gone. Does no I/O.
 #pragma once
 
 #include <map>
@@ -16,14 +16,14 @@
  public:
   explicit QuotaUsage(const std::vector<config::Team>& teams) : teams_(teams) {}
 
-  // An empty team: a task whose size nobody knows. While any is about, nothing is added to a team
-  // with a limit.
+  // An empty team name stands for a task of unknown team and size. While such a task exists, no
+  // team with a limit has headroom.
   void Add(const std::string& team, double cpus, double gpus);
   void Remove(const std::string& team, double cpus, double gpus);
   void AddUnknownTask() { ++unknown_tasks_; }
   bool IsUnlimited(const std::string& team) const;
-  // How many tasks of the job its team's limit allows more. `settled`: everything that may run of
-  // earlier leaders is counted.
+  // Returns how many more tasks of the job fit into its team's quota. `settled`: all tasks of
+  // earlier leaders that may still run are counted.
   size_t Headroom(const jobs::Job& job, bool settled) const;
 
  private:
--- a/src/cluster/cluster_state.cc
+++ b/src/cluster/cluster_state.cc
@@ -18,50 +18,52 @@
   return it == jobs.end() ? nullptr : it->second.get();
 }
 
-void ClusterState::Allocate(Machine& m, const AllocationKey& key, Allocation slot) {
-  m.used_cpus += slot.cpus;
-  m.used_gpus += slot.gpus;
-  m.used_memory_gb += slot.memory_gb;
-  quota.Add(slot.team, slot.cpus, slot.gpus);
-  if (Job* job = FindJob(key.first.job); job != nullptr && !slot.orphaned) {
+void ClusterState::Allocate(Machine& machine, const AllocationKey& key, Allocation allocation) {
+  machine.used_cpus += allocation.cpus;
+  machine.used_gpus += allocation.gpus;
+  machine.used_memory_gb += allocation.memory_gb;
+  quota.Add(allocation.team, allocation.cpus, allocation.gpus);
+  if (Job* job = FindJob(key.first.job); job != nullptr && !allocation.orphaned) {
     job->tasks[key.first.index].phase = TaskPhase::kPlaced;
     job->pending.erase(key.first.index);
-    ++job->placed_by_zone[m.zone];
+    ++job->placed_by_zone[machine.zone];
   }
-  m.allocations.emplace(key, std::move(slot));
+  machine.allocations.emplace(key, std::move(allocation));
 }
 
-void ClusterState::ReleaseResources(Machine& m, Allocation& slot, const wire::TaskId& task) {
-  m.used_cpus -= slot.cpus;
-  m.used_gpus -= slot.gpus;
-  m.used_memory_gb -= slot.memory_gb;
-  quota.Remove(slot.team, slot.cpus, slot.gpus);
-  slot.cpus = slot.gpus = slot.memory_gb = 0;
-  if (slot.orphaned) return;
+void ClusterState::ReleaseResources(Machine& machine, Allocation& allocation,
+                                    const wire::TaskId& task) {
+  machine.used_cpus -= allocation.cpus;
+  machine.used_gpus -= allocation.gpus;
+  machine.used_memory_gb -= allocation.memory_gb;
+  quota.Remove(allocation.team, allocation.cpus, allocation.gpus);
+  allocation.cpus = allocation.gpus = allocation.memory_gb = 0;
+  if (allocation.orphaned) return;
   if (Job* job = FindJob(task.job)) {
-    auto& n = job->placed_by_zone[m.zone];
-    if (n > 0) --n;
-    jobs::Task& t = job->tasks[task.index];
-    if (t.phase == TaskPhase::kPlaced) OnAllocationRemoved(*job, task.index);
+    auto& placed = job->placed_by_zone[machine.zone];
+    if (placed > 0) --placed;
+    jobs::Task& job_task = job->tasks[task.index];
+    if (job_task.phase == TaskPhase::kPlaced) OnAllocationRemoved(*job, task.index);
   }
 }
 
-// A start that was meant for a machine that is gone may have been taken by another under its old
-// address. Its copy was to be stopped; started anew before it had ended, the task ran twice.
+// A machine that has taken over the address of a removed machine may have executed a start that was
+// sent to the removed machine. That copy of the task is being stopped. If the task were started
+// again before the copy has ended, the task would run twice.
 void ClusterState::OnAllocationRemoved(Job& job, uint32_t index) {
   const wire::TaskId task{job.spec.id, index};
   const auto copy = duplicates_.find(task);
   if (copy != duplicates_.end()) {
-    const auto m = machines.find(copy->second);
+    const auto machine = machines.find(copy->second);
     duplicates_.erase(copy);
-    if (m != machines.end()) {
-      auto& slots = m->second.allocations;
-      for (auto it = slots.lower_bound({task, 0}); it != slots.end() && it->first.first == task;
-           ++it) {
+    if (machine != machines.end()) {
+      auto& allocations = machine->second.allocations;
+      for (auto it = allocations.lower_bound({task, 0});
+           it != allocations.end() && it->first.first == task; ++it) {
         if (!it->second.orphaned || it->second.exited()) continue;
         it->second.orphaned = false;
         job.tasks[index].phase = TaskPhase::kPlaced;
-        ++job.placed_by_zone[m->second.zone];
+        ++job.placed_by_zone[machine->second.zone];
         return;
       }
     }
@@ -74,8 +76,8 @@
 void ClusterState::Withhold(const wire::TaskId& task) {
   const Job* job = FindJob(task.job);
   if (job == nullptr) return;
-  const QuotaCharge size{job->spec.team, job->spec.cpus, job->spec.gpus};
-  if (withheld_.emplace(task, size).second) quota.Add(size.team, size.cpus, size.gpus);
+  const QuotaCharge charge{job->spec.team, job->spec.cpus, job->spec.gpus};
+  if (withheld_.emplace(task, charge).second) quota.Add(charge.team, charge.cpus, charge.gpus);
 }
 
 void ClusterState::ReleaseWithheld(const wire::TaskId& task) {
@@ -94,16 +96,16 @@
   while (it != duplicates_.end() && it->first.job == job) it = duplicates_.erase(it);
 }
 
-void ClusterState::RemoveAllocation(Machine& m, std::map<AllocationKey, Allocation>::iterator it,
-                                    double now) {
-  if (!it->second.exited()) ReleaseResources(m, it->second, it->first.first);
-  m.allocations.erase(it);
-  if (m.allocations.empty()) m.idle_since = now;
+void ClusterState::RemoveAllocation(Machine& machine,
+                                    std::map<AllocationKey, Allocation>::iterator it, double now) {
+  if (!it->second.exited()) ReleaseResources(machine, it->second, it->first.first);
+  machine.allocations.erase(it);
+  if (machine.allocations.empty()) machine.idle_since = now;
   changed_since_pass = true;
 }
 
-void ClusterState::RemoveAllAllocations(Machine& m, double now) {
-  while (!m.allocations.empty()) RemoveAllocation(m, m.allocations.begin(), now);
+void ClusterState::RemoveAllAllocations(Machine& machine, double now) {
+  while (!machine.allocations.empty()) RemoveAllocation(machine, machine.allocations.begin(), now);
 }
 
 void ClusterState::Delegate(Job& job, uint32_t index, uint64_t lease) {
@@ -114,9 +116,9 @@
 }
 
 bool ClusterState::ReturnDelegated(const wire::TaskId& task, uint64_t lease) {
-  const auto size = delegated_tasks.Remove(task, lease);
-  if (!size) return false;
-  quota.Remove(size->team, size->cpus, size->gpus);
+  const auto charge = delegated_tasks.Remove(task, lease);
+  if (!charge) return false;
+  quota.Remove(charge->team, charge->cpus, charge->gpus);
   changed_since_pass = true;
   Job* job = FindJob(task.job);
   if (job == nullptr || job->tasks[task.index].phase != TaskPhase::kDelegated) return true;
@@ -124,26 +126,28 @@
   return true;
 }
 
-bool ClusterState::IsSchedulable(const Machine& m, double now) const {
-  if (m.handover_lease != 0) return false;
-  if (m.shard_lease != 0) {
-    return m.holder_status.schedulable && !m.recall_requested && !m.deleting && m.cpus > 0 &&
-           now - m.holder_status_at < silent_s_;
+bool ClusterState::IsSchedulable(const Machine& machine, double now) const {
+  if (machine.handover_lease != 0) return false;
+  if (machine.shard_lease != 0) {
+    return machine.holder_status.schedulable && !machine.recall_requested && !machine.deleting &&
+           machine.cpus > 0 && now - machine.holder_status_at < suspect_after_s_;
   }
-  if (m.unheeded_token == m.fencing_token) return false;
-  // Orders don't renew its lease, so what has not found us, or reaches nobody any more although it
-  // answers orders, would lose what it is given.
-  if (now - std::max(m.lease_renewed_at, began_at) >= lease_s_ / 2) return false;
-  return m.token_confirmed && !m.lost && !m.deleting && !m.quarantined && !m.reclaim_at &&
-         m.cpus > 0 && now - m.last_contact_at < silent_s_;
+  if (machine.unheeded_token == machine.fencing_token) return false;
+  // Commands don't renew the agent's lease. An agent that has not found this controller, or whose
+  // heartbeats reach no controller although it answers commands, would lose new tasks with its
+  // lease.
+  if (now - std::max(machine.lease_renewed_at, began_at) >= agent_lease_s_ / 2) return false;
+  return machine.token_confirmed && !machine.lost && !machine.deleting && !machine.quarantined &&
+         !machine.reclaim_at && machine.cpus > 0 &&
+         now - machine.last_contact_at < suspect_after_s_;
 }
 
-void RequestStop(Machine& m, Allocation& slot, double grace_s) {
-  m.has_pending_commands = true;
-  if (slot.stop_requested && slot.grace_s <= grace_s) return;
-  slot.stop_requested = true;
-  slot.grace_s = grace_s;
-  slot.stop_sent_at = -1e18;
+void RequestStop(Machine& machine, Allocation& allocation, double grace_s) {
+  machine.has_pending_commands = true;
+  if (allocation.stop_requested && allocation.grace_s <= grace_s) return;
+  allocation.stop_requested = true;
+  allocation.grace_s = grace_s;
+  allocation.stop_sent_at = -1e18;
 }
 
 }  // namespace mosspath::cluster
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,4 +1,4 @@
-// Tasks whose team or end is not known yet count towards their team's quota.
+// Tasks of unknown team or unknown end count towards team quotas.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,9 +14,9 @@
 namespace mosspath::scheduler {
 namespace {
 
-// The job of a task that a new leader finds was cancelled, so nothing gives its team or size; and
-// one machine cannot be probed. A team with a limit starts nothing before both are known to be
-// gone.
+// A new leader finds a task of a cancelled job, so the task's team and size are unknown. One
+// machine can't be probed either. A team with a limit starts no task before that task and that
+// machine are known to be gone.
 TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
   config::Settings settings = simulation::SmallSettings();
   const config::DerivedSettings derived(settings);
@@ -44,7 +44,7 @@
   };
   send_heartbeat("vm-1", 1, {found});
   send_heartbeat("vm-2", 1, {});
-  EXPECT_EQ(started(1.1), 0u);  // one can't be probed, one has a task of unknown size
+  EXPECT_EQ(started(1.1), 0u);  // one machine can't be probed, one runs a task of unknown size
   scheduler.OnMachineDeleted("vm-3", 2);
   EXPECT_TRUE(scheduler.recovery_complete());
   EXPECT_EQ(started(2.1), 0u);
@@ -55,7 +55,8 @@
   EXPECT_EQ(started(3.1), 1u);
 }
 
-// A withheld task may be running, so its team's quota counts it, also when its job has ended.
+// A withheld task may be running, so it counts towards its team's quota, even after its job has
+// ended.
 TEST(QuotaTest, WithheldTasksCountTowardsTheirTeam) {
   const config::Settings settings = simulation::SmallSettings();  // "tight" may use 10 CPUs
   cluster::ClusterState state(settings, config::DerivedSettings(settings));
