--- a/include/mosspath/jobs/job_index.h
+++ b/include/mosspath/jobs/job_index.h
@@ -1,10 +1,14 @@
-// What a controller may tell of a job, and how it ends one: from the records that it has read, from
-// what others have told it, and from looks at the state service. Pure: the service (job_table) and
-// the simulation carry out its looks and changes.
+// The status of jobs that a controller may report to users, and the changes that end a job. The
+// index derives both from the records that were read, from what other controllers have sent, and
+// from reads of the state service. Does no I/O: the service (service/job_service) and the
+// simulation carry out the reads and changes.
 //
-// Invariants: whatever any controller has told of a job, nothing older is told here after a look
-// that began with the question; what is over stays over; a job is cancelled or done by one change
-// that is conditional on there being no final record, so one end only, whoever is first.
+// Invariants:
+//   - after a read that began with the query, the reported status is never older than any status
+//     that any controller has reported before;
+//   - a job that has ended stays ended;
+//   - the change that cancels or completes a job is conditional on the job having no final record.
+//     So the first end wins, and there is only one.
 #pragma once
 
 #include <cstdint>
@@ -21,90 +25,91 @@
 
 namespace mosspath::jobs {
 
-// Unsure: it can't be told now.
+// Undetermined: the status can't be established now.
 enum class JobStatus { kLive, kDone, kCancelled, kMissing, kUndetermined };
 
-// What a final record holds, for ever.
+// Encodes a final record, which is kept for ever.
 wire::Json EncodeFinalRecord(JobStatus end);
 
 class JobIndex {
  public:
   struct Limits {
-    size_t finals = 0;         // remembered; the others are read again
-    size_t cancellations = 0;  // that peers can be told of
+    size_t finals = 0;         // ended jobs to cache; final records of other jobs are read again
+    size_t cancellations = 0;  // entries of the cancellation log
   };
-  // The ledger's prefixes.
-  JobIndex(std::string single, std::string shared, const Limits& bounds)
-      : limits_(bounds),
-        cancellations_(bounds.cancellations),
-        records_(std::move(single), std::move(shared)) {}
+  // `single_prefix` and `batch_prefix` are the key prefixes of the job records; see JobRecords.
+  JobIndex(std::string single_prefix, std::string batch_prefix, const Limits& limits)
+      : limits_(limits),
+        cancellations_(limits.cancellations),
+        records_(std::move(single_prefix), std::move(batch_prefix)) {}
 
-  // --- Records, as they are read. `read`: all that was written until that revision has been ---
-  void Reset();  // what was read is void, and is read anew
-  // Throws when the record can't be understood.
+  // --- Records as read from the state service; everything up to `read_revision` was read ---
+  void Reset();  // discards what was read; a reload follows
+  // Throws if the record is malformed.
   JobRecords::Change OnRecord(const std::string& key, const wire::Json* value, uint64_t version);
   void OnFinalRecord(const std::string& id, const wire::Json& value, uint64_t version);
-  void OnLoaded(uint64_t read) { ForgetCancelledAhead(read); }
+  void OnLoaded(uint64_t read_revision) { ForgetReadCancellations(read_revision); }
 
-  // --- What is known otherwise ---
-  // Up to this revision, the process before this one may have told of cancellations.
+  // --- Information from other sources ---
+  // The previous process may have confirmed cancellations up to this revision.
   void AssumeReportedUpTo(uint64_t revision) { cancellations_.AssumeReportedUpTo(revision); }
-  // Cancelled since that revision, which need not have been read yet. Its tasks must end now.
-  void OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read);
+  // The job was cancelled at `revision`, which may not have been read yet. Its tasks must end now.
+  void OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read_revision);
   void OnEnded(const std::string& id, JobStatus end);
 
-  // --- A question about a job ---
-  // What needs no look: what is over stays over.
+  // --- Queries ---
+  // The status of a job that is known to have ended; it needs no read, since the job stays ended.
   std::optional<JobStatus> FindEnded(const std::string& id) const;
-  // After a look that began after the question; none: its final record must be read.
+  // The status after a read that began after the query; none: the job's final record must be read.
   std::optional<JobStatus> StatusAfterRead(const std::string& id) const;
-  // What the read of its final record gave, after a look that had come up to `looked`; null: there
-  // is none.
+  // The status according to the job's final record `value`; null: there is none. Everything up to
+  // `revision_at_request` had been read when the read of the final record began.
   JobStatus StatusFromFinalRecord(const std::string& id, const wire::Json* value, uint64_t version,
-                                  uint64_t looked, uint64_t read);
+                                  uint64_t revision_at_request, uint64_t read_revision);
 
-  // --- The end of a job ---
-  // What is to be done to cancel a job of which this is known.
+  // --- Cancellation ---
+  // The next step to cancel a job whose status is `known`.
   struct CancelStep {
     enum class Kind {
-      kAnswer,     // `known`
-      kReadAgain,  // again: its records have not been seen well enough
-      kCommit,     // `records`, and its final record, of which there must be none
+      kAnswer,     // answer with `status`; nothing is to be changed
+      kReadAgain,  // read again: some records of the job may not have been read yet
+      kCommit,     // commit `records` and the final record, on condition that there is none yet
     };
     Kind kind = Kind::kAnswer;
     JobStatus status = JobStatus::kUndetermined;
     std::vector<RecordChange> records;
   };
-  CancelStep PlanCancellation(const std::string& id, JobStatus known, uint64_t read) const;
+  CancelStep PlanCancellation(const std::string& id, JobStatus known, uint64_t read_revision) const;
 
-  // --- A submission ---
-  // Known without a write: its user is told what a question would be.
+  // --- Submissions ---
+  // Whether the job is known already, so that a repeated submission needs no write.
   bool Contains(const std::string& id) const {
     return records_.Find(id) != nullptr || ended_.contains(id);
   }
 
-  // What may have been told of cancellations.
+  // The cancellations that may have been confirmed to users.
   const election::CancellationLog& cancellations() const { return cancellations_; }
-  // A job that is accepted and, as far as is known, not over.
+  // Returns the job if it is accepted and not known to have ended; otherwise null.
   const AcceptedJob* FindLive(const std::string& id) const {
-    return cancelled_ahead_.contains(id) ? nullptr : records_.Find(id);
+    return unread_cancellations_.contains(id) ? nullptr : records_.Find(id);
   }
-  void ForEachLive(const std::function<void(const std::string& id, const AcceptedJob&)>& f) const;
+  void ForEachLive(
+      const std::function<void(const std::string& id, const AcceptedJob&)>& visit) const;
   const JobRecords& records() const { return records_; }
 
  private:
-  void ForgetCancelledAhead(uint64_t read);
+  void ForgetReadCancellations(uint64_t read_revision);
 
   const Limits limits_;
   election::CancellationLog cancellations_;
   JobRecords records_;
-  // Known to be cancelled since that revision, which was not read yet: whatever is read of them
-  // before it, they are over. It may not even show yet that they were accepted.
-  std::unordered_map<std::string, uint64_t> cancelled_ahead_;
+  // Jobs that are known to be cancelled at a revision that was not read yet. They have ended,
+  // whatever records are read before that revision; even their acceptance may not have been read.
+  std::unordered_map<std::string, uint64_t> unread_cancellations_;
   std::unordered_map<std::string, JobStatus> ended_;
   std::deque<std::string> ended_order_;
-  // Asked about, and certainly unknown: what is read would have told if they had come up since. So
-  // users who ask for what nobody has submitted cost no read each time.
+  // Jobs that were queried and certainly do not exist; records read since would have shown them. So
+  // repeated queries for jobs that were never submitted don't each cost a read.
   std::unordered_set<std::string> missing_;
 };
 
--- a/include/mosspath/jobs/job_records.h
+++ b/include/mosspath/jobs/job_records.h
@@ -1,17 +1,19 @@
-// Which jobs are live, and in which records of the state service each stands. Pure: records as they
-// are seen come in; jobs that came and ended, and records to write, come out.
+// The live jobs, and the records of the state service that contain them. Does no I/O: the records
+// that were read are the input; accepted and ended jobs and the records to write are the output.
 //
-// A record holds one job (the older form) or several that were accepted together, so that a burst
-// of submissions costs a few changes instead of one each:
+// A record contains one job (the older form) or a batch of jobs that were accepted together, so
+// that a burst of submissions takes a few changes instead of one per job:
 //     {"jobs":[{"spec":{...},"at":wall seconds},...],"over":["req-000001",...],"born":revision}
-// `over` names jobs of this record that have ended. Two controllers may accept the same job at the
-// same time, each in a record of its own; every record is then a home of it. Invariants:
-//   - a job is live if it has a home and no record says that it is over;
-//   - acceptance is conditional on the job having no final record, and so is its end, which also
-//     names it as over in every home that is known. So no home can come up after the end, and
-//     whoever has seen all that was written until the end knows all homes there will ever be;
-//   - `over` is forgotten only by who has seen that much and knows no home of it any more.
-// Therefore a controller that loads the records at any moment finds no job live that is not.
+// `over` lists the jobs of this record that have ended. Two controllers may accept the same job at
+// the same time, each in its own record; then both records contain the job. Invariants:
+//   - a job is live if a record contains it in `jobs` and no record lists it in `over`;
+//   - the acceptance of a job is conditional on the job having no final record, and so is its end.
+//     The end also moves the job to `over` in each known record that contains it. So no record can
+//     be created for the job after its end, and a controller that has read everything up to the end
+//     has read all records that will ever contain the job;
+//   - a controller removes a job from `over` only after it has read that far, and only if no record
+//     contains the job any more.
+// So a controller that loads the records at any time finds no ended job live.
 #pragma once
 
 #include <cstdint>
@@ -26,23 +28,25 @@
 
 struct AcceptedJob {
   wire::JobSpec spec;
-  // The revision of its acceptance; the earliest, if there were several.
+  // The revision of its acceptance; the earliest if several records contain it.
   uint64_t version = 0;
-  double submitted_wall_s = 0;  // seconds since the epoch, by the clock of who accepted it
+  // Seconds since the Unix epoch, by the clock of the controller that accepted it.
+  double submitted_wall_s = 0;
 };
 
-// A change of one record, on condition that it still has this version.
+// A change of one record, conditional on the record still having this version.
 struct RecordChange {
   std::string key;
   uint64_t version = 0;
-  std::optional<wire::Json> value;  // none: delete
+  std::optional<wire::Json> value;  // none: the record is deleted
 };
 
 class JobRecords {
  public:
-  // Keys under `single` hold one job, named by the rest of the key; those under `shared` several.
-  JobRecords(std::string single, std::string shared)
-      : single_prefix_(std::move(single)), batch_prefix_(std::move(shared)) {}
+  // Records under the key prefix `single_prefix` contain one job, whose id is the rest of the key.
+  // Records under `batch_prefix` contain batches.
+  JobRecords(std::string single_prefix, std::string batch_prefix)
+      : single_prefix_(std::move(single_prefix)), batch_prefix_(std::move(batch_prefix)) {}
 
   bool OwnsKey(const std::string& key) const {
     return key.starts_with(single_prefix_) || key.starts_with(batch_prefix_);
@@ -52,21 +56,22 @@
     std::vector<std::string> accepted;
     std::vector<std::string> ended;
   };
-  // A record as the state service has it now; none: it is gone. Throws if it can't be understood,
-  // and then nothing is changed.
+  // Applies a record as read from the state service; null: it was deleted. Throws if the record is
+  // malformed, and then changes nothing.
   Change OnRecord(const std::string& key, const wire::Json* value, uint64_t version);
 
   const AcceptedJob* Find(const std::string& id) const;
   const std::unordered_map<std::string, AcceptedJob>& live() const { return live_; }
-  // 0: there is no such record.
+  // Returns the version of the record; 0 if there is no such record.
   uint64_t VersionOf(const std::string& key) const;
-  // The records that must change for these jobs to be over; none for jobs that are not live, or not
-  // seen well enough yet. `revision`: all that was written until then has been seen.
+  // Returns the record changes that end these jobs. Omits jobs that are not live, and jobs of which
+  // not all records may have been read yet. `revision`: everything up to it has been read.
   std::vector<RecordChange> PlanEnd(const std::vector<std::string>& ids, uint64_t revision) const;
-  // Records that nothing live is left in, and homes of jobs that are over: at most so many.
-  std::vector<RecordChange> PlanCleanup(uint64_t revision, size_t most) const;
+  // Returns at most `max_changes` changes that delete records without jobs to keep, and that update
+  // records which contain ended jobs.
+  std::vector<RecordChange> PlanCleanup(uint64_t revision, size_t max_changes) const;
 
-  // What is written for jobs that are accepted together.
+  // Encode an accepted job, and the record of a batch of accepted jobs.
   static wire::Json EncodeEntry(const wire::JobSpec& spec, double at_wall_s);
   static wire::Json EncodeBatch(std::vector<wire::Json> entries);
 
@@ -77,20 +82,22 @@
     std::vector<std::string> jobs;
     std::vector<std::string> ended;
   };
-  struct JobHomes {
-    std::vector<std::string> records;
-    std::vector<std::string> ended_in;
+  struct RecordKeys {
+    std::vector<std::string> containing;  // records that contain the job in `jobs`
+    std::vector<std::string> ended_in;    // records that list the job in `over`
   };
   Record Parse(const std::string& key, const wire::Json& value, uint64_t version,
                std::vector<AcceptedJob>& accepted) const;
-  bool MayForget(const Record& r, const std::string& id, uint64_t revision) const;
-  wire::Json Render(const Record& r, const std::vector<std::string>& ended,
+  // Whether `id` may be removed from `over` of the record.
+  bool MayForget(const Record& record, const std::string& id, uint64_t revision) const;
+  // Encodes the record with the jobs in `ended` moved to `over`.
+  wire::Json Encode(const Record& record, const std::vector<std::string>& ended,
                     uint64_t revision) const;
 
   const std::string single_prefix_;
   const std::string batch_prefix_;
   std::unordered_map<std::string, Record> records_;
-  std::unordered_map<std::string, JobHomes> homes_;
+  std::unordered_map<std::string, RecordKeys> record_keys_by_job_;
   std::unordered_map<std::string, AcceptedJob> live_;
 };
 
--- a/include/mosspath/jobs/task_set.h
+++ b/include/mosspath/jobs/task_set.h
@@ -1,5 +1,5 @@
-// Numbers of a job's tasks, as ranges and bit maps (a Roaring bitmap): those of an array that never
-// started cost a few bytes together, whatever its size. Pure.
+// A set of task indices of a job, stored as a Roaring bitmap. The pending tasks of an array job
+// that has not started take a few bytes together, whatever the size of the array. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
  public:
   bool empty() const { return size_ == 0; }
   size_t size() const { return size_; }
-  // The lowest; there must be one.
+  // The lowest index; the set must not be empty.
   uint32_t first() const { return bits_.minimum(); }
   void insert(uint32_t index) { size_ += bits_.addChecked(index) ? 1 : 0; }
   void erase(uint32_t index) { size_ -= bits_.removeChecked(index) ? 1 : 0; }
-  // All below `n`.
+  // Makes this the set of all indices below `n`.
   void FillUpTo(uint32_t n) {
     bits_.addRange(0, n);
     bits_.runOptimize();
@@ -24,9 +24,9 @@
   }
   void clear() { *this = {}; }
   std::vector<uint32_t> ToVector() const {
-    std::vector<uint32_t> out(size_);
-    bits_.toUint32Array(out.data());
-    return out;
+    std::vector<uint32_t> indices(size_);
+    bits_.toUint32Array(indices.data());
+    return indices;
   }
   size_t bytes() const { return bits_.getSizeInBytes(); }
   friend bool operator==(const TaskSet& a, const TaskSet& b) { return a.bits_ == b.bits_; }
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -6,18 +6,21 @@
 
 namespace mosspath::jobs {
 
-Job::Job(wire::JobSpec s, uint64_t v, double at)
-    : spec(std::move(s)), version(v), submitted_at(at), tasks(spec.tasks) {
+Job::Job(wire::JobSpec job_spec, uint64_t acceptance_version, double submission_time)
+    : spec(std::move(job_spec)),
+      version(acceptance_version),
+      submitted_at(submission_time),
+      tasks(spec.tasks) {
   pending.FillUpTo(spec.tasks);
 }
 
 bool Job::MarkDone(uint32_t index) {
-  Task& t = tasks[index];
-  if (t.phase == TaskPhase::kDone) return false;
+  Task& task = tasks[index];
+  if (task.phase == TaskPhase::kDone) return false;
   pending.erase(index);
-  t.phase = TaskPhase::kDone;
+  task.phase = TaskPhase::kDone;
   ++done;
-  if (!t.durable) done_not_durable.insert(index);
+  if (!task.durable) done_not_durable.insert(index);
   return true;
 }
 
--- a/src/jobs/job_index.cc
+++ b/src/jobs/job_index.cc
@@ -3,7 +3,7 @@
 namespace mosspath::jobs {
 namespace {
 
-JobStatus EndOf(const wire::Json& final_record) {
+JobStatus ParseFinalRecord(const wire::Json& final_record) {
   const std::string stage = final_record.is_object() ? final_record.value("stage", "") : "";
   if (stage == wire::JobStateName(wire::JobState::kDone)) return JobStatus::kDone;
   if (stage == wire::JobStateName(wire::JobState::kCancelled)) return JobStatus::kCancelled;
@@ -28,14 +28,14 @@
   for (const auto& id : change.accepted) missing_.erase(id);
   for (const auto& id : change.ended) {
     missing_.erase(id);
-    cancelled_ahead_.erase(id);
+    unread_cancellations_.erase(id);
   }
   return change;
 }
 
 void JobIndex::OnFinalRecord(const std::string& id, const wire::Json& value, uint64_t version) {
   missing_.erase(id);
-  const JobStatus end = EndOf(value);
+  const JobStatus end = ParseFinalRecord(value);
   if (end == JobStatus::kCancelled) cancellations_.Add(id, version);
   if (end != JobStatus::kUndetermined) OnEnded(id, end);
 }
@@ -49,15 +49,17 @@
   }
 }
 
-void JobIndex::OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read) {
+void JobIndex::OnCancellationLearned(const std::string& id, uint64_t revision,
+                                     uint64_t read_revision) {
   cancellations_.Add(id, revision);
   OnEnded(id, JobStatus::kCancelled);
-  ForgetCancelledAhead(read);
-  if (revision > read) cancelled_ahead_[id] = revision;
+  ForgetReadCancellations(read_revision);
+  if (revision > read_revision) unread_cancellations_[id] = revision;
 }
 
-void JobIndex::ForgetCancelledAhead(uint64_t read) {
-  std::erase_if(cancelled_ahead_, [read](const auto& a) { return a.second <= read; });
+void JobIndex::ForgetReadCancellations(uint64_t read_revision) {
+  std::erase_if(unread_cancellations_,
+                [read_revision](const auto& entry) { return entry.second <= read_revision; });
 }
 
 std::optional<JobStatus> JobIndex::FindEnded(const std::string& id) const {
@@ -66,42 +68,43 @@
 }
 
 std::optional<JobStatus> JobIndex::StatusAfterRead(const std::string& id) const {
-  if (const auto over = FindEnded(id)) return over;
+  if (const auto ended = FindEnded(id)) return ended;
   if (records_.Find(id) != nullptr) return JobStatus::kLive;
   if (missing_.contains(id)) return JobStatus::kMissing;
-  return std::nullopt;  // over, or never accepted
+  return std::nullopt;  // ended, or never accepted
 }
 
 JobStatus JobIndex::StatusFromFinalRecord(const std::string& id, const wire::Json* value,
-                                          uint64_t version, uint64_t looked, uint64_t read) {
+                                          uint64_t version, uint64_t revision_at_request,
+                                          uint64_t read_revision) {
   if (value == nullptr) {
-    // What came since may have told of it already.
-    if (looked == read) {
+    // Records that were read since the request may have shown the job already.
+    if (revision_at_request == read_revision) {
       if (missing_.size() >= limits_.finals) missing_.clear();
       missing_.insert(id);
     }
     return JobStatus::kMissing;
   }
-  const JobStatus end = EndOf(*value);
-  // Told by this controller from now on, though it may not have read that far.
-  if (end == JobStatus::kCancelled) OnCancellationLearned(id, version, read);
+  const JobStatus end = ParseFinalRecord(*value);
+  // This controller reports the end from now on, even if it has not read that revision yet.
+  if (end == JobStatus::kCancelled) OnCancellationLearned(id, version, read_revision);
   if (end != JobStatus::kUndetermined) OnEnded(id, end);
   return end;
 }
 
 JobIndex::CancelStep JobIndex::PlanCancellation(const std::string& id, JobStatus known,
-                                                uint64_t read) const {
+                                                uint64_t read_revision) const {
   using Kind = CancelStep::Kind;
   if (known != JobStatus::kLive) return {Kind::kAnswer, known, {}};
-  auto records = records_.PlanEnd({id}, read);
+  auto records = records_.PlanEnd({id}, read_revision);
   if (records.empty()) return {Kind::kReadAgain, known, {}};
   return {Kind::kCommit, known, std::move(records)};
 }
 
 void JobIndex::ForEachLive(
-    const std::function<void(const std::string& id, const AcceptedJob&)>& f) const {
+    const std::function<void(const std::string& id, const AcceptedJob&)>& visit) const {
   for (const auto& [id, job] : records_.live()) {
-    if (!cancelled_ahead_.contains(id)) f(id, job);
+    if (!unread_cancellations_.contains(id)) visit(id, job);
   }
 }
 
--- a/tests/job_records_test.cc
+++ b/tests/job_records_test.cc
@@ -1,5 +1,5 @@
-// Acceptances that share records, against a plain state service: any order of accepting, ending,
-// cleaning up, watching and reloading, with writes that are lost or executed late.
+// Job records against a model of the state service: acceptances, ends, cleanups, watches and
+// reloads in any order, with writes that are lost or delayed.
 #include "mosspath/jobs/job_records.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   return spec;
 }
 
-// The state service: keys with values and versions, and the log of changes.
+// A model of the state service: keys with values and versions, and the change log.
 struct Store {
   struct Change {
     std::string key;
@@ -69,12 +69,12 @@
       if (records.OwnsKey(key)) records.OnRecord(key, &pair.first, pair.second);
     }
   }
-  // Reads at most `most` of the changes that it has not seen, in order.
-  void Watch(const Store& store, size_t most) {
+  // Applies at most `max_transactions` unread transactions, in order.
+  void Watch(const Store& store, size_t max_transactions) {
     for (const auto& change : store.log) {
       if (change.revision <= revision) continue;
-      if (most-- == 0) return;
-      const uint64_t transaction = change.revision;  // a transaction is seen as a whole
+      if (max_transactions-- == 0) return;
+      const uint64_t transaction = change.revision;  // a transaction is applied as a whole
       for (const auto& other : store.log) {
         if (other.revision == transaction && records.OwnsKey(other.key)) {
           records.OnRecord(other.key, other.value ? &*other.value : nullptr, other.revision);
@@ -98,7 +98,7 @@
   }
 }
 
-// A random sequence of steps of three controllers.
+// A random sequence of steps by three controllers.
 struct RandomRun {
   explicit RandomRun(uint32_t seed) : random(seed) {}
 
@@ -119,7 +119,7 @@
       write.conditions.emplace_back(kJob + id, 0);
       write.conditions.emplace_back("final/" + id, 0);
       entries.push_back(JobRecords::EncodeEntry(Spec(id), 1.0));
-      if (Below(6) == 0) {  // a controller that writes the older form
+      if (Below(6) == 0) {  // a controller of a version that writes the older form
         write.changes.emplace_back(kJob + id, entries.back());
         in_flight.push_back(std::move(write));
         return;
@@ -152,8 +152,7 @@
   }
 
   void Check() {
-    // A controller that loads now finds every job live that is accepted and has not ended, and no
-    // other.
+    // A controller that loads now finds exactly the accepted jobs live that have not ended.
     Controller fresh;
     fresh.Load(store);
     for (const auto& [id, job] : fresh.records.live()) {
@@ -164,7 +163,7 @@
         EXPECT_NE(fresh.records.Find(id), nullptr) << id << " is lost";
       }
     }
-    // The first acceptance counts, whatever was rewritten since.
+    // The revision of the first acceptance counts, even after the record was rewritten.
     for (const auto& [id, job] : fresh.records.live())
       EXPECT_EQ(job.version, first_version[id]) << id;
   }
@@ -237,7 +236,7 @@
     run.Run(400);
     ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed;
     EXPECT_GT(run.accepted.size(), 10u);
-    // All jobs end and their records are cleaned up: only final records are kept for ever.
+    // After all jobs have ended and their records were cleaned up, only final records are left.
     run.in_flight.clear();
     Controller controller;
     for (int i = 0; i < 400; ++i) {
