--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -121,11 +121,11 @@
   // When a heartbeat was first answered with the current token, while the agent has not confirmed
   // the token; 0 otherwise.
   double token_unconfirmed_since = 0;
-  int ignored_answers = 0;           // consecutive answers whose commands had no effect
-  uint64_t unheeded_token = 0;       // the token under which answers had no effect; 0: none
-  std::optional<double> reclaim_at;  // when the cloud reclaims the machine
-  bool draining = false;             // takes no new tasks
-  bool cordoned = false;             // takes only urgent tasks that find no room elsewhere
+  int ignored_answers = 0;             // consecutive answers whose commands had no effect
+  uint64_t ignored_answers_token = 0;  // the token under which answers had no effect; 0: none
+  std::optional<double> reclaim_at;    // when the cloud reclaims the machine
+  bool draining = false;               // takes no new tasks
+  bool cordoned = false;               // takes only urgent tasks that find no room elsewhere
   bool quarantined = false;
   bool lost = false;  // its agent's lease has expired, so no task runs on it
   bool deleting = false;
--- a/src/cluster/cluster_state.cc
+++ b/src/cluster/cluster_state.cc
@@ -132,7 +132,7 @@
     return machine.holder_status.schedulable && !machine.recall_requested && !machine.deleting &&
            machine.cpus > 0 && now - machine.holder_status_at < suspect_after_s_;
   }
-  if (machine.unheeded_token == machine.fencing_token) return false;
+  if (machine.ignored_answers_token == machine.fencing_token) return false;
   // Commands don't renew the agent's lease. An agent that has not found this controller, or whose
   // heartbeats reach no controller although it answers commands, would lose new tasks with its
   // lease.
--- a/src/scheduler/command_planner.cc
+++ b/src/scheduler/command_planner.cc
@@ -19,8 +19,8 @@
 constexpr size_t kMaxCommands = 400;
 // Heartbeat intervals without contact, after which no start goes straight to a machine.
 constexpr double kMaxContactAgeHeartbeats = 1.5;
-// The value of Machine::unheeded_token while no answer is suspected to be without effect.
-constexpr uint64_t kNoUnheededToken = 0;
+// The value of Machine::ignored_answers_token while no answer is suspected to be without effect.
+constexpr uint64_t kNoIgnoredAnswersToken = 0;
 
 bool IsUnconfirmedStart(const Allocation& allocation) {
   return allocation.start_unconfirmed && allocation.state == Allocation::State::kStartSent;
@@ -137,7 +137,7 @@
 
 void CommandPlanner::RaiseTokens() {
   for (auto& [id, machine] : state_.cluster.machines) {
-    const bool answers_ignored = machine.unheeded_token == machine.fencing_token;
+    const bool answers_ignored = machine.ignored_answers_token == machine.fencing_token;
     if (!machine.has_unconfirmed_starts && !answers_ignored) continue;
     machine.has_unconfirmed_starts = HasUnconfirmedStart(machine);
     if (answers_ignored || HasUnconfirmedStartUnderToken(machine)) RaiseToken(machine);
@@ -154,10 +154,10 @@
   machine.fencing_token = newest_revision;
   machine.token_confirmed = false;
   machine.token_unconfirmed_since = 0;
-  const bool answers_ignored = machine.unheeded_token != kNoUnheededToken;
+  const bool answers_ignored = machine.ignored_answers_token != kNoIgnoredAnswersToken;
   spdlog::info("scheduler: token_raised machine={} token={} cause={}", machine.id,
                machine.fencing_token, answers_ignored ? "answers_ignored" : "start_unanswered");
-  machine.unheeded_token = kNoUnheededToken;
+  machine.ignored_answers_token = kNoIgnoredAnswersToken;
 }
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -9,7 +9,7 @@
 
 // The machine takes no new work until it has shown a token that it can only know from an answer.
 void LeaderRole::OnDeliverySuspected(Machine& machine) {
-  machine.unheeded_token = machine.fencing_token;
+  machine.ignored_answers_token = machine.fencing_token;
 }
 
 bool LeaderRole::OnMachineLost(Machine& machine) {
--- a/tests/one_way_partition_test.cc
+++ b/tests/one_way_partition_test.cc
@@ -119,7 +119,7 @@
                   {test::Exited(starts[0], wire::ExitReason::kInsufficientResources)});
     scheduler_.Tick(now + 1);
   }
-  EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 0u);
+  EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 0u);
 }
 
 // The leader answered each heartbeat, and yet the lease expired and a new epoch began.
@@ -127,7 +127,7 @@
   AddReadyMachine("vm-1", 0);
   for (double now = 2; now < 22; now += 2) SendHeartbeat("vm-1", now);
   UnansweredHeartbeat("vm-1", 22, 2, 10);
-  EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 10u);
+  EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 10u);
 }
 
 // A late duplicate of a heartbeat changes nothing at all, not only no tasks.
