--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -10,7 +10,7 @@
 // Marks the current token. The machine gets no new tasks until it has reported under a higher
 // token, which it can only have received in an answer.
 void LeaderRole::OnDeliveryFailureSuspected(Machine& machine) {
-  machine.unheeded_token = machine.fencing_token;
+  machine.ignored_answers_token = machine.fencing_token;
 }
 
 bool LeaderRole::OnMachineLost(Machine& machine) {
--- a/tests/one_way_partition_test.cc
+++ b/tests/one_way_partition_test.cc
@@ -121,7 +121,7 @@
                   {test::Exited(starts[0], wire::ExitReason::kInsufficientResources)});
     scheduler_.Tick(now + 1);
   }
-  EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 0u);
+  EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 0u);
 }
 
 // The leader has answered each heartbeat, but the agent's lease expires and a new epoch begins.
@@ -129,7 +129,7 @@
   AddReadyMachine("vm-1", 0);
   for (double now = 2; now < 22; now += 2) SendHeartbeat("vm-1", now);
   SendHeartbeatUnderToken("vm-1", 22, 2, 10);
-  EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 10u);
+  EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 10u);
 }
 
 // A late duplicate of a heartbeat changes nothing: neither tasks nor the machine's address, contact
