--- a/include/mosspath/scheduler/activity_tracker.h
+++ b/include/mosspath/scheduler/activity_tracker.h
@@ -1,5 +1,6 @@
-// What people are shown of a term of leadership: progress towards the objectives, when work of each
-// class and team last started and finished, and recent incidents. Nothing is decided on it. Pure.
+// Status information about a term of leadership: progress towards the objectives, when work of each
+// class and team last started and finished, and recent incidents. No scheduling decision depends on
+// it. Pure.
 #pragma once
 
 #include <cstdint>
@@ -15,34 +16,35 @@
 
 namespace mosspath::scheduler {
 
+// Not thread-safe. Times are in seconds.
 class ActivityTracker {
  public:
   explicit ActivityTracker(const config::Settings& settings);
 
-  // Keeps the description for people; the oldest incidents are dropped.
+  // Records an incident for the status page. If there are too many, the oldest is dropped.
   void AddIncident(double now, std::string description);
-  // A task of the job runs. Its first start counts towards the objectives.
+  // Called when a task of the job runs. Only its first start counts towards the objectives.
   void OnTaskStarted(jobs::Job& job, uint32_t index, double now);
-  // The job's completion is durable, and counts towards the objectives.
+  // Called when the job's completion is durable, which counts towards the objectives.
   void OnJobFinished(const jobs::Job& job, double now);
 
-  // When work of a class or team last moved.
+  // When a class or team last had a task started and a job finished.
   struct LastActivity {
-    double started_at = kLongAgo;   // of a task
-    double finished_at = kLongAgo;  // of a job
+    double started_at = kLongAgo;   // last start of a task
+    double finished_at = kLongAgo;  // last completion of a job
   };
   const std::map<std::string, LastActivity>& classes() const { return classes_; }
   const std::map<std::string, LastActivity>& teams() const { return teams_; }
-  // Adds the progress and the incidents, the newest first.
+  // Adds the progress, and the incidents with the newest first.
   void FillSnapshot(double now, wire::StatusSnapshot& snapshot) const;
-  // Whether a log line with the load is due; if so, the next one is due an interval later.
+  // Whether a log line with the load is due. If so, schedules the next one an interval later.
   bool IsLogDue(double now);
 
  private:
-  // How many tasks or jobs an objective has met, of those that it applied to.
+  // Progress towards one objective.
   struct Progress {
-    uint64_t met = 0;
-    uint64_t total = 0;
+    uint64_t met = 0;    // tasks or jobs that met the objective
+    uint64_t total = 0;  // tasks or jobs that the objective applied to
   };
   struct Incident {
     double at = 0;
@@ -52,7 +54,7 @@
 
   const std::vector<config::Objective> objectives_;
   const double log_interval_s_;
-  std::vector<Progress> progress_;  // of each objective
+  std::vector<Progress> progress_;  // one element for each objective
   std::map<std::string, LastActivity> classes_;
   std::map<std::string, LastActivity> teams_;
   std::deque<Incident> incidents_;
--- a/include/mosspath/scheduler/command_batch.h
+++ b/include/mosspath/scheduler/command_batch.h
@@ -1,4 +1,4 @@
-// Command batches: commands that go straight to agents, and what becomes of them.
+// Command batches, which are sent directly to agents, and their outcomes.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace mosspath::scheduler {
 
-// Commands that are sent straight to an agent, so that they needn't wait for its next heartbeat. A
-// batch without commands is a probe: it asks the agent for a heartbeat.
+// Commands that are sent directly to an agent instead of with the answer to its next heartbeat. A
+// batch without commands is a probe: it requests a heartbeat from the agent.
 struct CommandBatch {
   std::string machine;
   std::string address;  // host and port of the agent
-  // The agent executes the batch only under a token that is no lower than any that it has seen, and
-  // only in this epoch.
+  // The agent executes the batch only in this epoch, and only if the token is no lower than any
+  // token that it has seen.
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
   std::vector<wire::Command> commands;
@@ -26,7 +26,7 @@
   kExecuted,
   // Status 409, or the batch was never sent: nothing was executed, and nothing will be.
   kRefused,
-  // The batch may have been executed, and may be until the machine's token or epoch rises.
+  // The batch may have been executed, or may still be until the machine's token or epoch rises.
   kUndetermined,
 };
 
--- a/include/mosspath/scheduler/command_outcome_handler.h
+++ b/include/mosspath/scheduler/command_outcome_handler.h
@@ -1,4 +1,4 @@
-// What becomes of command batches that went straight to agents. Pure.
+// Handles the outcomes of command batches that were sent directly to agents. Pure.
 #pragma once
 
 #include "mosspath/scheduler/command_batch.h"
@@ -9,14 +9,14 @@
 
 namespace mosspath::scheduler {
 
+// Not thread-safe.
 class CommandOutcomeHandler {
  public:
-  // All outlive this object.
+  // The arguments must outlive this object.
   CommandOutcomeHandler(SchedulerState& state, HeartbeatHandler& heartbeats, Reconciler& reconciler)
       : state_(state), heartbeats_(heartbeats), reconciler_(reconciler) {}
 
-  // Called once for each batch that was taken. `heartbeat` is what the agent answered, null if it
-  // did not.
+  // Called once for each batch that was taken. `heartbeat` is the agent's answer, null without one.
   void OnOutcome(const CommandBatch& batch, CommandOutcome outcome,
                  const wire::Heartbeat* heartbeat, double now);
 
--- a/include/mosspath/scheduler/command_planner.h
+++ b/include/mosspath/scheduler/command_planner.h
@@ -1,5 +1,5 @@
-// What agents are told: the commands in the answers to their heartbeats, the command batches that
-// go straight to them, and the fencing tokens that these are given under. Pure.
+// Plans what is sent to agents: the commands in the answers to their heartbeats, the command
+// batches that are sent directly to them, and the fencing tokens of both. Pure.
 #pragma once
 
 #include <cstddef>
@@ -14,26 +14,28 @@
 
 inline constexpr size_t kUnlimitedBatches = std::numeric_limits<size_t>::max();
 
+// Not thread-safe.
 class CommandPlanner {
  public:
-  // `state` outlives this object.
+  // `state` must outlive this object.
   explicit CommandPlanner(SchedulerState& state) : state_(state) {}
 
-  // Returns the commands for the answer to the machine's periodic heartbeat, and counts their
-  // starts as sent.
-  std::vector<wire::Command> TakeAnswer(cluster::Machine& machine, double now);
-  // Returns probes that are due and commands that need not wait for the machines' next heartbeats,
-  // at most `max_batches`; at most one batch is in flight to each machine.
+  // Returns the commands for the answer to the machine's periodic heartbeat, and marks their starts
+  // as sent.
+  std::vector<wire::Command> TakeHeartbeatCommands(cluster::Machine& machine, double now);
+  // Returns due probes, and commands that can be sent before the machines' next heartbeats: at most
+  // `max_batches` batches, and none to a machine with a batch in flight.
   std::vector<CommandBatch> TakeBatches(double now, size_t max_batches);
-  // Gives a higher token to machines where a start got no answer, or where answers have no effect.
-  // A start without an answer can be executed until the agent sees a higher token. The revision of
-  // a later write of ours is one, and is lower than the token of any later leader.
+  // Raises the token of machines where a start got no answer or where answers have no effect. An
+  // agent may execute an unanswered start until it receives a higher token. The revision of a later
+  // write by this leader serves as the token; it is lower than the token of any later leader.
   void RaiseTokens();
 
  private:
   bool NeedsProbes(double now) const;
   std::vector<wire::Command> TakeDirectCommands(cluster::Machine& machine, double now);
-  bool MustKeep(const wire::TaskId& task, const cluster::Allocation& allocation) const;
+  bool AwaitsDurableCompletion(const wire::TaskId& task,
+                               const cluster::Allocation& allocation) const;
   void RaiseToken(cluster::Machine& machine);
 
   SchedulerState& state_;
--- a/include/mosspath/scheduler/heartbeat_handler.h
+++ b/include/mosspath/scheduler/heartbeat_handler.h
@@ -1,5 +1,6 @@
-// Heartbeats of agents, and the heartbeats with which agents answer probes: whether they count, and
-// what they tell of the machine itself. Their tasks are the reconciler's. Pure.
+// Handles the agents' periodic heartbeats, and the heartbeats in their answers to probes: validates
+// each heartbeat and updates the state of the machine. The reconciler handles the listed tasks.
+// Pure.
 #pragma once
 
 #include <cstdint>
@@ -17,37 +18,39 @@
 
 // The answer to a periodic heartbeat.
 struct HeartbeatAnswer {
-  // False: the heartbeat is refused with status 503, and the agent's lease is not renewed.
+  // If false, the heartbeat is refused with status 503, and the agent's lease is not renewed.
   bool accepted = false;
-  // The fencing token that the commands are given under.
+  // The fencing token of the commands.
   uint64_t token = 0;
   std::vector<wire::Command> commands;
 };
 
+// Not thread-safe.
 class HeartbeatHandler {
  public:
-  // All outlive this object.
+  // The arguments must outlive this object.
   HeartbeatHandler(SchedulerState& state, MachineLifecycle& lifecycle, Reconciler& reconciler,
                    CommandPlanner& commands)
       : state_(state), lifecycle_(lifecycle), reconciler_(reconciler), commands_(commands) {}
 
-  // A periodic heartbeat. It renews the agent's lease if it is accepted.
+  // Handles a periodic heartbeat. If the heartbeat is accepted, it renews the agent's lease.
   HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& heartbeat, double now);
-  // The end of a probe. `heartbeat` is null if no answer came.
+  // Handles the end of a probe. `heartbeat` is null if no answer came.
   void OnProbeAnswer(cluster::Machine& machine, const CommandBatch& probe, CommandOutcome outcome,
                      const wire::Heartbeat* heartbeat, double now);
-  // A batch was executed by another machine than it was meant for, which has its address now. What
-  // that one says under our token is as good as its answer to a batch of its own; it may run what
-  // was meant for the other, and no record names it.
+  // Handles the answer to a batch that another machine executed, because that machine has reused
+  // the address of the intended one. A heartbeat under this leader's token counts like an answer to
+  // a batch of that machine's own. The machine may have no record, and may run the tasks that were
+  // meant for the intended one, so it must be added.
   void OnUnexpectedMachine(const wire::Heartbeat& heartbeat, double now);
 
  private:
   bool IsCommandedElsewhere(const std::string& machine) const;
   bool IsUsable(const wire::Heartbeat& heartbeat) const;
-  // The heartbeat shows the machine's present token.
-  void OnTokenShown(cluster::Machine& machine, double now);
+  // Called when a heartbeat confirms the machine's present token.
+  void OnTokenConfirmed(cluster::Machine& machine, double now);
   void OnReclaimNotice(cluster::Machine& machine, const wire::Heartbeat& heartbeat, double now);
-  void TakeCommandAnswer(cluster::Machine& machine, const wire::Heartbeat& heartbeat, double now);
+  void OnCommandAnswer(cluster::Machine& machine, const wire::Heartbeat& heartbeat, double now);
 
   SchedulerState& state_;
   MachineLifecycle& lifecycle_;
--- a/include/mosspath/scheduler/machine_health.h
+++ b/include/mosspath/scheduler/machine_health.h
@@ -1,6 +1,5 @@
-// Tells machines that fail tasks, or run them far slower than others, from jobs with a mistake,
-// whose tasks fail on every machine until their users cancel them. What it concludes from is kept
-// with the machine and the job. Pure.
+// Detects machines that fail tasks or run them far slower than other machines, and crash looping
+// jobs, whose tasks fail on every machine until their users cancel them. Pure.
 #pragma once
 
 #include "mosspath/cluster/cluster_state.h"
@@ -8,6 +7,8 @@
 
 namespace mosspath::scheduler {
 
+// Stateless beside its settings: the statistics and the verdicts are stored in the machine and the
+// job. Times are in seconds.
 class MachineHealth {
  public:
   explicit MachineHealth(const config::Settings& settings)
@@ -17,25 +18,28 @@
     kNone,
     kMachineSlow,           // the machine has just been quarantined for its speed
     kMachineFaulty,         // the machine has just been quarantined for its failures
-    kJobCrashLooping,       // the job's tasks fail on every machine, as was found just now
-    kJobStillCrashLooping,  // the same, as was found before
+    kJobCrashLooping,       // the job has just been found to be crash looping
+    kJobStillCrashLooping,  // the job was already crash looping
   };
-  // A task of the job ran on the machine for so long, and succeeded. Users' estimates are often
-  // wrong, so machines are compared by tasks of the same job.
+  // Called when a task of the job succeeded on the machine after running for `ran_s`. Machines are
+  // compared by tasks of the same job, because users' estimates of run times are often wrong.
   Verdict OnTaskTimed(cluster::Machine& machine, jobs::Job& job, double ran_s) const;
-  // A task of the job failed on the machine. `machines` are all that this controller commands.
+  // Called when a task of the job failed on the machine. `machines` are all machines that this
+  // controller commands.
   Verdict OnTaskFailed(cluster::Machine& machine, jobs::Job& job, cluster::Machines& machines,
                        double now) const;
-  // A task of the job succeeded on the machine. Returns whether the job was crash looping.
+  // Called when a task of the job succeeded on the machine. Returns whether the job was crash
+  // looping.
   bool OnTaskSucceeded(cluster::Machine& machine, jobs::Job& job) const;
-  // Whether a task that has run for so long on a machine which is far too slow would end sooner if
-  // it began again elsewhere.
+  // Whether a task that has run for `ran_s` on a quarantined slow machine would end sooner if it
+  // was restarted elsewhere.
   bool ShouldRestartElsewhere(const cluster::Machine& machine, const jobs::Job& job,
                               double ran_s) const;
 
  private:
-  // Counts the failure against the machine, unless the job looks to blame.
-  Verdict BlameMachine(cluster::Machine& machine, const jobs::Job& job) const;
+  // Counts the failure, and quarantines the machine if its failures are more likely caused by the
+  // machine than by a job.
+  Verdict CountFailureAgainstMachine(cluster::Machine& machine, const jobs::Job& job) const;
 
   const double heartbeat_s_;
   const double agent_lease_s_;
--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -1,5 +1,6 @@
-// Machines that this controller commands, from the record or the heartbeat that introduces them to
-// their loss or deletion, and what becomes of the tasks that were on them. Pure.
+// The lifecycle of the machines that this controller commands, from the record or heartbeat that
+// adds a machine to its loss or deletion, and what happens to the tasks on a machine that is gone.
+// Pure.
 #pragma once
 
 #include <cstdint>
@@ -10,44 +11,50 @@
 
 namespace mosspath::scheduler {
 
+// Adds, updates and removes the machines in the shared scheduler state. Not thread-safe.
 class MachineLifecycle {
  public:
-  // `state` outlives this object.
+  // `state` must outlive this object.
   explicit MachineLifecycle(SchedulerState& state) : state_(state) {}
 
-  // --- Machines come ---
+  // --- Adding and updating machines ---
 
   // Takes over a machine that a predecessor has recorded.
   void AddRecorded(const std::string& id, const MachineRecord& record);
-  // Returns the machine that sent the heartbeat, with its address brought up to date.
+  // Returns the machine that sent the heartbeat, after adding it if necessary and updating its
+  // address.
   cluster::Machine& FindOrAdd(const wire::Heartbeat& heartbeat, double now);
-  // The agent reports in this epoch. Whatever an earlier epoch ran has ended.
+  // Called with the epoch of the agent's heartbeat. All tasks of earlier epochs have ended,
+  // so a new epoch removes their allocations.
   void OnAgentEpoch(cluster::Machine& machine, uint64_t agent_epoch, double now);
-  // It is known what is on the machine, or that nothing is.
+  // Called when the tasks on the machine are determined, or when nothing can run there.
   void OnMachineReconciled(cluster::Machine& machine);
-  // The same for the reconciliations that wait for the machine, whether it exists or not: tasks
-  // that were found on none of their machines wait again.
+  // Ends the wait of all reconciliations for the machine, which may be unknown. When a
+  // reconciliation waits for no further machine, its tasks that were found on none become pending.
   void EndReconciliations(const std::string& machine);
-  // The machine's record has become durable at this revision of the store.
+  // Called when the machine's record has become durable at this store revision. The revision serves
+  // as the machine's new fencing token if the machine needs one.
   void OnRecordDurable(cluster::Machine& machine, uint64_t revision);
-  // The machine's heartbeats arrive, but what it is answered seems not to reach it. A heartbeat
-  // proves nothing about the way back, and a single answer may be lost on any day.
+  // Called when the machine's heartbeats arrive but the answers seem not to reach it. A heartbeat
+  // does not prove that answers arrive, and a single lost answer does not prove that they don't.
   void OnDeliverySuspected(cluster::Machine& machine);
 
-  // --- Machines go ---
+  // --- Removing machines ---
 
-  // Ends what was on machines whose agents' leases have expired, whoever renewed these last.
+  // Marks machines as lost whose agents' leases have expired, whichever controller renewed the
+  // leases last, and removes their allocations.
   void ExpireLeases(double now);
-  // The cloud has deleted the machine.
+  // Called when the cloud has deleted the machine.
   void OnMachineDeleted(const std::string& id, double now);
-  // Lets tasks wait again whose unanswered start no other machine can have taken.
+  // Makes withheld tasks pending again once no other machine can have executed their unanswered
+  // start.
   void ReleaseRuledOutStarts();
 
  private:
   void AddDelegated(const std::string& id, const MachineRecord& record, size_t shard);
   void OnLeaseExpired(cluster::Machine& machine, double now);
   void OnDelegatedMachineDeleted(cluster::Machines::iterator machine);
-  // Nothing is on the machine any more, though it has not reported that itself.
+  // Removes all allocations of a machine that runs nothing any more but has not reported so.
   void EndAllocations(cluster::Machine& machine, double now);
   void WithholdUnconfirmedStarts(const cluster::Machine& machine);
 
--- a/include/mosspath/scheduler/machine_pool.h
+++ b/include/mosspath/scheduler/machine_pool.h
@@ -1,4 +1,4 @@
-// The machines that one placement pass may use.
+// Defines the machines that one placement pass may use.
 #pragma once
 
 #include <vector>
@@ -7,11 +7,12 @@
 
 namespace mosspath::scheduler {
 
-// Schedulable machines: first those that this controller commands, then those that it delegates
-// to, each by name. The cluster state owns the machines; the pool is valid for one pass.
+// Schedulable machines: first the machines that this controller commands, then the machines of the
+// holders that it delegates to, each group sorted by name. The cluster state owns the machines; the
+// pool is valid for one pass.
 using MachinePool = std::vector<cluster::Machine*>;
 
-// CPUs of all schedulable machines, whoever commands them.
+// Returns the CPUs of all schedulable machines, whichever controller commands them.
 double SchedulableCpus(const cluster::ClusterState& cluster, double now);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -1,8 +1,9 @@
-// Whether, and how many, tasks of a job may be started now, before any machine is looked at. Pure.
+// Decides whether, and how many, tasks of a job may be started now, before any machine is
+// considered. Pure.
 //
-// A new leader must not start what an earlier leader may have started already. It knows that a job
-// was never started when it accepted the job itself, or when every controller marks jobs in the
-// durable record before their first start and the job has no such marker.
+// A new leader must not start a task that an earlier leader may have started already. A job was
+// certainly never started if it was accepted under the present leader, or if every controller
+// writes a durable start marker before a job's first start and the job has none.
 #pragma once
 
 #include <cstddef>
@@ -15,28 +16,29 @@
 
 namespace mosspath::scheduler {
 
+// Belongs to one term of leadership. Not thread-safe.
 class StartGate {
  public:
-  // Not all controllers write start markers.
+  // Means that not all controllers write start markers.
   static constexpr uint64_t kNever = ~uint64_t{0};
 
-  // The arguments outlive the gate. `token`: fencing token of this leadership.
+  // The references must outlive the gate. `token` is the fencing token of this term.
   StartGate(const cluster::QuotaUsage& quota, const Failover& failover, DurableState& durable_state,
             uint64_t token);
 
-  // Jobs of a later version than this are marked in the record before any of their tasks is
-  // started, whoever leads. A leader that has begun to write markers goes on after kNever: its view
-  // of who writes them is empty for a moment while it is loaded anew, and a successor would take
-  // what it started then for unstarted.
+  // Sets the version above which jobs get a durable start marker before any of their tasks is
+  // started, whichever controller leads. kNever does not stop a leader that has begun to write
+  // markers: the leader's view of which controllers write them is empty while the view is reloaded,
+  // and a successor would take a job that was started without a marker for unstarted.
   void SetMarkersSince(uint64_t version);
 
-  // No earlier leader can have started what waits of the job.
+  // Whether no earlier leader can have started the job's pending tasks.
   bool IsStartable(const jobs::Job& job) const;
-  // Whether the job's start marker, if it needs one, is durable. Requests it if not, so this is the
-  // last check before a start.
+  // Whether the job's start marker is durable or not needed. Otherwise requests that the marker is
+  // written, so callers check this last before a start.
   bool HasDurableStartMarker(jobs::Job& job);
-  // How many of the job's pending tasks may be placed now as far as its team's limit goes. A job in
-  // a crash loop runs one task at a time.
+  // Returns how many of the job's pending tasks the team's limit allows to be placed now. A crash
+  // looping job runs one task at a time.
   size_t PlaceableTasks(const jobs::Job& job) const;
 
  private:
@@ -50,9 +52,9 @@
   bool markers_in_use_ = false;
 };
 
-// Whether tasks of the job may be delegated to the holders of shards. What needs one view of all
-// machines stays with the leader: gangs, services, tasks that must be together or apart, and jobs
-// that fail everywhere.
+// Whether tasks of the job may be delegated to the holders of shards. Jobs that need one view of
+// all machines stay with the leader: gangs, services, jobs with tasks that must be in one zone or
+// spread over zones, and crash looping jobs.
 bool IsDelegable(const jobs::Job& job);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/time_points.h
+++ b/include/mosspath/scheduler/time_points.h
@@ -1,10 +1,10 @@
-// Points of the controller's steady clock that stand for the lack of one. Pure.
+// Sentinel values for points in time of the controller's steady clock.
 #pragma once
 
 namespace mosspath::scheduler {
 
-// A time in seconds before every event that a controller can have seen: "has not happened yet" in
-// comparisons that ask how long ago something happened.
+// A time in seconds that lies before every event that a controller can have seen. As the time of an
+// event it means "has not happened yet", so that the event's age compares as very large.
 inline constexpr double kLongAgo = -1e18;
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,11 +1,11 @@
-// Starts that may have been taken by another machine than they were meant for. A command batch goes
-// to an address. When its answer is lost and the machine that was meant is gone, whichever machine
-// was reached at that address may run the task, and nothing that is known of the machine that is
-// gone tells of it. Pure.
+// Starts that a machine other than the intended one may have executed. A command batch is sent to
+// an address. If its answer is lost and the intended machine is gone, another machine that has
+// reused the address may run the task. The records of the intended machine can't show that. Pure.
 //
-// Such a task waits until no other machine can have it: a list of the cloud, requested late enough
-// to show all machines that were up when the batch was sent, has none at that address, or each that
-// it has there has shown a token above the batch's, under which its own heartbeat has been taken in
+// Such a task is withheld until no other machine can run it. This is certain once the cloud's list
+// of machines, requested late enough to show all machines that were up when the batch was sent,
+// meets one of two conditions: no listed machine has that address, or each listed machine at that
+// address has confirmed a token above the batch's in a heartbeat that was reconciled
 // (docs/design.md, 16).
 #pragma once
 
@@ -21,12 +21,13 @@
 
 namespace mosspath::scheduler {
 
+// Tracks the withheld tasks. Not thread-safe. Times are in seconds.
 class UnconfirmedStarts {
  public:
   struct UnconfirmedStart {
-    std::string machine;  // that was meant
-    std::string address;  // that the batch was sent to
-    uint64_t token = 0;   // that the batch was sent under
+    std::string machine;  // intended machine
+    std::string address;  // destination of the batch
+    uint64_t token = 0;   // fencing token of the batch
     double sent_at = 0;
   };
 
@@ -35,27 +36,28 @@
   void Add(const wire::TaskId& task, UnconfirmedStart start) { starts_[task] = std::move(start); }
   void Forget(const wire::TaskId& task) { starts_.erase(task); }
   bool empty() const { return starts_.empty(); }
-  // The cloud's list of all machines, requested at `requested_at`. Older lists than the last one
-  // are ignored.
+  // Takes the cloud's list of all machines, requested at `requested_at`. A list that was requested
+  // before the last one is ignored.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed, double requested_at);
-  // Removes and returns the tasks that no other machine can have. Adds to `suspects` the machines
-  // that must show a higher token before more tasks can be ruled out.
+  // Removes and returns the tasks that no other machine can run. Adds to `suspects` the machines
+  // that must confirm a higher token before further tasks can be ruled out.
   std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& cluster,
                                          std::set<std::string>& suspects);
 
  private:
   struct ListedAddress {
-    std::string address;  // empty if the cloud doesn't say
+    std::string address;  // empty if the cloud does not report the address
     std::string machine;
   };
   bool MayHaveRunElsewhere(const UnconfirmedStart& start, const cluster::ClusterState& cluster,
                            std::set<std::string>& suspects) const;
-  static bool MayHaveTaken(const UnconfirmedStart& start, const ListedAddress& listed,
-                           const cluster::ClusterState& cluster, std::set<std::string>& suspects);
+  static bool MayHaveExecuted(const UnconfirmedStart& start, const ListedAddress& listed,
+                              const cluster::ClusterState& cluster,
+                              std::set<std::string>& suspects);
 
   const double list_lag_s_;
   std::map<wire::TaskId, UnconfirmedStart> starts_;
-  // Of the last list.
+  // From the last list.
   double list_requested_at_ = kLongAgo;
   std::vector<ListedAddress> listed_machines_;
 };
--- a/src/scheduler/activity_tracker.cc
+++ b/src/scheduler/activity_tracker.cc
@@ -8,7 +8,7 @@
 
 constexpr size_t kMaxIncidents = 20;
 constexpr size_t kMaxClasses = 100;
-// Leases from one log line with the load to the next.
+// Agent leases from one log line with the load to the next.
 constexpr double kLogIntervalLeases = 0.5;
 
 }  // namespace
@@ -24,7 +24,8 @@
 }
 
 void ActivityTracker::Record(const jobs::Job& job, double LastActivity::*event, double now) {
-  // Teams are those of the settings, but users choose the names of classes.
+  // The settings name all teams, but users choose class names freely, so the number of classes
+  // needs a limit.
   if (classes_.size() >= kMaxClasses && !classes_.contains(job.spec.job_class)) {
     classes_.erase(classes_.begin());
   }
--- a/src/scheduler/command_outcome_handler.cc
+++ b/src/scheduler/command_outcome_handler.cc
@@ -18,16 +18,16 @@
   Machine& machine = found->second;
   machine.command_in_flight = false;
   if (is_probe) return heartbeats_.OnProbeAnswer(machine, batch, outcome, heartbeat, now);
-  const bool answered_by_addressee =
+  const bool answered_by_target =
       heartbeat != nullptr && !from_other_machine && heartbeat->agent_epoch == batch.agent_epoch;
-  if (outcome == CommandOutcome::kExecuted && !answered_by_addressee) {
-    outcome = CommandOutcome::kUndetermined;  // the answer contradicts itself, so it is none
+  if (outcome == CommandOutcome::kExecuted && !answered_by_target) {
+    outcome = CommandOutcome::kUndetermined;  // the answer is inconsistent, so it is discarded
   }
   for (const wire::Command& command : batch.commands) {
     if (command.type != wire::CommandType::kStart) continue;
     OnStartOutcome(machine, command, outcome, heartbeat, now);
   }
-  // Answers to commands don't renew the lease, but are as good as heartbeats otherwise.
+  // An answer to commands does not renew the lease, but otherwise counts like a periodic heartbeat.
   if (outcome != CommandOutcome::kExecuted ||
       !machine.IsNewer(heartbeat->agent_epoch, heartbeat->sequence) ||
       heartbeat->fencing_token != machine.fencing_token) {
@@ -47,7 +47,7 @@
   if (allocation.state != Allocation::State::kStartSent) return;
   switch (outcome) {
     case CommandOutcome::kExecuted:
-      // The heartbeat that came with the answer tells of the start already.
+      // The heartbeat in the answer already reflects the start.
       allocation.start_sent_sequence = heartbeat->sequence - 1;
       return;
     case CommandOutcome::kRefused:
--- a/src/scheduler/command_planner.cc
+++ b/src/scheduler/command_planner.cc
@@ -17,9 +17,9 @@
 
 // Keeps an answer to an agent well below the 64 KiB that a line may have.
 constexpr size_t kMaxCommands = 400;
-// Heartbeat intervals without contact, after which no start goes straight to a machine.
+// Heartbeat intervals without contact, after which no start is sent directly to a machine.
 constexpr double kMaxContactAgeHeartbeats = 1.5;
-// The value of Machine::unheeded_token while no answer is suspected to be without effect.
+// The value of Machine::unheeded_token while answers are not suspected to have no effect.
 constexpr uint64_t kNoUnheededToken = 0;
 
 bool IsUnconfirmedStart(const Allocation& allocation) {
@@ -32,7 +32,7 @@
 }
 
 // Whether a start that got no answer was sent under the machine's present token.
-bool HasUnconfirmedStartUnderToken(const Machine& machine) {
+bool HasUnconfirmedStartUnderCurrentToken(const Machine& machine) {
   return std::any_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     return IsUnconfirmedStart(it.second) && it.second.start_sent_token == machine.fencing_token;
   });
@@ -42,15 +42,15 @@
 
 // ---------------------------------------------------------------------------- answers
 
-std::vector<wire::Command> CommandPlanner::TakeAnswer(Machine& machine, double now) {
+std::vector<wire::Command> CommandPlanner::TakeHeartbeatCommands(Machine& machine, double now) {
   std::vector<wire::Command> commands;
   const bool may_start = machine.record_durable && state_.cluster.IsSchedulable(machine, now);
-  // What ends attempts goes first.
+  // Commands that end attempts are added first.
   for (auto& [key, allocation] : machine.allocations) {
     if (commands.size() >= kMaxCommands) break;
     const auto& [task, attempt] = key;
     if (allocation.exited()) {
-      if (MustKeep(task, allocation)) continue;
+      if (AwaitsDurableCompletion(task, allocation)) continue;
       allocation.forget_sent_sequence = machine.heartbeat_sequence;
       commands.push_back({wire::CommandType::kForget, task, attempt, 0});
     } else if (allocation.stop_requested && allocation.state != Allocation::State::kPlanned) {
@@ -69,8 +69,9 @@
   return commands;
 }
 
-// An attempt that succeeded is kept by its agent until the completion is durable.
-bool CommandPlanner::MustKeep(const wire::TaskId& task, const Allocation& allocation) const {
+// Whether the agent must keep a successful attempt because its completion is not durable yet.
+bool CommandPlanner::AwaitsDurableCompletion(const wire::TaskId& task,
+                                             const Allocation& allocation) const {
   if (allocation.orphaned || allocation.exit_reason != wire::ExitReason::kSucceeded) return false;
   const Job* job = state_.cluster.FindJob(task.job);
   return job != nullptr && !job->tasks[task.index].durable;
@@ -140,11 +141,12 @@
     const bool answers_ignored = machine.unheeded_token == machine.fencing_token;
     if (!machine.has_unconfirmed_starts && !answers_ignored) continue;
     machine.has_unconfirmed_starts = HasUnconfirmedStart(machine);
-    if (answers_ignored || HasUnconfirmedStartUnderToken(machine)) RaiseToken(machine);
+    if (answers_ignored || HasUnconfirmedStartUnderCurrentToken(machine)) RaiseToken(machine);
   }
 }
 
-// Asks for a write of the machine's record if there was none since the present token was given.
+// Requests a write of the machine's record if nothing was written since the present token was
+// issued.
 void CommandPlanner::RaiseToken(Machine& machine) {
   const uint64_t newest_revision = state_.durable_state.newest_revision();
   if (newest_revision <= machine.fencing_token) {
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -11,17 +11,17 @@
 
 namespace {
 
-// Heartbeat intervals without contact after which a machine counts as silent.
+// Heartbeat intervals without contact, after which a machine counts as silent.
 constexpr double kSilentHeartbeats = 2;
-// Of the machines that were heard, the share that must be silent for a partition is more than
-// 1 - 1 / kKnownPerHeard.
-constexpr size_t kKnownPerHeard = 4;
-// A partition shows on no fewer machines than this.
-constexpr size_t kMinKnownMachines = 2;
-// Heartbeat intervals that a partition must have lasted.
+// A partition is assumed if no more than one in this many counted machines is reachable.
+constexpr size_t kMachinesPerReachable = 4;
+// With fewer counted machines, no partition is assumed.
+constexpr size_t kMinMachinesForPartition = 2;
+// Heartbeat intervals for which the machines must stay unreachable before a partition is reported.
 constexpr double kMinPartitionHeartbeats = 0.5;
 constexpr size_t kMaxProbesInFlight = 128;
-// The share of the machines of a takeover that the others needn't wait for.
+// The largest share of the machines of a recovery, or of a reconciliation, that is deleted so that
+// it completes.
 constexpr double kMaxStragglerShare = 0.03;
 
 }  // namespace
@@ -30,7 +30,7 @@
                    double now)
     : began_at_(now),
       heartbeat_s_(settings.heartbeat_s),
-      search_s_(derived.agents_try_all_s),
+      agents_try_all_s_(derived.agents_try_all_s),
       probe_interval_s_(derived.probe_answer_s),
       agents_find_leader_s_(derived.agents_find_leader_s),
       agent_suspect_s_(derived.agent_suspect_s),
@@ -42,15 +42,15 @@
   machine.blocks_recovery = recovery_waits;
   if (!recovery_waits) return;
   machine.lease_renewed_at = began_at_;
-  ++machines_left_;
-  ++machines_total_;
+  ++blocking_machines_;
+  ++total_blocking_machines_;
 }
 
 bool Failover::OnMachineReconciled(Machine& machine) {
   if (!machine.awaits_recovery) return false;
   machine.awaits_recovery = false;
   if (!std::exchange(machine.blocks_recovery, false)) return false;
-  if (--machines_left_ > 0 || !recovery_complete()) return false;
+  if (--blocking_machines_ > 0 || !recovery_complete()) return false;
   spdlog::info("scheduler: recovery_complete cause=machines_known");
   return true;
 }
@@ -65,8 +65,8 @@
         machine.recorded_address.empty()) {
       continue;
     }
-    // A machine is probed until its agent has found us, so that what ends there is known and
-    // refilled meanwhile.
+    // A machine is probed until its agent has found this leader. Without probes, the leader would
+    // neither see that tasks have ended there nor fill their place.
     const bool due = machine.token_confirmed
                          ? !HasReported(machine) && now - machine.last_contact_at > heartbeat_s_
                          : machine.awaits_recovery && now >= machine.next_probe_at;
@@ -101,24 +101,27 @@
 
 // ---------------------------------------------------------------------------- silent machines
 
-// A new leader starts nothing of earlier jobs before it has heard from every machine that it took
-// over. At any time some of many machines have just been reclaimed by the cloud, so once nearly all
-// have been heard the others are deleted: that is answered at once, and rules them out.
+// A new leader starts no task of an earlier job before every machine that it took over is
+// reconciled. In a large cluster, the cloud has always just reclaimed a few machines. Once nearly
+// all machines are reconciled, the leader deletes the rest: the cloud answers at once, and a
+// deleted machine runs nothing.
 std::vector<std::string> Failover::Stragglers(const cluster::Machines& machines,
                                               const TaskReconciliation& reconciliation,
                                               double now) const {
   std::vector<std::string> stragglers;
-  const bool few_left = static_cast<double>(machines_left_) <=
-                        std::max(1.0, kMaxStragglerShare * static_cast<double>(machines_total_));
+  const bool few_remaining =
+      static_cast<double>(blocking_machines_) <=
+      std::max(1.0, kMaxStragglerShare * static_cast<double>(total_blocking_machines_));
   const bool agents_had_time = now - unstalled_since_ > agents_find_leader_s_;
   for (const auto& [id, machine] : machines) {
     if (machine.deleting || !machine.awaits_recovery) continue;
     if (now - machine.last_contact_at <= agents_find_leader_s_) continue;
     const bool nearly_complete = machine.blocks_recovery
-                                     ? few_left
+                                     ? few_remaining
                                      : reconciliation.IsNearlyComplete(id, kMaxStragglerShare);
-    // Its heartbeats arrive, but answers don't reach it. While that is new they may yet. What it
-    // had has ended once that has lasted for a lease.
+    // The machine's heartbeats arrive, but the leader's answers seem not to reach it. A later
+    // answer may still do so. After a whole lease without an answer, the machine's tasks have
+    // ended.
     if (machine.token_unconfirmed_since > 0) {
       const double unconfirmed_s = machine.TokenUnconfirmedFor(now);
       if (unconfirmed_s > agent_lease_over_s_ ||
@@ -127,23 +130,23 @@
       }
       continue;
     }
-    const bool given_up =
+    const bool unresponsive =
         (machine.blocks_recovery && agents_had_time) || machine.failed_probes >= kMaxFailedProbes;
-    if (nearly_complete && given_up) stragglers.push_back(id);
+    if (nearly_complete && unresponsive) stragglers.push_back(id);
   }
   return stragglers;
 }
 
 bool Failover::IsPartitionedFromAgents(const cluster::Machines& machines, double now) {
-  size_t known = 0;
-  size_t heard = 0;
+  size_t counted = 0;
+  size_t reachable = 0;
   for (const auto& [id, machine] : machines) {
     if (!CountsForPartition(machine, now)) continue;
-    ++known;
+    ++counted;
     const bool silent = now - machine.last_contact_at >= kSilentHeartbeats * heartbeat_s_;
-    heard += HasReported(machine) && !silent ? 1 : 0;
+    reachable += HasReported(machine) && !silent ? 1 : 0;
   }
-  if (known < kMinKnownMachines || heard * kKnownPerHeard > known) {
+  if (counted < kMinMachinesForPartition || reachable * kMachinesPerReachable > counted) {
     partitioned_since_.reset();
     return false;
   }
@@ -153,19 +156,19 @@
 
 bool Failover::CountsForPartition(const Machine& machine, double now) const {
   if (machine.lost || machine.deleting || machine.missing_from_list || machine.failed) return false;
-  // A holder that is gone couldn't reach the machine either.
+  // The machine belonged to a holder that is gone, which may have been unable to reach it as well.
   if (machine.awaits_recovery && !machine.blocks_recovery) return false;
   const bool reported = HasReported(machine);
   if (!reported && (machine.token_confirmed || !machine.awaits_recovery)) return false;
-  // It has just found us, and may not have had the time to show our token.
+  // The agent has just found this leader, and may not have had time to confirm its token.
   if (!machine.token_confirmed && machine.token_unconfirmed_since > 0 &&
       machine.TokenUnconfirmedFor(now) <= agent_suspect_s_) {
     return false;
   }
-  // A new leader that probes in vain can't do its work either. What answered a probe is within
-  // reach, though its agent may take long to find the leader, as it tries the controllers one by
-  // one.
-  const bool agents_tried_all = now - unstalled_since_ > search_s_;
+  // Failed probes count as well: a new leader that reaches no agent must detect the partition too.
+  // A machine that has answered a probe is reachable, even if its agent takes long to find the
+  // leader, because agents try the controllers one by one.
+  const bool agents_tried_all = now - unstalled_since_ > agents_try_all_s_;
   return reported || agents_tried_all || machine.failed_probes >= kMaxFailedProbes;
 }
 
--- a/src/scheduler/heartbeat_handler.cc
+++ b/src/scheduler/heartbeat_handler.cc
@@ -11,16 +11,17 @@
 
 using cluster::Machine;
 
-// Whether another controller commands the machine, or it is gone.
+// Whether another controller commands the machine, or the machine is deleted.
 bool HeartbeatHandler::IsCommandedElsewhere(const std::string& machine) const {
   if (state_.provisioning.is_deleted(machine)) return true;
   if (state_.cluster.delegated_machines.contains(machine)) return true;
   return !state_.role->AcceptsUnknownMachines() && !state_.cluster.machines.contains(machine);
 }
 
-// Whether anything can be concluded from the heartbeat. A token above all that we gave is a later
-// leader's, and one below the machine's may be another machine's that had its address. The answer
-// to a late heartbeat could never be used, and a late copy tells nothing, not even an address.
+// Whether the heartbeat is valid evidence. A token above all that this controller has issued
+// belongs to a later leader. A token above the machine's own may still be one that was issued to
+// another machine at the same address. A delayed or duplicate heartbeat is not evidence of
+// anything, not even of the address, and its sender could not use the answer.
 bool HeartbeatHandler::IsUsable(const wire::Heartbeat& heartbeat) const {
   const uint64_t newest_token = state_.durable_state.newest_revision();
   const auto it = state_.cluster.machines.find(heartbeat.machine);
@@ -39,9 +40,10 @@
   machine.heartbeat_sequence = heartbeat.sequence;
   machine.lease_renewed_at = now;
   machine.lost = false;
-  // A heartbeat made before our token was seen may be late, or an older leader's answer may still
-  // be on its way: nothing is concluded from it, not even that answers reach the machine. A machine
-  // whose answers were lost kept a takeover waiting for as long as its heartbeats came.
+  // A heartbeat under an older token may have been delayed, or an earlier leader's answer to the
+  // agent may still be in flight. Nothing is concluded from such a heartbeat, not even that answers
+  // reach the machine: a machine whose answers were lost blocked a recovery for as long as its
+  // heartbeats arrived.
   if (heartbeat.fencing_token != machine.fencing_token) {
     if (machine.token_unconfirmed_since <= 0) machine.token_unconfirmed_since = now;
     return {true, machine.fencing_token, {}};
@@ -49,14 +51,14 @@
   machine.missing_from_list = false;
   OnReclaimNotice(machine, heartbeat, now);
   if (!machine.token_confirmed) state_.cluster.changed_since_pass = true;
-  OnTokenShown(machine, now);
+  OnTokenConfirmed(machine, now);
   reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kPeriodic, now);
   lifecycle_.OnMachineReconciled(machine);
   state_.placer.Refill(machine, now);
-  return {true, machine.fencing_token, commands_.TakeAnswer(machine, now)};
+  return {true, machine.fencing_token, commands_.TakeHeartbeatCommands(machine, now)};
 }
 
-void HeartbeatHandler::OnTokenShown(Machine& machine, double now) {
+void HeartbeatHandler::OnTokenConfirmed(Machine& machine, double now) {
   machine.last_contact_at = now;
   machine.token_unconfirmed_since = 0;
   machine.token_confirmed = true;
@@ -88,7 +90,7 @@
     return;
   }
   lifecycle_.FindOrAdd(*heartbeat, now);
-  TakeCommandAnswer(machine, *heartbeat, now);
+  OnCommandAnswer(machine, *heartbeat, now);
 }
 
 void HeartbeatHandler::OnUnexpectedMachine(const wire::Heartbeat& heartbeat, double now) {
@@ -97,15 +99,15 @@
   Machine& machine = lifecycle_.FindOrAdd(heartbeat, now);
   if (heartbeat.fencing_token < machine.fencing_token) return;
   machine.fencing_token = heartbeat.fencing_token;
-  TakeCommandAnswer(machine, heartbeat, now);
+  OnCommandAnswer(machine, heartbeat, now);
 }
 
 // Unlike a periodic heartbeat, the answer to a command batch doesn't renew the lease.
-void HeartbeatHandler::TakeCommandAnswer(Machine& machine, const wire::Heartbeat& heartbeat,
-                                         double now) {
+void HeartbeatHandler::OnCommandAnswer(Machine& machine, const wire::Heartbeat& heartbeat,
+                                       double now) {
   lifecycle_.OnAgentEpoch(machine, heartbeat.agent_epoch, now);
   machine.heartbeat_sequence = heartbeat.sequence;
-  OnTokenShown(machine, now);
+  OnTokenConfirmed(machine, now);
   state_.cluster.changed_since_pass = true;
   reconciler_.Reconcile(machine, heartbeat, HeartbeatKind::kCommandAnswer, now);
   lifecycle_.OnMachineReconciled(machine);
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -11,22 +11,27 @@
 
 namespace {
 
-// Timed tasks of a job, before others are compared with their mean.
+// Timed tasks of a job before further tasks of the job are compared with their mean run time.
 constexpr uint32_t kMinTimedTasksOfJob = 3;
-// Timed tasks on a machine, before it is judged; also over how many its slowdown is averaged.
+// Timed tasks on a machine before it can be quarantined as slow; its slowdown is a moving average
+// over as many.
 constexpr int kMinTimedTasksOnMachine = 4;
-// How many times slower than others a machine is when it counts as slow.
+// A machine counts as slow if its tasks run more than this many times as long as elsewhere.
 constexpr double kSlowFactor = 2.5;
-// How many times the usual run time a task must have to run yet, to be restarted elsewhere.
+// A task is restarted elsewhere if its expected remaining run time exceeds its job's mean run time
+// by this factor.
 constexpr double kRestartFactor = 1.5;
-// Failed tasks in a row, before a machine counts as faulty.
+// Consecutive failed tasks before a machine counts as faulty.
 constexpr int kFailuresOfFaultyMachine = 3;
-// Different jobs that must have failed on a machine, unless the last has succeeded elsewhere.
+// Different jobs that must have failed on a faulty machine, unless other tasks of the last
+// failed job have succeeded.
 constexpr size_t kMinFailedJobs = 2;
-// Failed tasks of a job in a row, and machines that they failed on, before it is crash looping.
+// Consecutive failed tasks of a job, and machines that they failed on, before it counts as crash
+// looping.
 constexpr uint32_t kFailuresOfCrashLoop = 4;
 constexpr size_t kMinMachinesOfCrashLoop = 2;
-// The pause between retries of a crash looping job: agent leases, growing by the factor each time.
+// The backoff between retries of a crash looping job: its upper limit in agent leases, and its
+// growth factor per retry.
 constexpr double kMaxRetryPauseLeases = 16;
 constexpr double kRetryPauseGrowth = 2;
 
@@ -45,7 +50,7 @@
       verdict = Verdict::kMachineSlow;
     }
   }
-  // The run times of a slow machine would make the others look fast.
+  // The run times of a slow machine would raise the mean that other machines are compared with.
   if (machine.quarantined) return verdict;
   job.timed_run_s += ran_s;
   ++job.timed_tasks;
@@ -61,27 +66,30 @@
       job.consecutive_failures >= kFailuresOfCrashLoop) {
     job.crash_looping = true;
     verdict = Verdict::kJobCrashLooping;
-    // No machine is blamed for the job, also not for failures before this was found.
+    // Failures of a crash looping job count against no machine, including failures before the crash
+    // loop was detected.
     for (const auto& [id, failed_at] : job.failed_on) {
       if (const auto it = machines.find(id); it != machines.end()) {
         it->second.errors_by_job.erase(job.spec.id);
       }
     }
   }
-  if (!job.crash_looping) return BlameMachine(machine, job);
-  // The job is retried ever more rarely, one task at a time, once what was placed before has ended.
+  if (!job.crash_looping) return CountFailureAgainstMachine(machine, job);
+  // Once the tasks that are already placed have ended, the job is retried one task at a time, with
+  // exponential backoff.
   if (job.placed() == 0) ++job.retries;
   job.not_before = now + agent_lease_s_ * std::min(kMaxRetryPauseLeases,
                                                    std::pow(kRetryPauseGrowth, job.retries));
   return verdict;
 }
 
-MachineHealth::Verdict MachineHealth::BlameMachine(Machine& machine, const Job& job) const {
+MachineHealth::Verdict MachineHealth::CountFailureAgainstMachine(Machine& machine,
+                                                                 const Job& job) const {
   ++machine.errors_by_job[job.spec.id];
   int failures = 0;
   for (const auto& [id, errors] : machine.errors_by_job) failures += errors;
-  const bool others_do_better = job.done > 0 || machine.errors_by_job.size() >= kMinFailedJobs;
-  if (machine.quarantined || failures < kFailuresOfFaultyMachine || !others_do_better) {
+  const bool machine_suspected = job.done > 0 || machine.errors_by_job.size() >= kMinFailedJobs;
+  if (machine.quarantined || failures < kFailuresOfFaultyMachine || !machine_suspected) {
     return Verdict::kNone;
   }
   machine.quarantined = true;
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -15,7 +15,7 @@
 using cluster::Allocation;
 using cluster::Machine;
 
-// ---------------------------------------------------------------------------- machines come
+// ---------------------------------------------------------------------------- adding machines
 
 void MachineLifecycle::AddRecorded(const std::string& id, const MachineRecord& record) {
   if (const ShardLeases::Lease* lease = state_.shard_leases.Find(record.lease)) {
@@ -28,14 +28,14 @@
   machine.fencing_token = state_.token;
   machine.recorded_address = record.address;
   state_.failover.AddMachine(machine);
-  // A holder of the past, whose lease we don't see, commands machines for as long as its view of
-  // the store is fresh.
+  // The record names a lease that this leader does not know. Its holder may go on commanding
+  // machines until its view of the store is too old.
   if (record.lease != kNoLease) machine.lease_renewed_at += state_.derived.shard_hold_s;
   machine.expired_lease = record.lease;
 }
 
-// The machine's holder reports what is on it. It is never one of our machines as well: a machine's
-// record stands in one pack.
+// The machine's holder reports the tasks on it. The machine can't be in `machines` as well, because
+// each machine has its record in exactly one pack.
 void MachineLifecycle::AddDelegated(const std::string& id, const MachineRecord& record,
                                     size_t shard) {
   Machine& machine = state_.cluster.delegated_machines[id];
@@ -51,7 +51,8 @@
 Machine& MachineLifecycle::FindOrAdd(const wire::Heartbeat& heartbeat, double now) {
   Machine& machine = state_.cluster.machines[heartbeat.machine];
   if (machine.address.empty()) {
-    // One that comes from another controller has a token already, higher than that one's.
+    // A machine that came from another controller already has a token, higher than that of the
+    // other controller.
     if (machine.id.empty()) machine.fencing_token = state_.token;
     machine.id = heartbeat.machine;
     machine.type = heartbeat.type;
@@ -73,12 +74,12 @@
   const bool had_epoch = machine.agent_epoch != 0;
   const bool lease_was_valid = now - machine.lease_renewed_at < state_.settings.agent_lease_s;
   if (had_epoch && machine.token_confirmed && !machine.lost && lease_was_valid) {
-    // Its lease has expired though it was answered all along.
-    spdlog::info("scheduler: epoch_began_though_answered machine={}", machine.id);
+    // The agent's lease has expired although all of its heartbeats were answered.
+    spdlog::info("scheduler: unexpected_agent_epoch machine={}", machine.id);
     OnDeliverySuspected(machine);
   }
-  // The lease of the earlier epoch has expired: the agent has killed all that it had, and refuses
-  // late commands that were meant for that epoch.
+  // The lease of the earlier epoch has expired: the agent has killed all of its tasks, and refuses
+  // late commands that were sent for that epoch.
   for (auto it = machine.allocations.begin(); it != machine.allocations.end();) {
     const auto next = std::next(it);
     if (it->second.state != Allocation::State::kPlanned) {
@@ -90,9 +91,10 @@
     spdlog::info("scheduler: agent_epoch_began machine={} epoch={}", machine.id, agent_epoch);
   }
   machine.agent_epoch = agent_epoch;
-  // An epoch lasts a lease from its beginning even if its heartbeats are never answered. An epoch
-  // that was learned of from the answer to a command batch took starts and outlived the time that
-  // was counted from the last answer: tasks ran twice.
+  // An epoch lasts for a whole lease, even if none of its heartbeats is answered, so its expiry
+  // must not be counted from the last heartbeat answer alone. An epoch that was first seen in the
+  // answer to a command batch executed starts, and outlived the expiry that was counted that way:
+  // tasks ran twice.
   machine.epoch_seen_at = now;
 }
 
@@ -128,7 +130,7 @@
   state_.role->OnDeliverySuspected(machine);
 }
 
-// ---------------------------------------------------------------------------- machines go
+// ---------------------------------------------------------------------------- removing machines
 
 void MachineLifecycle::ExpireLeases(double now) {
   cluster::Machines& machines = state_.cluster.machines;
@@ -182,14 +184,15 @@
 }
 
 void MachineLifecycle::EndAllocations(Machine& machine, double now) {
-  // A holder receives no machine lists; docs/sharding.md describes what that leaves open.
+  // A holder receives no machine lists, so it can't rule out such starts; docs/sharding.md
+  // describes the remaining risk.
   if (state_.role->ReceivesMachineLists()) WithholdUnconfirmedStarts(machine);
   state_.cluster.RemoveAllAllocations(machine, now);
   ReleaseRuledOutStarts();
 }
 
-// A start that went straight to the agent and was not answered may have been taken by another
-// machine that has the address now: a task that was started elsewhere at once ran twice.
+// A start that was sent directly to an agent and got no answer may have been executed by another
+// machine that has reused the address. A task that was restarted elsewhere at once ran twice.
 void MachineLifecycle::WithholdUnconfirmedStarts(const Machine& machine) {
   for (const auto& [key, allocation] : machine.allocations) {
     const wire::TaskId& task = key.first;
--- a/src/scheduler/start_gate.cc
+++ b/src/scheduler/start_gate.cc
@@ -15,7 +15,8 @@
   markers_in_use_ = markers_in_use_ || version != kNever;
 }
 
-// Urgent work isn't marked: it would wait for the write each time, and hardly ever waits for room.
+// High-priority jobs get no marker: each would have to wait for the write, and such jobs hardly
+// ever have to wait for room on machines.
 bool StartGate::NeedsStartMarker(const Job& job) const {
   return job.spec.priority < wire::Priority::kHigh && job.version > markers_since_;
 }
--- a/src/scheduler/unconfirmed_starts.cc
+++ b/src/scheduler/unconfirmed_starts.cc
@@ -3,7 +3,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// The cloud's list of machines may lag by this many times its usual lag.
+// The cloud's list of machines may lag by up to this many times its usual lag.
 constexpr double kMaxListLagFactor = 2;
 
 }  // namespace
@@ -25,24 +25,24 @@
 bool UnconfirmedStarts::MayHaveRunElsewhere(const UnconfirmedStart& start,
                                             const cluster::ClusterState& cluster,
                                             std::set<std::string>& suspects) const {
-  // A list that was requested later shows all that was up when the batch was sent, unless it is
-  // gone.
+  // A list that is requested after the maximum lag shows all machines that were up when the batch
+  // was sent, except those that are gone.
   const double max_lag_s = kMaxListLagFactor * list_lag_s_ * (1 + 2 * config::kMaxClockDrift);
   if (list_requested_at_ < start.sent_at + max_lag_s) return true;
   bool possible = false;
   for (const ListedAddress& listed : listed_machines_) {
-    possible = MayHaveTaken(start, listed, cluster, suspects) || possible;
+    possible = MayHaveExecuted(start, listed, cluster, suspects) || possible;
   }
   return possible;
 }
 
-// Whether the listed machine may have taken the start instead of the one that was meant.
-bool UnconfirmedStarts::MayHaveTaken(const UnconfirmedStart& start, const ListedAddress& listed,
-                                     const cluster::ClusterState& cluster,
-                                     std::set<std::string>& suspects) {
+// Whether the listed machine may have executed the start instead of the intended machine.
+bool UnconfirmedStarts::MayHaveExecuted(const UnconfirmedStart& start, const ListedAddress& listed,
+                                        const cluster::ClusterState& cluster,
+                                        std::set<std::string>& suspects) {
   if (listed.address != start.address && !listed.address.empty()) return false;
-  // One that another controller commands by now was handed over under a later token.
   if (listed.machine == start.machine) return false;
+  // A machine that another controller commands by now was handed over under a later token.
   if (cluster.delegated_machines.contains(listed.machine)) return false;
   const auto it = cluster.machines.find(listed.machine);
   if (it == cluster.machines.end()) return true;
--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -1,4 +1,4 @@
-// A new leader takes over the machines and tasks of the one before it.
+// Tests how a new leader takes over the machines and tasks of its predecessor.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,9 +11,10 @@
 
 using FailoverTest = SchedulerTest;
 
-// A third of the machines has died with the leader. The new leader probes all, a bounded number at
-// once and the silent ones at bounded intervals; meanwhile it starts new jobs, and earlier ones
-// once no lease can be valid any more.
+// A third of the machines dies with the leader. The new leader probes all machines, with a bounded
+// number of probes in flight, and probes silent machines again at bounded intervals. Meanwhile
+// it may start tasks of new jobs. It starts tasks of earlier jobs only once no agent lease can be
+// valid any more.
 TEST_F(FailoverTest, FailoverAfterAThirdOfTheMachinesDied) {
   constexpr size_t kMachines = 900;
   const auto dead = [](const std::string& id) { return id.back() % 3 == 0; };
@@ -49,8 +50,8 @@
   EXPECT_LE(static_cast<double>(failed_probes),
             kMachines / 2.0 * (recovered_at / derived_.probe_answer_s + 1));
   scheduler_.AddJob(Job(2, 5, 1, wire::Priority::kNormal), 11, recovered_at);
-  // No heartbeat came for a whole lease, and commands renew none: a machine whose heartbeat comes
-  // now is given tasks at once.
+  // No heartbeat has arrived for a whole lease, and commands do not renew leases. A machine whose
+  // heartbeat arrives now gets tasks at once.
   const auto send_heartbeat = [&](double now) {
     return scheduler_.OnHeartbeat(NextHeartbeat("vm-1001", 2), now);
   };
@@ -61,8 +62,9 @@
   EXPECT_GT(scheduler_.Counts("req-1").running + scheduler_.Counts("req-2").running, 0u);
 }
 
-// After a failover a few of many machines are always gone already; the new leader started no task
-// of earlier jobs for up to 17 s because of them. It deletes the few that sent no heartbeat.
+// Guards against a delay of recovery: in a large cluster a few machines are always gone after a
+// failover, and a new leader that waited for them started no task of earlier jobs for up to 17 s.
+// The leader deletes the few machines that send no heartbeat.
 TEST_F(FailoverTest, ANewLeaderDeletesTheFewMachinesWithoutHeartbeats) {
   wire::Json record = wire::Json::object();
   for (int i = 0; i < 100; ++i) record["vm-" + std::to_string(100 + i)] = "a";
@@ -71,7 +73,7 @@
                     0);  // keeps all machines in demand
   for (int i = 0; i < 60; ++i) SendHeartbeat("vm-" + std::to_string(100 + i), 1);
   EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s + 1)
-                  .scale_in.empty());  // many: more likely a partition
+                  .scale_in.empty());  // too many: more likely a partition
   for (int i = 60; i < 98; ++i) SendHeartbeat("vm-" + std::to_string(100 + i), 2);
   EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s - 0.1)
                   .scale_in.empty());  // their heartbeats may still come
@@ -83,14 +85,15 @@
   EXPECT_TRUE(scheduler_.recovery_complete());
 }
 
-// Agents took 4 to 9 s to find a new leader, as their heartbeats to the one that was gone had to
-// time out first. The new leader probes the machines instead, and goes by the answers.
+// Guards against a slow recovery: agents took 4 to 9 s to find a new leader, because their
+// heartbeats to the old leader had to time out first. The new leader probes the machines instead
+// and reconciles them from the answers.
 TEST_F(FailoverTest, ANewLeaderProbesTheMachinesItTookOver) {
   scheduler_.LoadMachinesPack(
       0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "east"}}, 1);
   scheduler_.AddJob(Job(1, 2, 1, wire::Priority::kHigh), 9, 0);
   const auto batches = scheduler_.TakeCommands(0);
-  ASSERT_EQ(batches.size(), 2u);  // the third one's entry has no address
+  ASSERT_EQ(batches.size(), 2u);  // the record of vm-3 has no address
   EXPECT_TRUE(scheduler_.TakeCommands(0).empty());
   const auto answer = [&](const CommandBatch& batch, uint64_t agent_epoch, CommandOutcome outcome) {
     wire::Heartbeat heartbeat = NextHeartbeat(batch.machine, agent_epoch);
@@ -101,7 +104,7 @@
   answer(batches[0], 1, CommandOutcome::kExecuted);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
   EXPECT_FALSE(scheduler_.recovery_complete());
-  // The second machine is in a later epoch: probed once more, in that one.
+  // The second machine is in a later epoch, so it is probed again in that epoch.
   answer(batches[1], 4, CommandOutcome::kRefused);
   const auto again = scheduler_.TakeCommands(settings_.heartbeat_s);
   ASSERT_EQ(again.size(), 1u);
@@ -115,9 +118,9 @@
   EXPECT_TRUE(scheduler_.recovery_complete());
 }
 
-// With two of three controllers stalled, agents took 10 s to find the one that was left; it
-// concluded that it was partitioned from them and resigned, again and again, with no other
-// candidate.
+// Guards against needless resignations: with two of three controllers stalled, agents took 10 s to
+// find the remaining controller. It concluded that it was partitioned from the agents and resigned
+// repeatedly, although there was no other candidate.
 TEST_F(FailoverTest, ANewLeaderResignsOnlyWhenItsProbesFail) {
   scheduler_.LoadMachinesPack(
       0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "vm-3:1"}}, 1);
@@ -128,7 +131,7 @@
   EXPECT_TRUE(scheduler_.recovery_complete());
   EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(8));
   EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(8 + settings_.heartbeat_s));
-  EXPECT_EQ(scheduler_.TakeCommands(8).size(), 3u);  // probed again: they still run their tasks
+  EXPECT_EQ(scheduler_.TakeCommands(8).size(), 3u);  // probed again until their agents find it
 
   Scheduler partitioned(settings_, derived_, 20, 0);
   partitioned.LoadMachinesPack(
@@ -139,12 +142,12 @@
                                    now + derived_.probe_answer_s);
     }
   }
-  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // it has not lasted long enough
+  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // has not lasted long enough
   EXPECT_TRUE(partitioned.IsPartitionedFromAgents(3.1 + settings_.heartbeat_s / 2));
 }
 
-// A new leader deleted machines that had not found it yet: by the age that the cloud gave, it took
-// them for rentals that never booted.
+// Guards against a needless deletion: a new leader deleted machines whose agents had not found it
+// yet. By the age that the cloud reported, it classified them as machines that had failed to boot.
 TEST_F(FailoverTest, InheritedMachinesAreNotTakenForFailedBoots) {
   Scheduler fresh(settings_, derived_, 20, 100);
   fresh.SetMachineTypes({});
@@ -159,7 +162,7 @@
   fresh.Tick(112);
   EXPECT_TRUE(fresh.PlanScaling(112).scale_in.empty());
   EXPECT_FALSE(fresh.recovery_complete());
-  fresh.Tick(100 + derived_.agent_lease_over_s + 0.1);  // no lease can be younger than that
+  fresh.Tick(100 + derived_.agent_lease_over_s + 0.1);  // by now every lease has expired
   EXPECT_TRUE(fresh.recovery_complete());
 }
 
@@ -172,19 +175,19 @@
   ASSERT_EQ(starts.size(), 1u);
   EXPECT_EQ(starts[0].task.job, "req-2");
   EXPECT_FALSE(scheduler_.recovery_complete());
-  SendHeartbeat("vm-2", 2);  // the last one is known
+  SendHeartbeat("vm-2", 2);  // reconciles the last machine
   EXPECT_TRUE(scheduler_.recovery_complete());
   scheduler_.Tick(3);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
 }
 
-// With a zone out of reach, a new leader started no task of earlier jobs for a whole lease, though
-// most pending jobs had never been started.
+// Guards against a delay of unstarted jobs: with a zone unreachable, a new leader started no task
+// of earlier jobs for a whole lease, although most pending jobs had never been started.
 TEST_F(FailoverTest, JobsWithoutAStartMarkerStartBeforeRecoveryIsComplete) {
   scheduler_.SetMarkersSince(5);
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 2, 1, wire::Priority::kNormal), 11, 0);  // accepted under this leader
-  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());            // its marker is written first
+  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());            // the marker is written first
   auto records = scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes);
   ASSERT_FALSE(records.progress.empty());
   scheduler_.OnRecordsFailed();
@@ -193,7 +196,8 @@
   scheduler_.OnRecordsWritten(20, 0);
   scheduler_.Place(3);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(), 2u);
-  // Its view of which controllers write markers is empty during a reload; it keeps writing them.
+  // The leader's view of which controllers write markers is empty during a reload. It keeps writing
+  // markers.
   scheduler_.SetMarkersSince(TaskPlacer::kNever);
   scheduler_.AddJob(Job(9, 1, 1, wire::Priority::kNormal), 15, 3);
   scheduler_.Place(3.5);
@@ -223,8 +227,9 @@
   for (const char* id : {"req-1", "req-2", "req-3"}) EXPECT_EQ(next.Counts(id).running, 0u) << id;
 }
 
-// The heartbeat was sent under the old leader and delayed until the new one had probed the machine,
-// found the task gone and started it elsewhere.
+// A heartbeat that was sent under the old leader arrives after the new leader has probed the
+// machine, found the task gone and started it elsewhere. Accepting it would add the ended attempt
+// to the machine again.
 TEST_F(FailoverTest, AHeartbeatDelayedFromAnEarlierLeaderIsRejected) {
   scheduler_.LoadMachinesPack(0, {{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}}, 1);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 9, 0);
@@ -247,8 +252,9 @@
     EXPECT_NE(key.second, 77u);
 }
 
-// A machine probed in a new epoch took starts; they were considered gone one lease after the last
-// answer that any leader gave it, while the lease of the new epoch was still valid, and ran twice.
+// Guards against tasks that run twice: a machine that was probed in a new epoch executed starts.
+// The leader considered them ended one lease after the last heartbeat answer of any leader, while
+// the lease of the new epoch was still valid.
 TEST_F(FailoverTest, ANewAgentEpochHasAWholeLeaseWithoutAnyAnswer) {
   scheduler_.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}}, 1);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -264,11 +270,11 @@
   answer(1, 0.5, {});
   MakeRecordsDurable(scheduler_);
   const double later = derived_.agents_try_all_s - 4;
-  answer(2, later, {});      // its lease ended meanwhile
-  answer(2, later + 3, {});  // probed in the new epoch, and given the task
+  answer(2, later, {});      // the lease of the first epoch has ended
+  answer(2, later + 3, {});  // probed in the new epoch, and sent the start
   ASSERT_GE(scheduler_.machines().at("vm-1").agent_epoch, 2u);
-  const double expired =
-      derived_.agent_lease_over_s + 0.1;  // since any leader could have answered it
+  // A lease that the last possible answer of any leader renewed has expired by this time.
+  const double expired = derived_.agent_lease_over_s + 0.1;
   scheduler_.Tick(expired);
   EXPECT_FALSE(scheduler_.machines().at("vm-1").lost);
   scheduler_.Tick(later + 3 + derived_.agent_lease_over_s + 0.1);
--- a/tests/machine_health_test.cc
+++ b/tests/machine_health_test.cc
@@ -1,4 +1,5 @@
-// Slow machines are quarantined; jobs that fail everywhere are not held against machines.
+// Tests that slow machines are quarantined, and that the failures of a crash looping job are not
+// counted against machines.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -63,7 +64,8 @@
   EXPECT_GT(starts, 6u);
 }
 
-// After each failover, all tasks of a job that fails on every machine were started again.
+// Guards against a restart of crash looping jobs: after each failover, all tasks of a job that
+// fails on every machine were started again.
 TEST_F(MachineHealthTest, ANewLeaderKnowsWhichJobsCrashLoop) {
   for (const char* id : {"vm-1", "vm-2"}) AddReadyMachine(id, 0);
   scheduler_.AddJob(Job(1, 8, 1, wire::Priority::kNormal), 11, 0);
@@ -84,7 +86,7 @@
   next.AddJob(Job(1, 8, 1, wire::Priority::kNormal), 11, 0);
   EXPECT_TRUE(next.FindJob("req-1")->crash_looping);
   EXPECT_GT(next.FindJob("req-1")->not_before, 100);
-  // Nor is it a reason to rent, while there are machines to try it on.
+  // The job does not cause a scale-out either while there are machines to try it on.
   EXPECT_TRUE(scheduler_.PlanScaling(500).scale_out.empty());
 }
 
--- a/tests/one_way_partition_test.cc
+++ b/tests/one_way_partition_test.cc
@@ -1,4 +1,4 @@
-// Agents whose heartbeats arrive while nothing reaches them, or the other way round.
+// Tests agents whose heartbeats arrive but which receive nothing, and the reverse.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,8 +8,9 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Its heartbeats are lost, while it takes direct commands and answers them. Each answer made it
-// look healthy, so it was given tasks until its lease expired, and they died with it.
+// Guards against tasks that are lost with a lease: the machine's heartbeats are lost while it
+// executes direct commands and answers them. Each answer made the machine look healthy, so it got
+// tasks until its lease expired, which ended them.
 TEST_F(OneWayPartitionTest, AMachineWhoseHeartbeatsAreLostTakesNoTasks) {
   AddReadyMachine("vm-1", 0);
   double now = 0.5;
@@ -22,7 +23,7 @@
     }
     scheduler_.Tick(now);
     for (const CommandBatch& batch : scheduler_.TakeCommands(now)) {
-      // Each task is done by the time of the answer.
+      // Each task has succeeded by the time of the answer.
       wire::Heartbeat heartbeat = NextHeartbeat("vm-1", 1);
       heartbeat.sequence = ++sequence;
       for (const auto& command : batch.commands) {
@@ -35,13 +36,14 @@
   EXPECT_GT(last_start, 0);
   EXPECT_LT(last_start, settings_.agent_lease_s / 2);
   EXPECT_FALSE(IsSchedulable("vm-1", now));
-  // Its next heartbeat makes it schedulable again.
+  // The machine's next heartbeat makes it schedulable again.
   sequences_["vm-1"] = sequence;
   SendHeartbeat("vm-1", now);
   EXPECT_TRUE(IsSchedulable("vm-1", now));
 }
 
-// Its heartbeats kept a new leader from starting any task of earlier jobs for as long as they came.
+// Guards against a blocked recovery: a machine that answers did not reach kept a new leader from
+// starting any task of earlier jobs for as long as the machine's heartbeats arrived.
 TEST_F(OneWayPartitionTest, FailoverDoesNotWaitForIt) {
   wire::Json record = wire::Json::object();
   for (int i = 0; i < 20; ++i) record["vm-" + std::to_string(100 + i)] = "a:1";
@@ -50,14 +52,14 @@
   double now = 1;
   uint64_t agent_epoch = 1;
   while (now < 1 + derived_.agent_lease_over_s) {
-    // Its lease expires again and again.
+    // The leases expire repeatedly, as no answer renews them.
     if (now > static_cast<double>(agent_epoch) * settings_.agent_lease_s) ++agent_epoch;
     for (int i = 0; i < 5; ++i) {
       EXPECT_TRUE(
-          UnansweredHeartbeat("vm-" + std::to_string(100 + i), now, agent_epoch, 3).accepted);
+          SendHeartbeatUnderToken("vm-" + std::to_string(100 + i), now, agent_epoch, 3).accepted);
     }
     scheduler_.Tick(now);
-    EXPECT_FALSE(IsScaledIn("vm-100", now)) << now;  // many, and it may be reachable again
+    EXPECT_FALSE(IsScaledIn("vm-100", now)) << now;  // too many, and possibly reachable again soon
     now += settings_.heartbeat_s;
   }
   EXPECT_FALSE(scheduler_.recovery_complete());
@@ -69,30 +71,30 @@
   EXPECT_TRUE(scheduler_.recovery_complete());
 }
 
-TEST_F(OneWayPartitionTest, OneOfManyIsGivenUpSooner) {
+TEST_F(OneWayPartitionTest, ASingleUnreachableMachineIsDeletedSooner) {
   wire::Json record = wire::Json::object();
   for (int i = 0; i < 40; ++i) record["vm-" + std::to_string(100 + i)] = "a:1";
   scheduler_.LoadMachinesPack(0, record, 1);
   for (int i = 1; i < 40; ++i) SendHeartbeat("vm-" + std::to_string(100 + i), 1);
-  UnansweredHeartbeat("vm-100", 1, 1, 3);
+  SendHeartbeatUnderToken("vm-100", 1, 1, 3);
   EXPECT_FALSE(IsScaledIn("vm-100", derived_.agent_suspect_s));
-  UnansweredHeartbeat("vm-100", derived_.agent_suspect_s, 1, 3);
+  SendHeartbeatUnderToken("vm-100", derived_.agent_suspect_s, 1, 3);
   EXPECT_TRUE(IsScaledIn("vm-100", derived_.agent_suspect_s + 1.1));
 }
 
-// Answers to it have no effect twice in a row: it gets no new tasks until it has confirmed a higher
-// token.
+// Two consecutive answers to the machine have no effect. It gets no new tasks until it has
+// confirmed a higher token.
 TEST_F(OneWayPartitionTest, ItTakesNoTasksUntilItConfirmsAHigherToken) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 4, 1, wire::Priority::kNormal), 11, 0);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 1)).size(), 4u);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(),
-            4u);  // one answer may be lost
+            4u);  // a single lost answer is tolerated
   EXPECT_TRUE(IsSchedulable("vm-1", 3));
   SendHeartbeat("vm-1", 5);
   scheduler_.Tick(5);
   scheduler_.OnRecordsWritten(20, 5);
-  scheduler_.Tick(5.1);  // from here on under a higher token
+  scheduler_.Tick(5.1);  // raises the token
   const uint64_t token = scheduler_.machines().at("vm-1").fencing_token;
   EXPECT_GT(token, 10u);
   for (const double now : {7.0, 9.0, 11.0}) {
@@ -102,19 +104,19 @@
     EXPECT_TRUE(answer.commands.empty());
     EXPECT_FALSE(IsSchedulable("vm-1", now));
   }
-  EXPECT_EQ(scheduler_.Counts("req-1").running, 0u);  // its tasks may be placed elsewhere
+  EXPECT_EQ(scheduler_.Counts("req-1").running, 0u);  // the tasks may be placed elsewhere
   SendHeartbeat("vm-1", 13, {}, token);
   EXPECT_TRUE(IsSchedulable("vm-1", 13));
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 14, {}, token)).size(), 4u);
 }
 
-TEST_F(OneWayPartitionTest, OneExecutedCommandOfManyIsEnough) {
+TEST_F(OneWayPartitionTest, OneExecutedCommandProvesDelivery) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 4, 1, wire::Priority::kNormal), 11, 0);
   for (const double now : {1.0, 3.0, 5.0, 7.0}) {
     const auto starts = Starts(SendHeartbeat("vm-1", now));
     if (starts.empty()) continue;
-    // One is executed and fails at once, the others are lost.
+    // One command is executed and its task fails at once; the other commands are lost.
     SendHeartbeat("vm-1", now + 1,
                   {test::Exited(starts[0], wire::ExitReason::kInsufficientResources)});
     scheduler_.Tick(now + 1);
@@ -122,15 +124,16 @@
   EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 0u);
 }
 
-// The leader answered each heartbeat, and yet the lease expired and a new epoch began.
-TEST_F(OneWayPartitionTest, AnEpochThatShouldNotHaveEndedIsEvidence) {
+// The leader has answered each heartbeat, but the agent's lease expires and a new epoch begins.
+TEST_F(OneWayPartitionTest, AnUnexpectedAgentEpochMeansThatAnswersAreLost) {
   AddReadyMachine("vm-1", 0);
   for (double now = 2; now < 22; now += 2) SendHeartbeat("vm-1", now);
-  UnansweredHeartbeat("vm-1", 22, 2, 10);
+  SendHeartbeatUnderToken("vm-1", 22, 2, 10);
   EXPECT_EQ(scheduler_.machines().at("vm-1").unheeded_token, 10u);
 }
 
-// A late duplicate of a heartbeat changes nothing at all, not only no tasks.
+// A late duplicate of a heartbeat changes nothing: neither tasks nor the machine's address, contact
+// times and reclaim notice.
 TEST_F(OneWayPartitionTest, ADuplicateHeartbeatChangesNothing) {
   AddReadyMachine("vm-1", 0);
   wire::Heartbeat copy = NextHeartbeat("vm-1", 1);
@@ -148,11 +151,11 @@
   EXPECT_TRUE(after.allocations.empty());
 }
 
-// Duplicates of heartbeats to an earlier leader, of machines that are long gone, make this one
-// neither wait for them nor conclude that it is partitioned.
+// Late duplicates of heartbeats to an earlier leader, from machines that are long gone, neither
+// delay the new leader's recovery nor make it conclude that it is partitioned.
 TEST_F(OneWayPartitionTest, DuplicateHeartbeatsForANewLeaderAddNoMachine) {
   for (int i = 0; i < 4; ++i) SendHeartbeat("vm-" + std::to_string(i), 1);
-  for (int i = 10; i < 40; ++i) UnansweredHeartbeat("vm-" + std::to_string(i), 1.5, 4, 7);
+  for (int i = 10; i < 40; ++i) SendHeartbeatUnderToken("vm-" + std::to_string(i), 1.5, 4, 7);
   for (double now = 3; now < 6; now += 2) {
     for (int i = 0; i < 4; ++i) SendHeartbeat("vm-" + std::to_string(i), now);
     EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(now));
--- a/tests/reused_address_test.cc
+++ b/tests/reused_address_test.cc
@@ -1,4 +1,4 @@
-// Another machine is up under the address of one that is gone.
+// Tests a machine that has reused the address of another machine, which is gone.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// vm-2 is up under the address of vm-1, which is gone, and receives the commands for vm-1.
+// vm-1 is gone. vm-2 has reused its address and receives the commands for vm-1.
 class ReusedAddressTest : public OneWayPartitionTest {
  protected:
   ReusedAddressTest() {
@@ -23,14 +23,15 @@
     heartbeat_ = NextHeartbeat("vm-2", 1);
     heartbeat_.tasks = {test::Running(command_batch_.commands[0])};
   }
-  // Makes all records durable, and counts the starts in the answer to the machine's next heartbeat.
-  size_t StartsOn(const std::string& id, double now) {
+  // Makes all records durable, and returns the number of starts in the answer to the machine's next
+  // heartbeat.
+  size_t CountStartsOn(const std::string& id, double now) {
     while (!scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty())
       scheduler_.OnRecordsWritten(++revision_, now);
     return Starts(SendHeartbeat(id, now)).size();
   }
   CommandBatch command_batch_;  // the commands for vm-1
-  wire::Heartbeat heartbeat_;   // of vm-2, which executed them
+  wire::Heartbeat heartbeat_;   // from vm-2, which has executed them
   uint64_t revision_ = 12;
 };
 
@@ -39,35 +40,36 @@
   EXPECT_TRUE(scheduler_.machines().contains("vm-2"));
   AddReadyMachine("vm-3", 1);
   scheduler_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsOn("vm-3", 2), 0u);  // it still runs on vm-2
+  EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);  // the task still runs on vm-2
   heartbeat_.sequence = ++sequences_["vm-2"];
   EXPECT_EQ(Stops(scheduler_.OnHeartbeat(heartbeat_, 3)).size(), 1u);
-  EXPECT_EQ(StartsOn("vm-3", 3.5), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", 3.5), 0u);
   heartbeat_.sequence = ++sequences_["vm-2"];
   test::MarkExited(heartbeat_.tasks[0], wire::ExitReason::kStopped);
   scheduler_.OnHeartbeat(heartbeat_, 4);
-  const size_t on_third = StartsOn("vm-3", 5);
-  EXPECT_EQ(on_third + StartsOn("vm-2", 5), 1u);
+  const size_t on_third = CountStartsOn("vm-3", 5);
+  EXPECT_EQ(on_third + CountStartsOn("vm-2", 5), 1u);
 }
 
-// The outcome of the command is lost, and a heartbeat of vm-2 shows the task.
-TEST_F(ReusedAddressTest, ItsHeartbeatIsEnough) {
+// The outcome of the command batch is lost, and a heartbeat of vm-2 lists the task.
+TEST_F(ReusedAddressTest, AHeartbeatThatListsTheTaskPreventsARestart) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, 1).accepted);
   AddReadyMachine("vm-3", 1);
   scheduler_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsOn("vm-3", 2), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);
 }
 
-// The outcome of the command is lost, and vm-1 is deleted before vm-2 sends a heartbeat. Restarted
-// at once, the task ran twice: it waits until no other machine can run it.
+// The outcome of the command batch is lost, and vm-1 is deleted before vm-2 sends a heartbeat. A
+// task that was restarted at once ran twice, so the task waits until no other machine can run it.
 TEST_F(ReusedAddressTest, TheAddressIsReconciledBeforeTheTaskIsRestarted) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   AddReadyMachine("vm-3", 1);
   scheduler_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(StartsOn("vm-3", 2), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
-  // A list that may not show all machines that were up when the commands were sent proves nothing.
+  // The list may not show all machines that were up when the commands were sent, so it proves
+  // nothing.
   const wire::ListedMachine third{"vm-3", "vm-3:1", "box", "a", false, wire::MachineState::kRunning,
                                   9};
   wire::ListedMachine other = third;
@@ -75,25 +77,26 @@
   other.address = command_batch_.address;
   scheduler_.OnMachineList({third}, 0.5 + settings_.machine_list_lag_s, 5);
   scheduler_.Tick(5);
-  EXPECT_EQ(StartsOn("vm-3", 5.1), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", 5.1), 0u);
   // vm-2 is listed, and has sent no heartbeat.
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnMachineList({third, other}, late, late);
   scheduler_.Tick(late);
-  EXPECT_EQ(StartsOn("vm-3", late + 0.1), 0u);
-  // Its heartbeat shows that the task runs there.
+  EXPECT_EQ(CountStartsOn("vm-3", late + 0.1), 0u);
+  // The heartbeat of vm-2 shows that the task runs there.
   heartbeat_.address = command_batch_.address;
   EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, late + 0.2).accepted);
   scheduler_.OnMachineList({third}, late + 5, late + 5);
   scheduler_.Tick(late + 5);
-  EXPECT_EQ(StartsOn("vm-3", late + 5.1), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 5.1), 0u);
   heartbeat_.sequence = ++sequences_["vm-2"];
   test::MarkExited(heartbeat_.tasks[0], wire::ExitReason::kStopped);
   scheduler_.OnHeartbeat(heartbeat_, late + 6);
-  EXPECT_EQ(StartsOn("vm-3", late + 7) + StartsOn("vm-2", late + 7), 1u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 7) + CountStartsOn("vm-2", late + 7), 1u);
 }
 
-// The machine at the address may execute the command yet, until it has confirmed a higher token.
+// The machine that has reused the address may still execute the command until it has confirmed a
+// higher token.
 TEST_F(ReusedAddressTest, TheMachineAtTheAddressGetsAHigherTokenFirst) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   AddReadyMachine("vm-3", 1);
@@ -108,39 +111,39 @@
   scheduler_.OnMachineList({machine("vm-3", "vm-3:1"), machine("vm-2", command_batch_.address)},
                            late, late);
   scheduler_.Tick(late);
-  EXPECT_EQ(StartsOn("vm-3", late + 0.1), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 0.1), 0u);
   scheduler_.Tick(late + 0.2);
-  EXPECT_EQ(StartsOn("vm-3", late + 0.2), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 0.2), 0u);
   scheduler_.Tick(late + 0.3);
   const uint64_t raised = scheduler_.machines().at("vm-2").fencing_token;
   EXPECT_GT(raised, command_batch_.fencing_token);
-  EXPECT_EQ(StartsOn("vm-3", late + 0.4), 0u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 0.4), 0u);
   wire::Heartbeat confirming = NextHeartbeat("vm-2", 1);
   confirming.address = command_batch_.address;
   confirming.fencing_token = raised;
   EXPECT_TRUE(scheduler_.OnHeartbeat(confirming, late + 0.5).accepted);
   scheduler_.Tick(late + 0.6);
   EXPECT_EQ(scheduler_.FindJob("req-1")->pending.size() + scheduler_.Counts("req-1").running, 1u);
-  const size_t on_third = StartsOn("vm-3", late + 1);
+  const size_t on_third = CountStartsOn("vm-3", late + 1);
   wire::Heartbeat again = NextHeartbeat("vm-2", 1);
   again.address = command_batch_.address;
   again.fencing_token = raised;
   EXPECT_EQ(on_third + Starts(scheduler_.OnHeartbeat(again, late + 1)).size(), 1u);
 }
 
-// No other machine is there, as nearly always: the task is restarted as soon as a late enough list
-// says so.
+// The usual case: no other machine has reused the address. The task is restarted as soon as a list
+// that was requested late enough shows this.
 TEST_F(ReusedAddressTest, NoOtherMachineHasTheAddress) {
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   scheduler_.OnMachineList({}, late, late);
   AddReadyMachine("vm-3", late);
   scheduler_.OnMachineDeleted("vm-1", late + 1);
-  EXPECT_EQ(StartsOn("vm-3", late + 2), 1u);
+  EXPECT_EQ(CountStartsOn("vm-3", late + 2), 1u);
 }
 
-// The token that vm-2 confirmed was raised for vm-1: its heartbeats were rejected as those of a
-// later leader's machine.
+// vm-2 confirms a token that was raised for vm-1. Guards against a needless rejection: such
+// heartbeats were rejected as if the token were a later leader's.
 TEST_F(ReusedAddressTest, ATokenRaisedForAnotherMachineIsAccepted) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   scheduler_.Tick(0.8);
@@ -156,8 +159,8 @@
   EXPECT_FALSE(scheduler_.OnHeartbeat(later, 2).accepted);
 }
 
-// A new leader probes vm-1, and vm-2, which is in no record, answers.
-TEST_F(ReusedAddressTest, ANewLeaderLearnsOfIt) {
+// A new leader probes vm-1, and the answer comes from vm-2, which has no record.
+TEST_F(ReusedAddressTest, ANewLeaderFindsTheTaskOnTheOtherMachine) {
   Scheduler next(settings_, derived_, 20, 10);
   next.SetMachineTypes({type_});
   next.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}}, 1);
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,6 +1,6 @@
-// Fixtures of the scheduler's tests. The test plays the agents, the state
-// service and the cloud; a suite that needs no more takes SchedulerTest under a
-// name of its own: `using PlacementTest = SchedulerTest;`.
+// Fixtures of the scheduler's tests. The test simulates the agents, the state service and the
+// cloud. A suite that needs no fixture of its own uses an alias:
+// `using PlacementTest = SchedulerTest;`.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,16 +17,15 @@
 
 namespace mosspath::scheduler {
 
-// Takes and acknowledges batches of records until none is left, at time 0 and
-// under the store revision 1, which is below any that matters.
+// Takes and acknowledges batches of records until none is left, at time 0 and under store revision
+// 1, which is lower than the leader's token.
 inline void MakeRecordsDurable(Scheduler& scheduler) {
   while (!scheduler.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty()) {
     scheduler.OnRecordsWritten(1, 0);
   }
 }
 
-// A leader elected under the token 10 at time 0, with one machine type of 4
-// CPUs.
+// A leader elected at time 0 with fencing token 10, and one machine type with 4 CPUs.
 class SchedulerTest : public ::testing::Test {
  protected:
   SchedulerTest()
@@ -40,7 +39,7 @@
     scheduler_.SetMachineTypes({type_});
   }
 
-  // A job of the team "t" and of a class without an objective.
+  // Returns a job of the team "t" and of a class without an objective.
   wire::JobSpec Job(int number, uint32_t tasks, double cpus, wire::Priority priority) {
     wire::JobSpec spec = test::MakeJobSpec("req-" + std::to_string(number), "t", tasks, cpus);
     spec.job_class = "c";
@@ -52,7 +51,7 @@
     return spec;
   }
 
-  // The machine's next heartbeat, without tasks.
+  // Returns the machine's next heartbeat, without tasks.
   wire::Heartbeat NextHeartbeat(const std::string& id, uint64_t agent_epoch) {
     wire::Heartbeat heartbeat =
         test::MakeHeartbeat(id, agent_epoch, ++sequences_[id], /*fencing_token=*/kToken);
@@ -61,25 +60,24 @@
     return heartbeat;
   }
 
-  // Delivers the machine's next heartbeat of its first epoch and returns the
-  // leader's answer.
+  // Delivers the machine's next heartbeat in its first epoch, and returns the leader's answer.
   HeartbeatAnswer SendHeartbeat(const std::string& id, double now,
                                 std::vector<wire::TaskStatus> tasks = {}, uint64_t token = kToken) {
     wire::Heartbeat heartbeat = NextHeartbeat(id, 1);
     heartbeat.fencing_token = token;
     heartbeat.tasks = std::move(tasks);
-    scheduler_.Place(now);  // the leader's duty
+    scheduler_.Place(now);  // as the leader does
     return scheduler_.OnHeartbeat(heartbeat, now);
   }
 
-  // Makes the machine known, recorded and ready for starts.
+  // Adds the machine by a heartbeat and makes its record durable, so that it may be sent starts.
   void AddReadyMachine(const std::string& id, double now) {
     SendHeartbeat(id, now);
     scheduler_.Tick(now);
     MakeRecordsDurable(scheduler_);
   }
 
-  // The commands of one type in the leader's answer.
+  // Return the commands of one type in the leader's answer.
   static std::vector<wire::Command> Starts(const HeartbeatAnswer& answer) {
     return CommandsOfType(answer, wire::CommandType::kStart);
   }
@@ -107,12 +105,13 @@
   std::map<std::string, uint64_t> sequences_;  // of each machine's last heartbeat
 };
 
-// A machine whose heartbeats arrive while nothing reaches it.
+// Fixture for agents whose heartbeats arrive, but which receive nothing.
 class OneWayPartitionTest : public SchedulerTest {
  protected:
-  // The heartbeat lists no tasks and confirms no token later than `token`.
-  HeartbeatAnswer UnansweredHeartbeat(const std::string& id, double now, uint64_t agent_epoch,
-                                      uint64_t token) {
+  // Delivers the machine's next heartbeat, which lists no tasks and confirms `token`, and returns
+  // the leader's answer.
+  HeartbeatAnswer SendHeartbeatUnderToken(const std::string& id, double now, uint64_t agent_epoch,
+                                          uint64_t token) {
     wire::Heartbeat heartbeat = NextHeartbeat(id, agent_epoch);
     heartbeat.fencing_token = token;
     scheduler_.Place(now);
