--- a/include/mosspath/scheduler/role.h
+++ b/include/mosspath/scheduler/role.h
@@ -48,7 +48,7 @@
   // A task of the crash-looping job has succeeded, which ends the crash loop.
   virtual void OnCrashLoopEnded(const jobs::Job& job) = 0;
   // All machines of the reconciliation have been checked. `tasks` of its tasks were on none of them
-  // and are pending again.
+  // and are pending again, unless their job is over.
   virtual void OnReconciliationEnded(uint64_t reconciliation, size_t tasks) = 0;
 
   // --- Time and records ---
--- a/src/scheduler/reconciler.cc
+++ b/src/scheduler/reconciler.cc
@@ -114,11 +114,11 @@
   }
 }
 
-// Returns whether the heartbeat would list the attempt if it were on the machine, or if its start
-// had been or could still be executed. Then an unlisted attempt is gone. The agent makes its next
-// periodic heartbeat only after the answer to the last one has arrived or timed out. The answer to
-// a command batch can be made while the answer to a periodic heartbeat is still in flight, so it
-// proves nothing about the starts in that answer.
+// Returns whether the absence of the attempt from the heartbeat proves that the attempt is not on
+// the machine and that its start can't be executed any more. The agent makes its next periodic
+// heartbeat only after the answer to the last one has arrived or timed out. The answer to a command
+// batch can be made while the answer to a periodic heartbeat is still in flight, so it proves
+// nothing about the starts in that answer.
 bool Reconciler::WouldBeListed(const Pass& pass, const Allocation& allocation) {
   if (allocation.state == Allocation::State::kReported) return true;
   if (allocation.state != Allocation::State::kStartSent) return false;
