--- a/include/mosspath/scheduler/ahead_delegation.h
+++ b/include/mosspath/scheduler/ahead_delegation.h
@@ -1,5 +1,5 @@
-// Gives the holders of shards work beyond the room of their machines, so that they have some at
-// hand when room comes free. Pure.
+// Delegates tasks to the holders of shards beyond the free capacity of their machines, so that a
+// holder has tasks to start as soon as capacity comes free. Pure.
 #pragma once
 
 #include <cstddef>
@@ -20,13 +20,15 @@
   AheadDelegation(cluster::ClusterState& cluster, ShardLeases& shard_leases, StartGate& start_gate,
                   const MachineFilter& filter);
 
-  // Work that a holder is given beyond its room, as a share of its CPUs.
+  // Sets the limit on the work that waits with a holder, as a share of the CPUs that its machines
+  // offer.
   void SetShare(double share) { share_ = share; }
-  // Delegates pending tasks of the jobs, in their order, to the holders with the most room ahead.
+  // Delegates pending tasks of the jobs, in the given order, to the holders that may still be
+  // delegated the most work.
   void Run(const std::vector<jobs::Job*>& waiting_jobs, double now);
 
  private:
-  // The holder of a shard, and the CPUs of work that it may still be given ahead.
+  // The holder of a shard, and the CPUs of work that may still be delegated to it.
   struct Receiver {
     uint64_t lease = 0;
     double room_cpus = 0;
@@ -37,10 +39,10 @@
 
   std::vector<Receiver> FindReceivers() const;
   bool HasMachineFor(const jobs::Job& job, uint64_t lease, double now) const;
-  // Delegates at most `max_tasks` of the job, the receivers being in order.
+  // Delegates at most `max_tasks` tasks of the job, to the receivers in the given order.
   void DelegateJob(jobs::Job& job, size_t max_tasks, bool urgent, std::vector<Receiver>& receivers,
                    double now);
-  // Delegates to one receiver while it has room. Returns how many tasks.
+  // Delegates tasks to one receiver while it has room. Returns the number of delegated tasks.
   size_t DelegateTasks(jobs::Job& job, size_t max_tasks, bool urgent, Receiver& receiver);
 
   cluster::ClusterState& cluster_;
--- a/include/mosspath/scheduler/holder_sharding.h
+++ b/include/mosspath/scheduler/holder_sharding.h
@@ -1,5 +1,5 @@
-// A holder's side of sharding (docs/sharding.md): the messages of the leader; claims, returns and
-// status for the leader. Pure.
+// A holder's side of sharding (docs/sharding.md): handles the leader's messages, and produces the
+// claims, returns and status messages for the leader. Pure.
 #pragma once
 
 #include <cstdint>
@@ -22,23 +22,26 @@
                  TaskMigration& migration)
       : state_(state), jobs_(jobs), lifecycle_(lifecycle), migration_(migration) {}
 
-  // Adds a job of the mirror of the store. Its tasks are others' until the leader delegates them.
+  // Adds a job from the watch cache. This holder may place none of its tasks until the leader
+  // delegates them.
   void LoadJob(wire::JobSpec spec, uint64_t version, double submitted);
-  // The record assigns the machine to this holder; `token` is the record's revision.
+  // Adds a machine whose record assigns it to this holder. `token` is the record's revision, and
+  // serves as the fencing token.
   void AcceptMachine(const std::string& id, const std::string& address, uint64_t token, double now);
-  // Whether it is known what is on each machine that was assigned.
+  // Returns whether the tasks of all assigned machines are known.
   bool AllMachinesKnown() const;
   void OnLeaderMessage(const wire::ShardMessage& message, double now);
-  // The job is about to be removed: the leader is told of its tasks once they have ended.
+  // Called before the job is removed. Its tasks are returned to the leader once they have ended.
   void OnJobRemoved(const jobs::Job& job);
 
-  // Returns all tasks that the holder has or may have, and the completions that are not known to
-  // be durable: for a leader that begins.
+  // Returns the messages for a new leader: claims of all tasks that the holder has or may have, and
+  // the completions that are not known to be durable.
   std::vector<wire::ShardMessage> AllClaims() const;
-  // Returns to the leader tasks that have waited for room longer than `patience_s` seconds, and
-  // machines that are lost or recalled. Without a leader that hears, tasks stay.
+  // Returns to the leader the tasks that have waited for capacity longer than `patience_s` seconds,
+  // and the machines that are lost or recalled. Waiting tasks stay while the leader is unreachable.
   void ReturnExcess(double patience_s, bool leader_hears, double now);
-  // Returns how much work waits, as of the leader's batch `applied_batch`.
+  // Returns a message with the CPUs of the waiting tasks, which include the leader's batches up to
+  // `applied_batch`.
   wire::ShardMessage MakeLoadMessage(uint64_t applied_batch) const;
   wire::ShardMessage MakeMachineStatus(const cluster::Machine& machine, double now) const;
 
@@ -50,14 +53,15 @@
   void OnRecallMachine(const std::string& machine);
   void OnSetDraining(const std::string& machine, uint64_t drain_level);
   bool IsMachineKnown(const std::string& machine) const;
-  // Whether the task is one that the leader may give: nothing is known of it here.
+  // Whether the leader may delegate the task to this holder: the holder does not have it already.
   bool CanAccept(const jobs::Job& job, uint32_t index) const;
-  // Whether a copy of the task that is being stopped still runs here; it is the task from now on.
+  // If a copy of the task that is being stopped may still run here, makes that copy the task's
+  // allocation again. Returns whether there is one.
   bool ReclaimAllocation(jobs::Job& job, uint32_t index);
   void StopTask(const std::string& job, uint32_t index);
 
   // --- Returns ---
-  // Whether the holder has the task, or may have it.
+  // Whether the holder has the task or may have it.
   bool IsHeld(const jobs::Job& job, uint32_t index) const;
   bool MayStillRun(const wire::TaskId& task) const;
   void ReturnEndedTasks();
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -1,5 +1,5 @@
-// The leader's side of sharding (docs/sharding.md): the leases of shards, and the messages of their
-// holders. Pure.
+// The leader's side of sharding (docs/sharding.md): opens and closes shard leases, and handles the
+// messages of the holders. Pure.
 #pragma once
 
 #include <cstdint>
@@ -21,25 +21,27 @@
 
   // --- Leases ---
 
-  // A controller holds the shard under this lease. `inherited`: since an earlier leader.
+  // Opens the lease under which a controller holds the shard. `inherited`: an earlier leader
+  // granted it.
   void OpenLease(uint64_t lease, size_t shard, bool inherited);
-  // The holder exchanges messages with us, or no longer does. Only then it is given anything.
+  // Sets whether the holder exchanges messages with this leader. Only the holder of a ready lease
+  // receives machines and tasks.
   void SetLeaseReady(uint64_t lease, bool ready);
-  // The lease is over. Its holder may have commanded machines until `last_acted`.
+  // Closes a lease that has ended. Its holder may have commanded machines until `last_acted`.
   void CloseLease(uint64_t lease, double last_acted);
-  // Returns the leases that are over, of whose machines some are not known yet.
+  // Returns the ended leases that still have machines whose tasks are not known.
   std::set<uint64_t> ExpiredLeases() const;
-  // The holder of that lease has certainly stopped commanding machines.
+  // Called once the holder of that lease has certainly stopped commanding machines.
   void OnHolderCeased(uint64_t lease, double now);
-  // Returns the lease under which the machine is another controller's; kNoLease if it is ours or
-  // unknown.
+  // Returns the lease under which another controller commands the machine; kNoLease if this leader
+  // commands it or the machine is unknown.
   uint64_t LeaseOf(const std::string& machine) const;
 
   // --- Messages ---
 
-  // A message of the lease's holder. Messages of closed leases are ignored.
+  // Handles a message of the lease's holder. Messages of closed leases are ignored.
   void OnHolderMessage(uint64_t lease, const wire::ShardMessage& message, double now);
-  // Tells holders which of the completions that they have reported are durable by now.
+  // Queues messages to the holders with those of their reported completions that are durable now.
   void SendDurableCompletions();
 
  private:
--- a/include/mosspath/scheduler/machine_handover.h
+++ b/include/mosspath/scheduler/machine_handover.h
@@ -1,8 +1,8 @@
-// Machines that change hands between the leader and the holders of shards (docs/sharding.md), on
-// the leader's side. Pure.
+// The leader's side of moving machines between the leader and the holders of shards
+// (docs/sharding.md). Pure.
 //
-// Invariant: at any time the record names the one controller that may command a machine, and that
-// controller's fencing token for it is the revision of that record or a later one.
+// Invariant: at any time, the machine's record names the one controller that may command the
+// machine. That controller's fencing token for the machine is the revision of the record, or later.
 #pragma once
 
 #include <cstddef>
@@ -18,17 +18,18 @@
   // `state` outlives this object.
   explicit MachineHandover(SchedulerState& state) : state_(state) {}
 
-  // Begins to hand machines over to the holders of their shards, with what they run: a few at a
-  // time, as a machine starts nothing while it changes hands.
+  // Begins to hand machines over to the holders of their shards, together with the tasks that run
+  // there. Only a few at a time, since a machine starts no tasks during its handover.
   void HandOverMachines(double now);
-  // The record that names the holder is durable: from here on the machine and what it runs are the
-  // holder's. `machine` is removed from the leader's machines.
+  // Completes a handover whose record is durable: from now on the holder commands the machine and
+  // its tasks. Removes `machine` from the leader's machines.
   void CompleteHandover(cluster::Machine& machine, double now);
-  // Asks holders for machines for work that only the leader places and that finds no room.
+  // Recalls machines from holders for tasks that only the leader may place and that do not fit on
+  // the leader's machines.
   void RecallMachines(double now);
-  // Takes a delegated machine back. Its holder may have commanded it until `last_acted` under
-  // `past_lease`, kNoLease if the holder has returned the machine itself. `delegated` is a copy, as
-  // the original is removed.
+  // Moves a delegated machine back to the leader. The holder may have commanded the machine until
+  // `last_acted` under `past_lease`, which is kNoLease if the holder has returned the machine
+  // itself. `delegated` must be a copy, since the original is removed.
   cluster::Machine& TakeBack(const cluster::Machine& delegated, uint64_t past_lease,
                              double last_acted);
 
@@ -42,10 +43,10 @@
   void SendHandedOverTasks(const cluster::Machine& machine, uint64_t lease,
                            ShardLeases::TasksByJob tasks_by_job);
   // --- Recalling ---
-  // The work that recalls are made for.
+  // The pending tasks that machines are recalled for.
   struct UnplacedWork {
     double cpus = 0;
-    const jobs::Job* oldest_job = nullptr;  // null if nothing waits
+    const jobs::Job* oldest_job = nullptr;  // null if no task waits
   };
   UnplacedWork UnplacedLeaderOnlyWork(double now) const;
 
--- a/include/mosspath/scheduler/shard_leases.h
+++ b/include/mosspath/scheduler/shard_leases.h
@@ -1,6 +1,6 @@
-// The shards that other controllers hold, as the leader accounts for them: which leases are open,
-// what is being delegated and sent to each holder, and how much work waits with it. On a holder the
-// same class keeps the messages for the leader. Pure.
+// The leader's accounting of the shards that other controllers hold: open leases, tasks and
+// messages to send to each holder, and the work that waits there. On a holder, the same class
+// queues the messages to the leader. Pure.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,33 @@
 
 namespace mosspath::scheduler {
 
-// Stands for "under no lease" wherever a lease's number is kept or sent; no lease has it.
+// Means "under no lease" wherever a lease id is stored or sent. No lease has this id.
 inline constexpr uint64_t kNoLease = 0;
 
 class ShardLeases {
  public:
-  // kAlone: a leader that has not begun to delegate to holders.
+  // kAlone: a leader that does not delegate to holders yet.
   enum class Role { kAlone, kLeader, kHolder };
   using TasksByJob = std::map<std::string, std::vector<uint32_t>>;
 
   struct Lease {
     size_t shard = 0;
-    // Its holder has claimed all that it has, and exchanges messages with us.
+    // Whether the holder has claimed all its tasks and exchanges messages with this leader.
     bool ready = false;
-    // Batches of delegated tasks that were taken to be sent; each has the count as its number.
+    // Batches of delegated tasks that TakeMessages has returned. A batch's number is the count at
+    // that time, so numbers start at 1.
     uint64_t batches_sent = 0;
-    // CPUs of the shard's machines that take new tasks, and CPUs of work that waits for room there,
-    // as its holder last reported.
+    // CPUs of the shard's machines that take new tasks, and CPUs of the tasks that wait for free
+    // capacity there, as the holder last reported.
     double cpus = 0;
     double waiting_cpus = 0;
-    // Batches up to this one are counted in what the holder reported.
+    // The last batch that the holder's reports include.
     uint64_t applied_batch = 0;
-    // CPUs that were delegated beyond the room that there was, by batch.
+    // CPUs of the tasks that were delegated beyond the free capacity, by batch.
     std::map<uint64_t, double> ahead_cpus_by_batch;
-    // Delegated, to be sent with the next batch.
+    // Delegated tasks that the next batch sends.
     TasksByJob unsent_tasks;
-    // Tasks by job that are done there, and whose completion is not durable yet.
+    // Tasks that the holder has reported as done and whose completion is not durable yet, by job.
     std::map<std::string, std::set<uint32_t>> done_not_durable;
     std::vector<wire::ShardMessage> outbox;
   };
@@ -64,34 +65,35 @@
   std::map<uint64_t, Lease>& leases() { return leases_; }
   // Returns the lease of a shard whose holder is ready, or kNoLease.
   uint64_t ReadyLeaseOf(size_t shard) const;
-  // Delegates a task to the holder of this machine, which probably places it there.
+  // Delegates a task to the machine's holder, and counts the task against the machine: the holder
+  // is expected to place it there.
   void Delegate(cluster::Machine& machine, const jobs::Job& job, uint32_t index);
-  // Delegates a task beyond the room that there is, so that the holder has work when room comes
-  // free.
+  // Delegates a task beyond the free capacity, so that the holder has work as soon as capacity
+  // comes free.
   void DelegateAhead(uint64_t lease, const jobs::Job& job, uint32_t index);
-  // Returns the CPUs of work that may still be delegated ahead, which may be negative. `share` is
-  // that of the shard's CPUs which may wait in all.
+  // Returns the CPUs of work that may still be delegated ahead; negative if too much waits already.
+  // `share`: the share of the shard's CPUs that work waiting there may amount to.
   double RoomAheadCpus(const Lease& lease, double share) const;
-  // Takes in what the holder reports of a machine, in which all batches up to `applied_batch` are
-  // counted, and adds the use of those that are not.
+  // Applies the holder's report on a machine. The report includes all batches up to
+  // `applied_batch`; the resources of later batches are added to it.
   void OnMachineStatus(cluster::Machine& machine, const cluster::MachineStatusUpdate& update,
                        uint64_t applied_batch, double now);
-  // Ignored if the lease is not open.
+  // Queues a message to the holder. No effect if the lease is not open.
   void SendToHolder(uint64_t lease, wire::ShardMessage message);
 
   // --- As a holder ---
 
-  // Returns an id for a reconciliation of tasks that were handed over with their machine; it is no
-  // lease's number, as a holder knows of no other leases.
+  // Returns an id for the reconciliation of tasks that were handed over with their machine. A
+  // holder tracks no leases of others, so the id can't collide with a lease id.
   uint64_t NextReconciliationId() { return ++reconciliations_; }
   void SendToLeader(wire::ShardMessage message) { to_leader_.push_back(std::move(message)); }
 
-  // Returns the messages that are to be sent, in order; a holder's are for the leader, and `lease`
-  // is ignored.
+  // Returns the queued messages, in order, and removes them from the queue. On a holder, these are
+  // the messages to the leader, and `lease` is ignored.
   std::vector<wire::ShardMessage> TakeMessages(uint64_t lease);
 
  private:
-  // What a delegated task takes of a machine, until its holder's reports include it.
+  // Resources of a delegated task that its holder's reports do not include yet.
   struct UnconfirmedUse {
     uint64_t batch = 0;
     double cpus = 0;
@@ -111,7 +113,8 @@
   uint64_t reconciliations_ = 0;
 };
 
-// Returns the tasks, which are ascending, as messages of this kind, each small enough for a frame.
+// Splits the tasks, which must be in ascending order, into messages of this kind that each fit into
+// a frame.
 std::vector<wire::ShardMessage> TaskMessages(wire::ShardMessage::Kind kind, const std::string& job,
                                              const std::vector<uint32_t>& tasks);
 
--- a/include/mosspath/scheduler/shard_map.h
+++ b/include/mosspath/scheduler/shard_map.h
@@ -1,6 +1,6 @@
-// Which machines form a block. One block a controller, of machines in its zone as far as there are
-// controllers there; a machine's block follows from its name and zone, so no record is needed.
-// Pure.
+// The partition of machines into shards. Each controller owns one shard. A machine belongs to a
+// shard of a controller in the machine's zone, or to any shard if the zone has no controller. The
+// shard follows from the machine's name and zone, so it is not stored. Pure.
 #pragma once
 
 #include <cstddef>
@@ -18,12 +18,12 @@
 
   size_t size() const { return owners_.size(); }
   size_t ShardOf(const std::string& machine, const std::string& zone) const;
-  // The controller whose block it is.
+  // Returns the controller that owns the shard.
   const std::string& OwnerOf(size_t block) const { return owners_[block]; }
 
  private:
-  std::vector<std::string> owners_;  // by name, so that all number them alike
-  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // zone -> its controllers' blocks
+  std::vector<std::string> owners_;  // by name, so all controllers use the same indexes
+  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // of the zone's controllers
 };
 
 }  // namespace mosspath::scheduler
--- a/src/scheduler/ahead_delegation.cc
+++ b/src/scheduler/ahead_delegation.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A holder is given this many times as much urgent work ahead as other work.
+// The limit for urgent work is this multiple of the limit for other work.
 constexpr double kUrgentAheadFactor = 2;
-constexpr double kMinTaskCpus = 0.1;  // that a task counts as
+constexpr double kMinTaskCpus = 0.1;  // a smaller task counts as this many CPUs
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   if (receivers.empty()) return;
   for (Job* job : waiting_jobs) {
     if (job->pending.empty() || !IsDelegable(*job)) continue;
-    // Best-effort work is for idle times: there are none while work waits ahead.
+    // Best-effort work runs only on idle capacity. Work that waits with a holder leaves none.
     if (job->best_effort) continue;
     const size_t max_tasks = start_gate_.PlaceableTasks(*job);
     if (max_tasks == 0) continue;
--- a/src/scheduler/holder_sharding.cc
+++ b/src/scheduler/holder_sharding.cc
@@ -17,10 +17,11 @@
 
 namespace {
 
-// The values of kSetDraining's count above which a machine drains, and is cordoned too.
+// A machine drains if the `count` of kSetDraining is above the first value, and is also cordoned if
+// it is above the second.
 constexpr uint64_t kNotDraining = 0;
 constexpr uint64_t kDrainingOnly = 1;
-// The value of kHandOverTasks' count that a leader of an earlier version sends.
+// The `count` of kHandOverTasks from a leader of an earlier version, which sends no revision.
 constexpr uint64_t kNoHandoverRevision = 0;
 
 }  // namespace
@@ -88,7 +89,7 @@
       lifecycle_.OnMachineDeleted(message.name, now);
       break;
     default:
-      return;  // only holders send it
+      return;  // only holders send the other kinds
   }
   state_.cluster.changed_since_pass = true;
 }
@@ -96,7 +97,8 @@
 void HolderSharding::OnDelegateTasks(const ShardMessage& message, double now) {
   Job* job = state_.cluster.FindJob(message.name);
   if (job == nullptr) {
-    // It is over by now, or not in our view yet, and then the leader may delegate it again.
+    // The job has ended, or this holder's view does not show it yet. In the latter case the leader
+    // may delegate the tasks again.
     return SendToLeader(Kind::kReturnTasks, message.name, message.tasks);
   }
   for (const uint32_t index : message.tasks) {
@@ -112,8 +114,8 @@
   Job* job = state_.cluster.FindJob(message.job);
   if (job == nullptr) return;
   const std::string& machine = message.name;
-  // A leader that sends the revision does so after the machine's record. What the machine had was
-  // seen already, or it is gone.
+  // A leader that sends the handover revision does so after writing the machine's record. The tasks
+  // of the machine are then known here already, or the machine is gone.
   const bool known = message.count != kNoHandoverRevision || IsMachineKnown(machine);
   const uint64_t reconciliation = state_.shard_leases.NextReconciliationId();
   for (const uint32_t index : message.tasks) {
@@ -161,7 +163,8 @@
   it->second.cordoned = drain_level > kDrainingOnly;
 }
 
-// A copy that is being stopped may still run: the task is where the copy is until that has ended.
+// A copy that is being stopped may still run. Until it has ended, no other copy may start, so the
+// task counts as placed on the copy's machine.
 bool HolderSharding::ReclaimAllocation(Job& job, uint32_t index) {
   const wire::TaskId task{job.spec.id, index};
   for (auto& [id, machine] : state_.cluster.machines) {
@@ -178,7 +181,7 @@
   return false;
 }
 
-// The leader has the task elsewhere, or as done.
+// The leader has the task on another controller's machines, or has recorded it as done.
 void HolderSharding::StopTask(const std::string& id, uint32_t index) {
   Job* job = state_.cluster.FindJob(id);
   if (job == nullptr || index >= job->spec.tasks) return;
@@ -241,7 +244,7 @@
   for (auto it = jobs.begin(); it != jobs.end();) {
     const auto next = std::next(it);
     Job& job = *it->second;
-    // What waits for room for too long may find some elsewhere.
+    // Tasks that have waited too long for capacity here may fit on another shard's machines.
     const bool waits_too_long = now - job.last_delegated_at > patience_s || job.crash_looping;
     if (leader_hears && !job.pending.empty() && waits_too_long) ReturnWaitingTasks(job);
     if (MayForgetJob(job, now)) {
@@ -252,7 +255,7 @@
   }
 }
 
-// Tasks of jobs that are over are returned once they are off their machines.
+// Returns the tasks of ended jobs once they no longer run on any machine.
 void HolderSharding::ReturnEndedTasks() {
   for (auto it = ended_tasks_.begin(); it != ended_tasks_.end();) {
     const auto next = std::next(it);
@@ -289,7 +292,7 @@
     const bool recalled_and_empty = machine.recall_requested && machine.allocations.empty() &&
                                     !machine.command_in_flight && !machine.awaits_recovery;
     if (machine.lost || recalled_and_empty) {
-      // The sender of the message adds the handover's revision.
+      // ShardHolder adds the handover revision to the count before it sends the message.
       state_.shard_leases.SendToLeader({.kind = Kind::kMachineReturned,
                                         .name = it->first,
                                         .count = machine.lost ? uint64_t{1} : 0});
--- a/src/scheduler/leader_sharding.cc
+++ b/src/scheduler/leader_sharding.cc
@@ -18,10 +18,10 @@
 
 namespace {
 
-// Retries of a crash looping job that a holder may report.
+// Limit on the retry count that is accepted from a holder's report on a crash-looping job.
 constexpr uint64_t kMaxRetries = 1000;
 
-// What kMachineReturned carries in its count (wire/shard_frame.h).
+// The decoded `count` of a kMachineReturned message (wire/shard_frame.h).
 struct ReturnedMachine {
   uint64_t handover_revision = 0;
   bool lost = false;
@@ -49,7 +49,8 @@
 
 void LeaderSharding::OpenLease(uint64_t lease, size_t shard, bool inherited) {
   state_.shard_leases.Open(lease, shard);
-  // Until its holder has claimed what it has, nobody knows what else may be started.
+  // Until the holder has claimed its tasks, the leader can't tell which other tasks are safe to
+  // start.
   if (inherited) state_.failover.AwaitHolder(lease);
 }
 
@@ -88,7 +89,7 @@
 
 std::vector<std::string> LeaderSharding::TakeBackDelegatedMachines(uint64_t lease,
                                                                    double last_acted) {
-  const bool recovery_waits = state_.failover.IsAwaiting(lease);
+  const bool recovery_awaits_holder = state_.failover.IsAwaiting(lease);
   std::vector<std::string> taken_back;
   for (const auto& [id, machine] : state_.cluster.delegated_machines) {
     if (machine.shard_lease == lease) taken_back.push_back(id);
@@ -96,14 +97,14 @@
   for (const auto& id : taken_back) {
     const Machine delegated = state_.cluster.delegated_machines.at(id);
     Machine& machine = handover_.TakeBack(delegated, lease, last_acted);
-    state_.failover.AddMachine(machine, recovery_waits);
+    state_.failover.AddMachine(machine, recovery_awaits_holder);
     machine.lease_renewed_at = last_acted;
   }
   return taken_back;
 }
 
-// The record may say already that the machine is the holder's, who may have spoken to it, and may
-// have started there what it was given. Returns the machines that must be asked what they run.
+// The record may already name the holder, so the holder may have sent commands to the machine and
+// started delegated tasks there. Returns the machines that must be probed for their tasks.
 std::vector<std::string> LeaderSharding::AbortHandovers(uint64_t lease, double last_acted) {
   std::vector<std::string> aborted;
   for (auto& [id, machine] : state_.cluster.machines) {
@@ -162,12 +163,12 @@
     case Kind::kCrashLoop:
       return OnCrashLoop(message, now);
     default:
-      return;  // only leaders send it
+      return;  // only leaders send the other kinds
   }
 }
 
-// The holder has tasks that this leader has not given: an earlier one did, or the holder's machines
-// ran them when it got them.
+// The holder has tasks that this leader has not delegated: an earlier leader delegated them, or
+// they ran on the holder's machines when these were handed over.
 void LeaderSharding::OnClaim(uint64_t lease, const ShardMessage& message) {
   Job* job = state_.cluster.FindJob(message.name);
   std::vector<uint32_t> refused;
@@ -184,8 +185,9 @@
   }
 }
 
-// The job is over, as this leader's view holds all jobs that were accepted before it was elected.
-// The task may still run, and nobody knows how much it takes of which team's limit.
+// The job has ended, since this leader's view contains all jobs that were accepted before its
+// election. The task may still run, but its team and its resources are no longer known, so it
+// counts as a task of unknown quota use.
 void LeaderSharding::OnClaimOfUnknownJob(uint64_t lease, const wire::TaskId& task) {
   cluster::ClusterState& cluster = state_.cluster;
   if (cluster.delegated_tasks.LeaseOf(task) != kNoLease) return;
@@ -194,7 +196,7 @@
   cluster.quota.AddUnknownTask();
 }
 
-// Returns false if the task is elsewhere or done.
+// Returns false if the task is done or runs elsewhere.
 bool LeaderSharding::AcceptClaim(uint64_t lease, Job& job, uint32_t index) {
   const wire::TaskId task{job.spec.id, index};
   cluster::ClusterState& cluster = state_.cluster;
@@ -208,9 +210,10 @@
   return cluster.delegated_tasks.LeaseOf(task) == lease || IsBeingHandedOver(task, lease);
 }
 
-// Whether the task is on a machine that the holder has got already, though the store has not
-// confirmed to us yet that the record says so. Taken for a copy, such a task was stopped there and
-// started elsewhere before it had ended: it ran twice.
+// Returns whether the task is on a machine that the holder may already command, although the store
+// has not confirmed the write of the record to this leader yet. Without this check the task was
+// treated as a second copy: it was stopped there and started elsewhere before it had ended, so it
+// ran twice.
 bool LeaderSharding::IsBeingHandedOver(const wire::TaskId& task, uint64_t lease) const {
   const cluster::Machines& machines = state_.cluster.machines;
   return std::any_of(machines.begin(), machines.end(), [&](const auto& it) {
@@ -221,8 +224,8 @@
   });
 }
 
-// The holder has claimed all that its machines ran at that revision, which counts if this leader
-// had been elected by then.
+// The holder has claimed all tasks of its machines as of `known_revision`. This counts only if this
+// leader had been elected by then.
 void LeaderSharding::OnSyncComplete(uint64_t lease, uint64_t known_revision) {
   if (known_revision >= state_.token && state_.failover.OnHolderSynced(lease)) {
     spdlog::info("scheduler: recovery_complete cause=holders_synced");
@@ -264,7 +267,7 @@
           held.outbox.push_back(std::move(message));
         }
       }
-      // The holder learns from the store which jobs are over.
+      // The holder reads from the store which jobs have ended.
       if (job == nullptr || not_durable.empty()) held.done_not_durable.erase(it);
       it = next;
     }
@@ -295,12 +298,12 @@
   state_.cluster.changed_since_pass = true;
 }
 
-// The machine is known to be empty, so nobody needs to ask it.
+// The machine is known to be empty, so it is not probed.
 void LeaderSharding::OnMachineReturned(uint64_t lease, const ShardMessage& message, double now) {
   const Machine* found = FindDelegated(message.name, lease);
   if (found == nullptr) return;
-  // A new leader is told of all that was returned, also of machines that were handed over again
-  // since, with tasks, which the holder does not know yet.
+  // A holder sends a new leader all its returns. A machine may have been handed over again since
+  // then, with tasks, without the holder having read the new record. Such a return is outdated.
   const ReturnedMachine returned = DecodeReturnedMachine(message.count);
   if (returned.handover_revision < found->handover_revision) return;
   const Machine delegated = *found;
@@ -326,8 +329,8 @@
   held.cpus = 0;
   for (auto& [id, machine] : state_.cluster.delegated_machines) {
     if (machine.shard_lease != lease) continue;
-    // Its holder reports only changes, so an idle machine has been idle since: without this no
-    // delegated machine was ever deleted.
+    // The holder reports only changes, so a machine that was reported idle is still idle. Without
+    // this extrapolation no delegated machine was ever deleted.
     if (machine.holder_status.idle) {
       machine.holder_status.idle_s += now - machine.holder_status_at;
     }
--- a/src/scheduler/machine_handover.cc
+++ b/src/scheduler/machine_handover.cc
@@ -14,12 +14,13 @@
 
 namespace {
 
-// At any time at most this many machines are being handed over, or this share of the leader's.
+// Limit on the handovers in progress: this number, or this share of the leader's machines if that
+// is more.
 constexpr size_t kMinHandovers = 8;
 constexpr double kMaxHandoverShare = 0.125;
-// At any time at most this share of the delegated machines is being recalled, but at least one.
+// Limit on the recalls in progress, as a share of the delegated machines; at least one is allowed.
 constexpr double kMaxRecallShare = 0.125;
-// Heartbeat intervals that work waits for room before machines are recalled for it.
+// Machines are recalled for a job once it has waited for this many heartbeat intervals.
 constexpr double kRecallPatienceHeartbeats = 0.5;
 
 size_t ShareOf(double share, size_t machines) {
@@ -53,7 +54,7 @@
   }
 }
 
-// The leader keeps room for the work that only it places.
+// Returns the CPUs that the leader keeps for the jobs that only it may place.
 double MachineHandover::CpusForLeaderOnlyWork() const {
   double cpus = 0;
   for (const auto& [id, job] : state_.cluster.jobs) {
@@ -66,11 +67,11 @@
 size_t MachineHandover::HandoversAllowed() const {
   const cluster::Machines& machines = state_.cluster.machines;
   const size_t limit = std::max(kMinHandovers, ShareOf(kMaxHandoverShare, machines.size()));
-  const auto under_way =
+  const auto in_progress =
       static_cast<size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& it) {
         return it.second.handover_lease != kNoLease;
       }));
-  return limit - std::min(limit, under_way);
+  return limit - std::min(limit, in_progress);
 }
 
 bool MachineHandover::CanHandOver(const Machine& machine, double now) const {
@@ -109,7 +110,7 @@
   state_.cluster.changed_since_pass = true;
 }
 
-// Tasks that are, or may be, on the machine.
+// Returns the tasks that run, or may run, on the machine.
 ShardLeases::TasksByJob MachineHandover::TasksToHandOver(const Machine& machine) const {
   ShardLeases::TasksByJob tasks_by_job;
   for (const auto& [key, allocation] : machine.allocations) {
@@ -142,13 +143,14 @@
 
 // ---------------------------------------------------------------------------- taking back
 
-// The holder's token for the machine is as high as the revision of the record that assigned it, so
-// nothing is said to the machine before a later write of that record.
+// The holder's fencing token for the machine is the revision of the record that assigned it. The
+// leader therefore sends the machine no commands until a later write of that record.
 //
-// Until it is known what is on the machine, its record goes on naming the lease that is over: a
-// leader that begins meanwhile must know that a holder of the past may still be answering it.
-// Counted from the election alone, such a machine was taken for lost while its holder, cut off with
-// it, renewed its agent's lease: a task ran twice.
+// Until the machine's tasks are known, its record keeps naming the ended lease, so that a new
+// leader takes into account that the former holder may still answer the machine's heartbeats.
+// Without this, a new leader counted the silence of such a machine from its own election only, and
+// declared the machine lost while the holder, partitioned together with it, still renewed the lease
+// of its agent: a task ran twice.
 Machine& MachineHandover::TakeBack(const Machine& delegated, uint64_t past_lease,
                                    double last_acted) {
   Machine machine;
@@ -187,7 +189,7 @@
       candidates.push_back(&machine);
     }
   }
-  // Those that will be empty first.
+  // Machines with the least work become empty first.
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Machine* a, const Machine* b) { return a->used_cpus < b->used_cpus; });
   const size_t limit =
--- a/tests/shard_map_test.cc
+++ b/tests/shard_map_test.cc
@@ -1,4 +1,4 @@
-// Which shard a machine belongs to, and which controller owns the shard.
+// The assignment of machines to shards, and of shards to controllers.
 #include "mosspath/scheduler/shard_map.h"
 
 #include <gtest/gtest.h>
