--- a/include/mosspath/shard/machine_status_filter.h
+++ b/include/mosspath/shard/machine_status_filter.h
@@ -1,5 +1,5 @@
-// Which states of a shard's machines the leader has to be sent: those that differ enough from what
-// it was sent last. Pure.
+// Selects the machine states that a holder sends to the leader: those that differ enough from the
+// state that was sent last. Pure.
 #pragma once
 
 #include <map>
@@ -11,17 +11,17 @@
 
 class MachineStatusFilter {
  public:
-  // Whether to send this kMachineStatus message of the machine `message.name`. If so, it counts as
-  // sent.
+  // Returns whether to send this kMachineStatus message of the machine `message.name`. If true, the
+  // message counts as sent.
   [[nodiscard]] bool ShouldSend(const wire::ShardMessage& message);
-  // The machine is no longer in the shard.
+  // Called when the machine is no longer in the shard.
   void Forget(const std::string& machine) { sent_.erase(machine); }
   // Forgets all machines for which `is_held(name)` is false.
   template <typename Predicate>
   void KeepOnly(Predicate is_held) {
     std::erase_if(sent_, [&](const auto& entry) { return !is_held(entry.first); });
   }
-  // Another leader, which was sent nothing yet.
+  // Called when there is another leader, to which nothing has been sent yet.
   void Clear() { sent_.clear(); }
 
  private:
--- a/include/mosspath/shard/reliable_channel.h
+++ b/include/mosspath/shard/reliable_channel.h
@@ -1,7 +1,7 @@
-// Exactly-once, in-order delivery of messages to the other controller, however often frames are
-// lost, repeated or late (sequence numbers, cumulative acknowledgements and a receive window, as
-// TCP has). One channel for each pair of a leader's term and a shard lease. Pure: the caller sends
-// the frames.
+// Exactly-once, in-order delivery of messages to another controller, however often frames are lost,
+// repeated or delayed. As in TCP, there are sequence numbers, cumulative acknowledgements and a
+// receive window. Each side has one channel for each pair of a leader's term and a shard lease.
+// Pure: the caller sends the frames.
 #pragma once
 
 #include <cstddef>
@@ -18,25 +18,25 @@
  public:
   // --- Outgoing ---
   void Enqueue(const wire::ShardMessage& message);
-  // Puts the unacknowledged messages into the frame, from the first on, as many as the other side
-  // takes, with the sequence numbers and the acknowledgement.
+  // Fills the frame with the acknowledgement and the unacknowledged messages, from the first on, as
+  // many as fit into the peer's receive window.
   void FillFrame(wire::ShardFrame& frame) const;
-  // A frame that FillFrame has filled is sent now.
+  // Called when a frame that FillFrame has filled is sent.
   void OnFrameSent(const wire::ShardFrame& frame);
-  // All messages are acknowledged.
+  // Whether all messages are acknowledged.
   [[nodiscard]] bool idle() const { return unacknowledged_.empty(); }
-  // There are messages that no frame has carried yet.
+  // Whether there are messages that no frame has carried yet.
   [[nodiscard]] bool has_unsent() const { return last_sent_ < last_sequence(); }
-  // Encoded bytes of the unacknowledged messages.
+  // Encoded size of the unacknowledged messages.
   [[nodiscard]] size_t bytes() const { return unacknowledged_bytes_; }
-  // Number of the last message; messages count from 1.
+  // Sequence number of the last message; numbers start at 1.
   [[nodiscard]] uint64_t last_sequence() const {
     return first_sequence_ + unacknowledged_.size() - 1;
   }
 
   // --- Incoming ---
-  // The new messages of a frame of this channel, in order. Throws wire::BadMessage on a frame that
-  // the other side can't have sent, and then nothing of it counts as received.
+  // Returns the new messages of a frame of this channel, in order. Throws wire::BadMessage on a
+  // frame that the peer can't have sent; then none of its messages count as received.
   std::vector<wire::ShardMessage> Receive(const wire::ShardFrame& frame);
 
  private:
@@ -44,10 +44,10 @@
 
   std::deque<std::string> unacknowledged_;  // encoded
   size_t unacknowledged_bytes_ = 0;
-  uint64_t first_sequence_ = 1;  // number of the first in unacknowledged_
-  uint64_t last_sent_ = 0;       // the last that a frame has carried
+  uint64_t first_sequence_ = 1;  // number of the first unacknowledged message
+  uint64_t last_sent_ = 0;       // number of the last message that a frame has carried
   uint64_t last_received_ = 0;
-  // What the other side takes in one frame, as it last said.
+  // Message bytes that the peer accepts in one frame, as of its last frame.
   uint64_t peer_window_bytes_ = wire::kMaxShardFrameBytes / 2;
 };
 
--- a/include/mosspath/shard/routing_table.h
+++ b/include/mosspath/shard/routing_table.h
@@ -1,6 +1,6 @@
-// Which controller commands which machine, as the state service shows it to every controller: the
-// records of the machines say under which shard lease one is held, and the records of the shards
-// who holds that lease (docs/sharding.md). Pure.
+// Maps each machine to the controller that commands it, from the records in the state service,
+// which every controller reads. A machine's record names the shard lease under which the machine is
+// held; the record of that lease names the holder (docs/sharding.md). Pure.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,31 @@
  public:
   struct MachineRoute {
     std::string address;
-    uint64_t lease = kvstore::kNoLease;      // of the shard that has the machine
-    uint64_t version = kvstore::kKeyAbsent;  // of the record that says so
-    uint64_t handover_revision = 0;          // counts the handovers of the machine
+    uint64_t lease = kvstore::kNoLease;      // of the shard that holds the machine
+    uint64_t version = kvstore::kKeyAbsent;  // of the pack that contains the machine's record
+    uint64_t handover_revision = 0;          // rises with each handover of the machine
   };
 
   void Clear() {
     packs_.clear();
     leases_.clear();
   }
-  // The controller holds its shard under this lease; kvstore::kNoLease: it holds none.
+  // Sets the lease under which the controller holds its shard; kvstore::kNoLease: it holds none.
   void OnLease(const std::string& node, uint64_t lease);
-  // A pack of the machines' record; null: it was deleted. Throws what the record's decoder throws.
+  // Replaces the routes of a pack of machine records; null: the pack was deleted. Passes on the
+  // exceptions of the record decoder.
   void OnPack(int pack, const wire::Json* value, uint64_t version);
 
-  // The lease of the controller's shard, or kvstore::kNoLease.
+  // Returns the lease of the controller's shard, or kvstore::kNoLease.
   [[nodiscard]] uint64_t LeaseOf(const std::string& node) const;
-  // The controller that commands the machine; empty: the leader does.
+  // Returns the controller that commands the machine; empty if the leader does.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
-  // The machines that are held under the lease, by their names.
+  // Returns the machines that are held under the lease, by name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease) const;
-  // The same of one pack only.
+  // Returns the machines of one pack that are held under the lease, by name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease, int pack) const;
   [[nodiscard]] bool IsUnder(uint64_t lease, const std::string& machine) const;
-  // The holders of all leases.
+  // Returns the holder of each lease.
   [[nodiscard]] const std::map<uint64_t, std::string>& leases() const { return leases_; }
 
  private:
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -1,10 +1,9 @@
-// The holder of a shard: it commands the shard's machines, places on them the tasks that the leader
-// delegates to it, and sends the leader the results. It has no records of its own: what is done
-// becomes durable through the leader, and until then the agents keep it (docs/design.md, rule 8;
-// and docs/sharding.md). Pure.
+// The holder of a shard: commands the shard's machines, places the tasks that the leader delegates,
+// and sends the results to the leader. A holder writes no records. The leader makes completions
+// durable; until then the agents keep them (docs/design.md, rule 8; and docs/sharding.md). Pure.
 //
-// The caller may let it act only while the shard's record shows this lease and the view of the
-// state service is fresh (docs/sharding.md, "How long a holder may act").
+// The caller may use this object to command machines only while the shard's record shows this lease
+// and the view of the state service is fresh (docs/sharding.md, "How long a holder may act").
 #pragma once
 
 #include <functional>
@@ -27,10 +26,10 @@
     uint64_t version = 0;
     double submitted_at = 0;
   };
-  // Looks up a live job in the watch cache; none: the job is over or not known.
+  // Looks up a live job in the watch cache. Returns none if the job has ended or is unknown.
   using FindJob = std::function<std::optional<LiveJob>(const std::string& id)>;
 
-  // Holds the shard with the index `own_shard` under `lease`.
+  // Holds the shard with the index `own_shard` under the shard lease `lease`.
   ShardHolder(const config::Settings& settings, const config::DerivedSettings& derived,
               size_t own_shard, uint64_t lease, double now, FindJob find_job);
 
@@ -38,20 +37,21 @@
   [[nodiscard]] scheduler::Scheduler& dispatcher() { return scheduler_; }
   [[nodiscard]] const scheduler::Scheduler& dispatcher() const { return scheduler_; }
 
-  // --- What the state service shows ---
-  // The machine belongs to the shard. The `version` of the record that says so is its fencing
-  // token, and `handover_revision` counts its handovers.
+  // --- Records of the state service ---
+  // The machine's record assigns it to this lease. The record's `version` is the fencing token for
+  // the machine; `handover_revision` rises with each handover.
   void OnMachineAssigned(const std::string& machine, const std::string& address, uint64_t version,
                          uint64_t handover_revision, double now);
-  // The record no longer says so.
+  // The machine's record no longer assigns it to this lease.
   void OnMachineUnassigned(const std::string& machine) { returned_.erase(machine); }
   struct ReturnedMachine {
-    bool lost = false;               // it did not answer, rather than being empty
-    uint64_t handover_revision = 0;  // under which it was held
+    bool lost = false;               // returned because it did not answer, not because it was empty
+    uint64_t handover_revision = 0;  // of the handover that the return ends
   };
-  // The machines that were given back although the record still has them here.
+  // The machines that were returned to the leader although their records still assign them to this
+  // lease.
   [[nodiscard]] const std::map<std::string, ReturnedMachine>& returned() const { return returned_; }
-  // Who leads now, by its token. A new leader is sent everything anew.
+  // Sets the token of the present leader. A new leader is sent all claims and states again.
   void OnLeader(uint64_t token);
   void OnJobEnded(const std::string& id, double now) { scheduler_.RemoveJob(id, now); }
 
@@ -63,18 +63,18 @@
 
   // --- The leader ---
   [[nodiscard]] uint64_t leader_token() const { return leader_token_; }
-  // False, and no effect: the frame is not from the present leader, or for another lease. Throws
-  // wire::BadMessage on a frame that no leader can have sent.
+  // Handles a frame. Returns false, without effect, if the frame is not from the present leader or
+  // is for another lease. Throws wire::BadMessage on a frame that no leader can have sent.
   bool OnFrame(const wire::ShardFrame& frame, double now);
-  // The frame to send now, if any. `revision`: up to where the watch cache has come.
+  // Returns the frame to send now, if any. `revision`: the latest revision in the watch cache.
   [[nodiscard]] std::optional<wire::ShardFrame> NextFrame(uint64_t revision, double now);
-  // The last frame was not answered, or refused: it is to be sent again.
+  // The last frame was refused or not answered, and must be sent again.
   void OnFrameLost() { next_frame_at_.reset(); }
-  // The frame that acknowledges what was received, with the messages that wait.
+  // Returns a frame with the acknowledgement and the queued messages.
   [[nodiscard]] wire::ShardFrame MakeAnswer();
 
   void Tick(double now);
-  // Most of its machines fell silent at once.
+  // Returns whether most of the shard's machines went silent at once.
   [[nodiscard]] bool IsPartitionedFromAgents(double now) {
     return scheduler_.IsPartitionedFromAgents(now);
   }
@@ -96,13 +96,13 @@
   ReliableChannel channel_;
   MachineStatusFilter status_filter_;
   uint64_t leader_token_ = 0;
-  bool claims_sent_ = false;    // this leader has been sent all that is held
-  bool synced_ = false;         // and that this is all
-  uint64_t applied_batch_ = 0;  // the last batch of delegated tasks
-  std::optional<double> leader_heard_at_;
-  std::optional<double> next_frame_at_;                 // none: at once
-  std::optional<double> next_status_at_;                // none: at once
-  std::map<std::string, uint64_t> handover_revisions_;  // of the machines that are held
+  bool claims_sent_ = false;    // all claims have been queued for this leader
+  bool synced_ = false;         // and kSyncComplete after them
+  uint64_t applied_batch_ = 0;  // the last batch of delegated tasks that was received
+  std::optional<double> last_leader_frame_at_;
+  std::optional<double> next_frame_at_;                 // none: immediately
+  std::optional<double> next_status_at_;                // none: immediately
+  std::map<std::string, uint64_t> handover_revisions_;  // of the held machines
   std::map<std::string, ReturnedMachine> returned_;
 };
 
--- a/include/mosspath/shard/shard_lease_manager.h
+++ b/include/mosspath/shard/shard_lease_manager.h
@@ -1,6 +1,6 @@
-// The leader's side of the shards: to which controllers they are leased, whose lease is taken back,
-// and the frames to and from their holders (docs/sharding.md). Pure: the caller writes the leases
-// and sends the frames.
+// The leader's management of shard leases: decides which controllers are granted a lease and whose
+// lease is revoked, and builds and handles the frames to and from the holders (docs/sharding.md).
+// Pure: the caller writes the leases and sends the frames.
 #pragma once
 
 #include <cstdint>
@@ -16,57 +16,57 @@
 
 namespace mosspath::shard {
 
-// Lives for one term of the leader. All times are seconds on its steady clock.
+// Lives for one term of the leader. All times are seconds on the leader's steady clock.
 class ShardLeaseManager {
  public:
-  // `scheduler` is the leader's, and must outlive this object; `token` is that of the term.
+  // `scheduler` is the leader's, and must outlive this object. `token`: fencing token of the term.
   ShardLeaseManager(const config::Settings& settings, const config::DerivedSettings& derived,
                     scheduler::Scheduler& scheduler, uint64_t token);
 
-  // Whether shards are leased; if not, the present leases are taken back.
+  // Sets whether shards may be leased. If not, the present leases are revoked.
   void AllowLeases(bool allowed) { allowed_ = allowed; }
 
-  // --- What the state service shows ---
-  // The controller offers to hold its shard, by a record of this version that hangs on its store
-  // lease; kvstore::kKeyAbsent: no longer.
+  // --- Records of the state service ---
+  // The controller offers to hold its shard, by a record of this version that is attached to its
+  // store lease; kvstore::kKeyAbsent: it no longer does.
   void OnOffer(const std::string& node, uint64_t version, uint64_t store_lease, double now);
-  // The controller holds its shard under this lease; kvstore::kNoLease: no longer.
+  // The controller holds its shard under this lease; kvstore::kNoLease: it no longer does.
   void OnLease(const std::string& node, uint64_t lease, double now);
-  // The same before the term begins: a lease that an earlier leader gave. One of the leader itself
-  // is ignored, since it is no holder any more.
+  // Before the term begins: the controller holds its shard under a lease that an earlier leader
+  // granted. A lease of this controller itself is ignored, since a leader holds no shard.
   void OnInheritedLease(const std::string& node, uint64_t lease);
 
   // --- Leases to write, each in a transaction under the leader key ---
   struct LeaseChange {
     std::string node;
-    // The version that the offer must still have; kvstore::kKeyAbsent: the lease is taken back.
+    // The version that the offer must still have; kvstore::kKeyAbsent: the lease is revoked.
     uint64_t offer = kvstore::kKeyAbsent;
-    uint64_t store_lease = kvstore::kNoLease;  // that the new lease hangs on
-    uint64_t lease = kvstore::kNoLease;        // to be taken back
+    uint64_t store_lease = kvstore::kNoLease;  // to which the new lease is attached
+    uint64_t lease = kvstore::kNoLease;        // to revoke
   };
-  // Each change is returned once, until OnChangeWritten.
+  // Returns the lease changes to write. A change is not returned again before OnChangeWritten.
   std::vector<LeaseChange> PendingChanges(double now);
-  // The write was answered. Its result is taken from the watch cache only.
+  // The store has answered the write. The new lease itself is read from the watch cache.
   void OnChangeWritten(const std::string& node, bool done, double now);
 
   // --- Frames ---
-  // False, and no effect: the frame is of another term or lease. Throws wire::BadMessage on a frame
-  // that no holder can have sent.
+  // Handles a frame. Returns false, without effect, if the frame is of another term or lease.
+  // Throws wire::BadMessage on a frame that no holder can have sent.
   bool OnFrame(const wire::ShardFrame& frame, double now);
   struct AddressedFrame {
     std::string node;
     wire::ShardFrame frame;
   };
-  // A frame for each holder to which something is to be sent now.
+  // Returns a frame for each holder that has messages due.
   [[nodiscard]] std::vector<AddressedFrame> NextFrames();
-  // The answer to a frame of the controller; none: it holds no lease.
+  // Returns the answer to a frame of the controller; none if the controller holds no lease.
   [[nodiscard]] std::optional<wire::ShardFrame> MakeAnswer(const std::string& node);
-  // A frame to the controller was not answered: it is to be sent again.
+  // A frame to the controller was not answered, and must be sent again.
   void OnFrameLost(const std::string& node);
 
-  // The controller that commands the machine; empty: the leader.
+  // Returns the controller that commands the machine; empty if the leader does.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
-  // This process did not run until `now`: no holder was silent for that time.
+  // This process did not run until `now`, so that time does not count as silence of the holders.
   void OnProcessStall(double now);
 
  private:
@@ -76,10 +76,10 @@
     uint64_t store_lease = kvstore::kNoLease;  // of the offer
     uint64_t lease = kvstore::kNoLease;
     ReliableChannel channel;
-    bool synced = false;                  // its holder has sent all that it has
-    std::optional<double> heard_at;       // a frame of its holder, or since when one is expected
-    std::optional<double> opened_at;      // since when its holder should send all that it has
-    std::optional<double> next_lease_at;  // before that no lease is given; none: at any time
+    bool synced = false;              // the holder has sent all its claims
+    std::optional<double> heard_at;   // when the last frame arrived, or since when one is expected
+    std::optional<double> opened_at;  // since when the holder's claims are expected
+    std::optional<double> next_lease_at;  // no lease is granted before; none: no limit
     bool write_in_flight = false;
     bool frame_lost = false;
 
@@ -88,12 +88,13 @@
   };
 
   [[nodiscard]] Shard* Find(const std::string& node);
-  // Whoever held this lease has offered to hold again since, which it does only once it has stopped
-  // acting under the lease.
+  // Returns whether the former holder of this lease has offered to hold its shard again since. A
+  // controller does so only once it has stopped acting under the lease.
   [[nodiscard]] bool HasCeased(uint64_t lease) const;
   void CloseLease(const std::string& node, Shard& shard, double now);
   void ForgetEndedLeases(double now);
-  // The lease is to be taken back, since its holder is not heard or leases are not allowed.
+  // Returns whether to revoke the lease: its holder is silent, or leases are not allowed. Also
+  // tells the scheduler whether the lease is ready.
   [[nodiscard]] bool MustRevoke(Shard& shard, double now);
   [[nodiscard]] bool MayLease(const Shard& shard, double now) const;
   [[nodiscard]] LeaseChange Revoke(const std::string& node, Shard& shard, double now);
@@ -103,8 +104,8 @@
   scheduler::Scheduler& scheduler_;
   const uint64_t token_;
   bool allowed_ = true;
-  std::map<std::string, Shard> shards_;           // by their controllers; without the leader's own
-  std::map<uint64_t, std::string> ended_leases_;  // the former holders of leases of this term
+  std::map<std::string, Shard> shards_;           // by controller; without the leader's own
+  std::map<uint64_t, std::string> ended_leases_;  // of this term, with their former holders
 };
 
 }  // namespace mosspath::shard
--- a/src/shard/machine_status_filter.cc
+++ b/src/shard/machine_status_filter.cc
@@ -7,7 +7,8 @@
 
 using MachineStatus = wire::ShardMessage::MachineStatus;
 
-// A change of the remaining work counts only beyond this share of it plus this many CPU seconds.
+// A change of the remaining work is sent only if it exceeds this share of the work plus this many
+// CPU seconds.
 constexpr double kWorkStepRatio = 0.2;
 constexpr double kWorkStepS = 1;
 
@@ -21,7 +22,7 @@
 
 bool IsEquivalent(const MachineStatus& sent, const MachineStatus& current) {
   if (!HasSameState(sent, current)) return false;
-  // The receiver extrapolates the idle time by its own clock.
+  // The leader extrapolates the idle time on its own clock.
   if (sent.idle) return true;
   const double change_s = std::abs(sent.remaining_cpu_s - current.remaining_cpu_s);
   return change_s <= kWorkStepRatio * current.remaining_cpu_s + kWorkStepS;
--- a/src/shard/reliable_channel.cc
+++ b/src/shard/reliable_channel.cc
@@ -7,8 +7,8 @@
 namespace mosspath::shard {
 namespace {
 
-constexpr size_t kMaxHeaderBytes = 512;    // of a frame
-constexpr size_t kMessageLengthBytes = 3;  // before each message
+constexpr size_t kMaxHeaderBytes = 512;    // of a frame, besides its messages
+constexpr size_t kMessageLengthBytes = 3;  // length prefix of each message
 
 }  // namespace
 
@@ -44,7 +44,7 @@
   uint64_t sequence = frame.first_sequence;
   for (const auto& encoded : frame.messages) {
     const uint64_t next_sequence = last_received_ + fresh.size() + 1;
-    // A gap: an earlier frame is still under way, or was lost. Its messages come again.
+    // There is a gap: an earlier frame is delayed or lost. The peer resends its messages.
     if (sequence > next_sequence) break;
     if (sequence == next_sequence) fresh.push_back(wire::DecodeShardMessage(encoded));
     ++sequence;
--- a/src/shard/shard_holder.cc
+++ b/src/shard/shard_holder.cc
@@ -8,14 +8,14 @@
 
 using Kind = wire::ShardMessage::Kind;
 
-constexpr double kStatusPerHeartbeat = 8;  // status updates to the leader in a heartbeat interval
-constexpr double kFramesPerHeartbeat = 4;  // frames in a heartbeat interval, at least
-constexpr double kWaitHeartbeats = 2;      // for which delegated tasks wait for room here
-// While more than this is unacknowledged, the states of machines wait.
+constexpr double kStatusPerHeartbeat = 8;  // status updates to the leader per heartbeat interval
+constexpr double kFramesPerHeartbeat = 4;  // minimum number of frames per heartbeat interval
+constexpr double kWaitHeartbeats = 2;      // delegated tasks are returned after waiting this long
+// No machine states are queued while more bytes than this are unacknowledged.
 constexpr size_t kMaxOutstandingBytes = wire::kMaxShardFrameBytes / 4;
 
-// The `count` of a kMachineReturned message: the leader must not take an earlier return for that of
-// a later handover.
+// Returns the `count` of a kMachineReturned message. It contains the handover revision, so that the
+// leader does not apply the return to a later handover of the machine.
 uint64_t EncodeReturn(const ShardHolder::ReturnedMachine& returned) {
   return returned.handover_revision << 1 | (returned.lost ? 1U : 0U);
 }
@@ -34,8 +34,8 @@
 
 void ShardHolder::OnMachineAssigned(const std::string& machine, const std::string& address,
                                     uint64_t version, uint64_t handover_revision, double now) {
-  // A machine that was given back belongs to the leader as soon as it knows of that, whatever the
-  // record says until the machine is handed over again.
+  // A returned machine belongs to the leader as soon as the leader receives the return. The record
+  // still names this lease then, and must be ignored until the machine is handed over again.
   if (const auto returned = returned_.find(machine); returned != returned_.end()) {
     if (handover_revision <= returned->second.handover_revision) return;
     returned_.erase(returned);
@@ -52,7 +52,7 @@
   synced_ = false;
   status_filter_.Clear();
   applied_batch_ = 0;
-  leader_heard_at_.reset();
+  last_leader_frame_at_.reset();
   next_frame_at_.reset();
   next_status_at_.reset();
 }
@@ -64,7 +64,7 @@
   }
 }
 
-// A task whose job is not found is taken for one of a job that is over.
+// A task whose job is not found counts as a task of an ended job.
 void ShardHolder::LoadJobsOf(const wire::Heartbeat& heartbeat) {
   for (const auto& status : heartbeat.tasks) LoadJob(status.task.job);
 }
@@ -85,7 +85,7 @@
 bool ShardHolder::OnFrame(const wire::ShardFrame& frame, double now) {
   const bool from_present_leader = frame.from_leader && frame.leader_token == leader_token_;
   if (!from_present_leader || frame.lease != lease_) return false;
-  leader_heard_at_ = now;
+  last_leader_frame_at_ = now;
   for (auto& message : channel_.Receive(frame)) OnLeaderMessage(message, now);
   return true;
 }
@@ -96,10 +96,11 @@
     applied_batch_ = std::max(applied_batch_, message.count);
   } else if (message.kind == Kind::kHandOverTasks) {
     LoadJob(message.job);
-    // The machine may have been given back before the leader had read that its record was written:
-    // tasks that were looked for on it then kept the next leader from settling. But a machine that
-    // was handed over again since may have these tasks: taken for the first handover's, they ran
-    // twice. The scheduler gets 1 for a machine that was given back, else 0.
+    // This holder may have returned the machine before the leader had confirmed that the machine's
+    // record was written. If the tasks are then expected on the machine, their reconciliation never
+    // ends and blocks the recovery of the next leader. But if the machine has been handed over
+    // again since its return, the tasks may run on it: assigned to the first handover, they ran
+    // twice. The scheduler gets a count of 1 for a returned machine, else 0.
     const auto returned = returned_.find(message.name);
     const bool is_returned =
         returned != returned_.end() && message.count <= returned->second.handover_revision;
@@ -108,8 +109,9 @@
   scheduler_.OnLeaderMessage(message, now);
 }
 
-// What was given back must be known here before the record is looked at again: a machine that was
-// taken once more under its old token was never heard, counted as lost, and its tasks ran twice.
+// Returned machines must be registered here before the records are read again. Otherwise a returned
+// machine was accepted once more under its old token, its heartbeats never arrived here, it counted
+// as lost, and its tasks ran twice.
 void ShardHolder::AcceptReturnedMachines() {
   for (auto& message : scheduler_.TakeLeaderMessages()) {
     if (message.kind == Kind::kMachineReturned) {
@@ -120,7 +122,7 @@
       handover_revisions_.erase(message.name);
       status_filter_.Forget(message.name);
     }
-    // Before the claims are sent, messages are for an earlier leader: the claims replace them.
+    // Messages from before the claims are meant for an earlier leader. The claims replace them.
     if (claims_sent_) channel_.Enqueue(message);
   }
 }
@@ -159,7 +161,7 @@
 }
 
 std::optional<wire::ShardFrame> ShardHolder::NextFrame(uint64_t revision, double now) {
-  // A leader that the watch cache has not caught up with would be sent too little.
+  // Until the watch cache has caught up with the leader's election, the claims may be incomplete.
   if (leader_token_ == 0 || revision < leader_token_) return std::nullopt;
   EnqueueUpdates(revision, now);
   const bool is_due = !next_frame_at_ || now >= *next_frame_at_;
@@ -181,8 +183,9 @@
 void ShardHolder::Tick(double now) {
   scheduler_.Tick(now);
   const double silence_limit_s = settings_.heartbeat_s / 2 + derived_.placement_interval_s;
-  const bool leader_is_up = leader_heard_at_ && now - *leader_heard_at_ < silence_limit_s;
-  scheduler_.ReturnExcess(kWaitHeartbeats * settings_.heartbeat_s, leader_is_up, now);
+  const bool leader_reachable =
+      last_leader_frame_at_ && now - *last_leader_frame_at_ < silence_limit_s;
+  scheduler_.ReturnExcess(kWaitHeartbeats * settings_.heartbeat_s, leader_reachable, now);
   AcceptReturnedMachines();
 }
 
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -10,11 +10,12 @@
 namespace mosspath::shard {
 namespace {
 
-// In lives of a store lease:
-constexpr double kReadyLeases = 1;     // a holder that is silent for longer is delegated nothing
-constexpr double kPatienceLeases = 4;  // a holder that is silent for longer loses its lease
-constexpr double kPauseLeases = 2;     // from the end of a lease to the next one of the shard
-// In lives of an agent's lease: the same pause after a lease was taken back.
+// In multiples of the store lease's TTL:
+constexpr double kReadyLeases = 1;     // after a longer silence, nothing is delegated to the holder
+constexpr double kPatienceLeases = 4;  // after a longer silence, the holder's lease is revoked
+constexpr double kPauseLeases = 2;     // from the end of a lease to the shard's next lease
+// In multiples of the agent lease's TTL: the pause between the revocation of a lease and the
+// shard's next lease.
 constexpr double kRevokedPauseAgentLeases = 0.5;
 
 }  // namespace
@@ -90,7 +91,8 @@
   if (const auto ended = ended_leases_.find(lease); ended != ended_leases_.end()) {
     return offered_since(ended->second);
   }
-  // A lease that an earlier leader gave: nobody knows to whom. This controller holds nothing.
+  // An earlier leader granted the lease, and the holder is unknown. It can be any controller other
+  // than this one, which holds no shard.
   return std::all_of(shards_.begin(), shards_.end(),
                      [&](const auto& entry) { return offered_since(entry.first); });
 }
@@ -119,11 +121,11 @@
 }
 
 bool ShardLeaseManager::MustRevoke(Shard& shard, double now) {
-  // The holder of an earlier leader's lease has yet to find this leader.
+  // The holder of an inherited lease still has to find this leader, so its time limits start now.
   if (!shard.opened_at) shard.opened_at = now;
   if (!shard.heard_at) shard.heard_at = now;
   const double silence_s = now - *shard.heard_at;
-  // Nothing of earlier jobs starts before the holder has sent all that it has.
+  // Tasks of earlier jobs can't start before the holder has sent all its claims.
   const bool sync_is_late = !shard.synced && now - *shard.opened_at > settings_.agent_lease_s;
   const bool silent = silence_s > kPatienceLeases * derived_.store_lease_s || sync_is_late;
   const bool ready = shard.synced && silence_s < kReadyLeases * derived_.store_lease_s;
@@ -149,7 +151,7 @@
 void ShardLeaseManager::OnChangeWritten(const std::string& node, bool done, double now) {
   Shard* shard = Find(node);
   if (shard == nullptr) return;
-  // Whatever the result was, the watch cache shows it soon.
+  // The watch cache shows the outcome of the write soon, whatever the answer was.
   shard->DelayLeaseUntil(now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
   shard->write_in_flight = false;
 }
@@ -190,7 +192,7 @@
 std::vector<ShardLeaseManager::AddressedFrame> ShardLeaseManager::NextFrames() {
   std::vector<AddressedFrame> frames;
   for (auto& [node, shard] : shards_) {
-    // The holder sends first: by then it knows who leads.
+    // The holder sends the first frame, which shows that it has read who leads.
     if (!shard.IsLeased() || !shard.synced) continue;
     for (const auto& message : scheduler_.TakeHolderMessages(shard.lease)) {
       shard.channel.Enqueue(message);
--- a/tests/reliable_channel_test.cc
+++ b/tests/reliable_channel_test.cc
@@ -28,7 +28,7 @@
     std::vector<uint64_t> received;
     const auto frame_of = [&](ReliableChannel& channel) {
       wire::ShardFrame frame;
-      frame.receive_window_bytes = 1 + random() % 200;  // sometimes hardly any
+      frame.receive_window_bytes = 1 + random() % 200;  // may be smaller than one message
       channel.FillFrame(frame);
       channel.OnFrameSent(frame);
       return frame;
--- a/tests/shard_holder_test.cc
+++ b/tests/shard_holder_test.cc
@@ -1,4 +1,4 @@
-// A shard holder by itself.
+// Unit tests of ShardHolder, without a leader.
 #include "mosspath/shard/shard_holder.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 
 using wire::ShardMessage;
 
-// A machine that is handed over a second time, before its holder ever saw the record in between,
-// has the tasks that it is handed over with. Treated as returned, as after the first handover, they
-// ran twice.
+// A returned machine may be handed over again before the holder has read the record in between. The
+// tasks of the second handover then are on the machine. The holder treated them as tasks of a
+// returned machine, and they ran twice.
 TEST(ShardHolderTest, AMachineHandedOverAgainIsNotTheReturnedOne) {
   config::Settings settings;
   settings.name = "hut-1";
--- a/tests/shard_model_test.cc
+++ b/tests/shard_model_test.cc
@@ -1,4 +1,5 @@
-// Every order of events of a small model of leasing shards and moving machines.
+// Exhaustive exploration of the orders of events in a small model of shard leases and machine
+// handovers.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -17,9 +18,10 @@
 namespace mosspath::shard {
 namespace {
 
-// A leader, two shard holders, two machines, two tasks. The leader and the holders are the real
-// decision classes; the records, the frames and the agents are as small as can be. A walk is a list
-// of choices; every list up to a length is walked, each from the initial state.
+// A leader, two shard holders, two machines and two tasks. The leader and the holders are the
+// production classes; the records, the frames and the agents are minimal models. A walk is a list
+// of choices, which is executed from the initial state. The test extends every walk that reached a
+// new state by each choice, up to a maximum length.
 class Model {
  public:
   static constexpr int kChoices = 11;
@@ -39,41 +41,42 @@
     for (int i = 0; i < 2; ++i) SendHeartbeat("vm-1", true), SendHeartbeat("vm-2", true);
     Lease(1);
     Lease(2);
-    // From here on the holders are ready; no machine is recorded or handed over and no task placed.
+    // After this the holders are ready. No machine is recorded or handed over, and no task is
+    // placed.
     Exchange(1, false);
     Exchange(2, false);
   }
 
-  // False: the choice changes nothing here.
+  // Executes a choice. Returns false if the choice has no effect in this state.
   bool Step(int choice) {
     now_ += 0.3;
     if (choice < kChoices) choice_counts_[choice] = std::min(choice_counts_[choice] + 1, 2);
     switch (choice) {
-      case 0:  // the leader decides
+      case 0:  // the leader's periodic work
         leader_.Tick(now_);
         lease_manager_.PendingChanges(now_);
         return true;
-      case 1:  // its records are written, and acknowledged
+      case 1:  // the leader's records are written, and the write is acknowledged
         return Write(true);
-      case 2:  // they are written, and the acknowledgement is delayed
+      case 2:  // the records are written, and the acknowledgement is delayed
         return Write(false);
       case 3:
         return AcknowledgeWrite();
       case 4:
       case 5:  // a holder reads the records and exchanges frames with the leader
         return Exchange(choice - 3, false);
-      case 6:  // its frame is received and the answer is lost
+      case 6:  // the leader receives the holder's frame, and the answer is lost
         return Exchange(1, true);
       case 7:
         return SendHeartbeat("vm-1", false);
       case 8:
         return SendHeartbeat("vm-2", false);
-      case 9:  // a holder's lease ends, which it has not noticed
+      case 9:  // a holder's lease ends, and the holder has not read that yet
         if (leases_[1] == 0) return false;
         expired_holders_.push_back(std::move(holders_[1]));
         lease_manager_.OnLease("hut-1", leases_[1] = 0, now_);
         return true;
-      case 10:  // what holders still do after their lease
+      case 10:  // holders of ended leases still act
         if (expired_holders_.empty()) return false;
         for (auto& holder : expired_holders_) {
           holder->Tick(now_);
@@ -116,7 +119,7 @@
     }
   }
 
-  // The state as text: all that decides what follows, as far as walks can tell it apart.
+  // Returns a text key of the state: the variables that determine the effect of further choices.
   std::string State() {
     std::string out;
     const auto put = [&](uint64_t value) { out += std::to_string(value) + ","; };
@@ -147,7 +150,7 @@
       out += ";";
     }
     put(write_in_flight_), put(unacknowledged_revision_ != 0);
-    // The contents of the channels follow from how often each controller sent.
+    // The number of sends of each controller represents the contents of the channels.
     for (const int choice : {0, 4, 5, 6}) put(static_cast<uint64_t>(choice_counts_[choice]));
     return out;
   }
@@ -336,7 +339,7 @@
   }
   RecordProperty("states", static_cast<int>(seen.size()));
   RecordProperty("walks", static_cast<int>(walks));
-  // Fewer would mean that walks end early and nothing is tested.
+  // With fewer states, walks would end early and the invariants would hardly be tested.
   EXPECT_GT(seen.size(), 300u);
 }
 
