--- a/include/mosspath/service/shard_holder_service.h
+++ b/include/mosspath/service/shard_holder_service.h
@@ -1,5 +1,6 @@
-// A controller's duties while it holds a block: it commands the block's machines and talks with the
-// leader. Ends with the lease, or when the controller leads; answers that come later are dropped.
+// Runs this controller's shard holder: owns the timers, sends commands to the shard's machines, and
+// exchanges frames with the leader. Lives until the shard lease ends or this controller is elected;
+// answers that arrive later are dropped. Runs on the thread of its io_context.
 #pragma once
 
 #include <functional>
@@ -21,7 +22,7 @@
  public:
   ShardHolderService(asio::io_context& io, const config::Settings& settings,
                      const config::DerivedSettings& derived, election::Elector& elector,
-                     const kvstore::WatchCache& mirror, const JobService& jobs,
+                     const kvstore::WatchCache& cache, const JobService& jobs,
                      net::StallDetector& stalls, PeerFrameSender& frames,
                      std::shared_ptr<net::SocketBudget> sockets, uint64_t lease);
 
@@ -30,21 +31,24 @@
   void Start();
   void Stop();
 
-  // The machines that the state service shows under this lease, in one pack or in all.
+  // Accepts the machines that the records assign to this lease: in one pack, or in all packs.
   void OnMachinesAssigned(const shard::RoutingTable& routes, int pack);
   void OnAllMachinesAssigned(const shard::RoutingTable& routes);
-  // Jobs that ended while the mirror was loaded anew left no event.
+  // Removes the jobs that ended while the watch cache was reloaded, for which there was no event.
   void RemoveEndedJobs();
   void OnLeader(const std::string& node, uint64_t token);
 
-  // May act at this moment: the view that shows its lease is fresh.
+  // Returns whether commands may be sent now: the view that shows the lease is fresh.
   bool MayAct() const;
   bool Owns(const std::string& machine) const { return holder_.dispatcher().Owns(machine); }
-  scheduler::HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& r);
+  scheduler::HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& heartbeat);
   std::optional<wire::ShardFrame> OnFrame(const wire::ShardFrame& frame);
+  // Schedules a placement pass, after which commands and a frame are sent. No effect while a pass
+  // is already scheduled.
   void ScheduleTick();
 
-  // Most machines of the block can't be heard: others may hold it better.
+  // Called when most machines of the shard are unreachable from here. Another controller may reach
+  // them.
   std::function<void()> on_partitioned;
   net::OnMalformed on_malformed;
 
@@ -57,18 +61,18 @@
   const config::Settings& settings_;
   const config::DerivedSettings derived_;
   election::Elector& elector_;
-  const kvstore::WatchCache& mirror_;
+  const kvstore::WatchCache& cache_;
   const JobService& jobs_;
   net::StallDetector& stalls_;
   PeerFrameSender& frames_;
   shard::ShardHolder holder_;
   net::Timer tick_timer_;
-  net::Timer kick_timer_;
+  net::Timer pass_timer_;
   CommandClient commands_;
   std::string leader_;
   bool stopped_ = false;
-  bool kicked_ = false;
-  double next_place_ = 0;
+  bool pass_scheduled_ = false;
+  double next_pass_at_ = 0;  // earliest time of the next placement pass
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/shard_lease_service.h
+++ b/include/mosspath/service/shard_lease_service.h
@@ -1,5 +1,5 @@
-// The leader's side of shards: writes the leases that the manager decides on, and exchanges frames
-// with the holders.
+// The leader's I/O for shards: writes the lease changes that ShardLeaseManager decides on, and
+// exchanges frames with the holders.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 class ShardLeaseService {
  public:
   // The elector and the sender outlive the service. `on_answered` is called after the answer to a
-  // frame was taken.
+  // frame was handled.
   ShardLeaseService(const LeaderContext& context, const election::Elector& elector,
                     PeerFrameSender& frames, net::OnMalformed on_malformed,
                     std::function<void()> on_answered);
@@ -26,11 +26,11 @@
   [[nodiscard]] shard::ShardLeaseManager& manager() { return manager_; }
   // Writes pending lease changes, each in a transaction under the leader key.
   void WriteLeaseChanges();
-  // Sends each holder what is due to it.
+  // Sends each holder the frame that is due, if any.
   void SendFrames();
-  // Takes a holder's frame. Returns whether it was of this leadership and a valid lease.
+  // Handles a holder's frame. Returns whether the frame belongs to this term and to a valid lease.
   [[nodiscard]] bool OnFrame(const wire::ShardFrame& frame);
-  // The answer to a frame of that controller; none if nothing is to be said.
+  // Returns the answer to a frame of that controller; none if the controller holds no lease.
   [[nodiscard]] std::optional<wire::ShardFrame> MakeAnswer(const std::string& node);
 
  private:
--- a/include/mosspath/service/shard_membership.h
+++ b/include/mosspath/service/shard_membership.h
@@ -1,6 +1,5 @@
-// This controller's part in the sharding of machines (docs/sharding.md): offers
-// to hold its shard, holds it while the state service shows the lease, and
-// knows who holds the others.
+// This controller's participation in sharding (docs/sharding.md): offers to hold its own shard,
+// holds the shard while the state service shows its lease, and tracks the holders of all shards.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -29,7 +28,7 @@
 
 class ShardMembership {
  public:
-  // All that these refer to outlives the membership.
+  // The referenced objects outlive this object.
   struct Dependencies {
     asio::io_context& io;
     const config::Settings& settings;
@@ -44,7 +43,7 @@
     const OperatorSettingsApi& operator_settings;
     std::shared_ptr<net::SocketBudget> sockets;
   };
-  // This controller as the leader; null while it does not lead.
+  // Returns this controller's leader service; null while it does not lead.
   using GetLeader = std::function<LeaderService*()>;
 
   ShardMembership(const Dependencies& dependencies, net::OnMalformed on_malformed,
@@ -55,24 +54,24 @@
 
   void Start();
 
-  // --- What the watch cache shows ---
+  // --- Events of the watch cache ---
   void OnReset();
-  // An offer or a lease of a shard. Returns false if the key is neither.
+  // Handles the key of a shard offer or a shard lease. Returns false for any other key.
   bool OnKey(const kvstore::Event& event);
   void OnMachinesPack(int pack, const kvstore::Event& event);
   void OnLeaderKey();
-  // The cache is loaded, again or for the first time.
+  // The cache is loaded, for the first time or after a reset.
   void OnCacheLoaded();
 
-  // --- This controller leads from now on ---
-  // Whoever leads holds no shard: what it held is asked what it has, like all
-  // that is inherited.
+  // --- Election of this controller ---
+  // Stops holding the shard. A leader holds no shard: it probes the machines of its former shard
+  // for their tasks, as it does with all inherited machines.
   void StopHolding();
-  // Gives the new leader's lease manager all leases and offers, and removes
-  // this node's own lease.
+  // Passes all leases and offers to the new leader's lease manager, and removes this node's own
+  // lease.
   void HandOverTo(LeaderService& leader, uint64_t token, double now);
 
-  // This controller as a holder; null while it holds no shard.
+  // Returns this controller's holder service; null while it holds no shard.
   [[nodiscard]] ShardHolderService* holder() { return holder_.get(); }
   [[nodiscard]] const shard::RoutingTable& routes() const { return routes_; }
 
@@ -94,7 +93,7 @@
   const net::OnMalformed on_malformed_;
   const GetLeader leader_;
   shard::RoutingTable routes_;
-  std::map<std::string, Offer> offers_;  // by their controllers
+  std::map<std::string, Offer> offers_;  // by controller
   uint64_t own_store_lease_ = 0;         // to which this node's shard lease is attached; 0: none
   std::shared_ptr<ShardHolderService> holder_;
   net::Timer offer_timer_;
--- a/src/service/shard_holder_service.cc
+++ b/src/service/shard_holder_service.cc
@@ -12,12 +12,13 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kPauseRatio = 3;  // between passes, in the time that the last one took
+// Minimum pause between placement passes, as a multiple of the duration of the last pass.
+constexpr double kPauseRatio = 3;
 
-size_t OwnBlock(const config::Settings& settings) {
-  const scheduler::ShardMap blocks(settings);
+size_t OwnShard(const config::Settings& settings) {
+  const scheduler::ShardMap shards(settings);
   size_t own = 0;
-  while (blocks.OwnerOf(own) != settings.name) ++own;
+  while (shards.OwnerOf(own) != settings.name) ++own;
   return own;
 }
 
@@ -29,27 +30,27 @@
 
 ShardHolderService::ShardHolderService(asio::io_context& io, const config::Settings& settings,
                                        const config::DerivedSettings& derived,
-                                       election::Elector& elector,
-                                       const kvstore::WatchCache& mirror, const JobService& jobs,
-                                       net::StallDetector& stalls, PeerFrameSender& frames,
+                                       election::Elector& elector, const kvstore::WatchCache& cache,
+                                       const JobService& jobs, net::StallDetector& stalls,
+                                       PeerFrameSender& frames,
                                        std::shared_ptr<net::SocketBudget> sockets, uint64_t lease)
     : io_(io),
       settings_(settings),
       derived_(derived),
       elector_(elector),
-      mirror_(mirror),
+      cache_(cache),
       jobs_(jobs),
       stalls_(stalls),
       frames_(frames),
-      holder_(settings, derived, OwnBlock(settings), lease, net::Now(),
+      holder_(settings, derived, OwnShard(settings), lease, net::Now(),
               [this](const std::string& id) -> std::optional<shard::ShardHolder::LiveJob> {
                 const jobs::AcceptedJob* job = jobs_.FindLive(id);
                 if (job == nullptr) return std::nullopt;
-                const double age = std::max(0.0, WallSeconds() - job->submitted_wall_s);
-                return shard::ShardHolder::LiveJob{job->spec, job->version, net::Now() - age};
+                const double age_s = std::max(0.0, WallSeconds() - job->submitted_wall_s);
+                return shard::ShardHolder::LiveJob{job->spec, job->version, net::Now() - age_s};
               }),
       tick_timer_(io),
-      kick_timer_(io),
+      pass_timer_(io),
       commands_(io, std::move(sockets)) {}
 
 void ShardHolderService::Start() { Tick(); }
@@ -57,37 +58,39 @@
 void ShardHolderService::Stop() {
   stopped_ = true;
   tick_timer_.Cancel();
-  kick_timer_.Cancel();
+  pass_timer_.Cancel();
   commands_.Clear();
 }
 
 bool ShardHolderService::MayAct() const { return !stopped_ && elector_.ViewIsFresh(net::Now()); }
 
 void ShardHolderService::OnMachinesAssigned(const shard::RoutingTable& routes, int pack) {
-  for (const auto& [id, e] : routes.MachinesUnder(lease(), pack)) {
-    holder_.OnMachineAssigned(id, e.address, e.version, e.handover_revision, net::Now());
+  for (const auto& [id, route] : routes.MachinesUnder(lease(), pack)) {
+    holder_.OnMachineAssigned(id, route.address, route.version, route.handover_revision,
+                              net::Now());
   }
-  std::vector<std::string> gone;
-  for (const auto& [id, lost] : holder_.returned()) {
-    if (!routes.IsUnder(lease(), id)) gone.push_back(id);
+  std::vector<std::string> unassigned;
+  for (const auto& [id, returned_machine] : holder_.returned()) {
+    if (!routes.IsUnder(lease(), id)) unassigned.push_back(id);
   }
-  for (const auto& id : gone) holder_.OnMachineUnassigned(id);
+  for (const auto& id : unassigned) holder_.OnMachineUnassigned(id);
   ScheduleTick();
 }
 
 void ShardHolderService::OnAllMachinesAssigned(const shard::RoutingTable& routes) {
-  for (const auto& [id, e] : routes.MachinesUnder(lease())) {
-    holder_.OnMachineAssigned(id, e.address, e.version, e.handover_revision, net::Now());
+  for (const auto& [id, route] : routes.MachinesUnder(lease())) {
+    holder_.OnMachineAssigned(id, route.address, route.version, route.handover_revision,
+                              net::Now());
   }
   ScheduleTick();
 }
 
 void ShardHolderService::RemoveEndedJobs() {
-  std::vector<std::string> over;
+  std::vector<std::string> ended;
   for (const auto& [id, job] : holder_.dispatcher().jobs()) {
-    if (jobs_.FindLive(id) == nullptr) over.push_back(id);
+    if (jobs_.FindLive(id) == nullptr) ended.push_back(id);
   }
-  for (const auto& id : over) holder_.OnJobEnded(id, net::Now());
+  for (const auto& id : ended) holder_.OnJobEnded(id, net::Now());
 }
 
 void ShardHolderService::OnLeader(const std::string& node, uint64_t token) {
@@ -95,8 +98,8 @@
   holder_.OnLeader(token);
 }
 
-scheduler::HeartbeatAnswer ShardHolderService::OnHeartbeat(const wire::Heartbeat& r) {
-  scheduler::HeartbeatAnswer answer = holder_.OnHeartbeat(r, net::Now());
+scheduler::HeartbeatAnswer ShardHolderService::OnHeartbeat(const wire::Heartbeat& heartbeat) {
+  scheduler::HeartbeatAnswer answer = holder_.OnHeartbeat(heartbeat, net::Now());
   ScheduleTick();
   return answer;
 }
@@ -108,19 +111,19 @@
 }
 
 void ShardHolderService::ScheduleTick() {
-  if (kicked_ || stopped_) return;
-  kicked_ = true;
-  kick_timer_.After(next_place_ - net::Now(), [self = shared_from_this()] {
-    self->kicked_ = false;
+  if (pass_scheduled_ || stopped_) return;
+  pass_scheduled_ = true;
+  pass_timer_.After(next_pass_at_ - net::Now(), [self = shared_from_this()] {
+    self->pass_scheduled_ = false;
     self->stalls_.Check();
     if (!self->MayAct()) return;
-    const double begun = net::Now();
-    self->holder_.dispatcher().Place(begun);
+    const double began_at = net::Now();
+    self->holder_.dispatcher().Place(began_at);
     self->SendCommands();
     self->SendFrame();
     const double now = net::Now();
-    self->next_place_ =
-        now + std::max(self->derived_.placement_interval_s, kPauseRatio * (now - begun));
+    self->next_pass_at_ =
+        now + std::max(self->derived_.placement_interval_s, kPauseRatio * (now - began_at));
   });
 }
 
@@ -141,17 +144,17 @@
 }
 
 void ShardHolderService::SendCommands() {
-  for (scheduler::CommandBatch& order :
+  for (scheduler::CommandBatch& batch :
        holder_.dispatcher().TakeCommands(net::Now(), commands_.Capacity())) {
-    const double timeout = order.commands.empty() ? derived_.probe_answer_s : settings_.heartbeat_s;
+    const double timeout = batch.commands.empty() ? derived_.probe_answer_s : settings_.heartbeat_s;
     commands_.Send(
-        std::move(order), timeout, on_malformed,
-        [self = shared_from_this()](const scheduler::CommandBatch& o,
+        std::move(batch), timeout, on_malformed,
+        [self = shared_from_this()](const scheduler::CommandBatch& sent_batch,
                                     scheduler::CommandOutcome outcome,
-                                    const wire::Heartbeat* report) {
+                                    const wire::Heartbeat* heartbeat) {
           if (self->stopped_) return;
-          self->holder_.OnCommandOutcome(o, outcome, report, net::Now());
-          if (report != nullptr) self->ScheduleTick();
+          self->holder_.OnCommandOutcome(sent_batch, outcome, heartbeat, net::Now());
+          if (heartbeat != nullptr) self->ScheduleTick();
         },
         [self = shared_from_this()] { return self->MayAct(); });
   }
@@ -159,27 +162,27 @@
 
 void ShardHolderService::SendFrame() {
   if (leader_.empty() || leader_ == settings_.name || frames_.IsBusy(leader_)) return;
-  auto frame = holder_.NextFrame(mirror_.revision(), net::Now());
+  auto frame = holder_.NextFrame(cache_.revision(), net::Now());
   if (!frame) return;
-  const double sent = net::Now();
-  frames_.Send(
-      leader_, std::move(*frame), settings_.heartbeat_s / 2,
-      [self = shared_from_this(), sent](std::optional<wire::ShardFrame> answer) {
-        if (self->stopped_) return;
-        if (!answer || !self->MayAct()) return self->holder_.OnFrameLost();
-        bool taken = false;
-        const bool understood = net::TryRead("peer", "block", self->on_malformed, [&] {
-          taken = self->holder_.OnFrame(*answer, net::Now());
-        });
-        if (!understood || !taken) return self->holder_.OnFrameLost();
-        // All that anybody had been told when the leader was asked, less its own lag, is
-        // known here too.
-        if (answer->view_age_s < 1e8 && self->mirror_.loaded() &&
-            self->mirror_.revision() >= answer->newest_cancellation) {
-          self->elector_.OnLeaderView(sent - answer->view_age_s * (1 + 2 * config::kMaxClockDrift));
-        }
-        self->ScheduleTick();
-      });
+  const double sent_at = net::Now();
+  frames_.Send(leader_, std::move(*frame), settings_.heartbeat_s / 2,
+               [self = shared_from_this(), sent_at](std::optional<wire::ShardFrame> answer) {
+                 if (self->stopped_) return;
+                 if (!answer || !self->MayAct()) return self->holder_.OnFrameLost();
+                 bool accepted = false;
+                 const bool decoded = net::TryRead("peer", "block", self->on_malformed, [&] {
+                   accepted = self->holder_.OnFrame(*answer, net::Now());
+                 });
+                 if (!decoded || !accepted) return self->holder_.OnFrameLost();
+                 // This controller's view contains all cancellations that any controller had
+                 // acknowledged when the frame was sent, less the age of the leader's own view.
+                 if (answer->view_age_s < 1e8 && self->cache_.loaded() &&
+                     self->cache_.revision() >= answer->newest_cancellation) {
+                   self->elector_.OnLeaderView(sent_at - answer->view_age_s *
+                                                             (1 + 2 * config::kMaxClockDrift));
+                 }
+                 self->ScheduleTick();
+               });
 }
 
 }  // namespace mosspath::service
--- a/src/service/shard_lease_service.cc
+++ b/src/service/shard_lease_service.cc
@@ -22,7 +22,8 @@
   for (const auto& change : manager_.PendingChanges(net::Now())) WriteLeaseChange(change);
 }
 
-// Under the leader key, so that no leader of the past leases anything.
+// The transaction is conditional on the leader key, so that a former leader can't grant or revoke a
+// lease.
 void ShardLeaseService::WriteLeaseChange(const shard::ShardLeaseManager::LeaseChange& change) {
   kvstore::Transaction transaction = LeaderTransaction(context_.term);
   const std::string key = keys::kShardLeases + change.node;
