--- a/include/mosspath/service/agent_heartbeat_handler.h
+++ b/include/mosspath/service/agent_heartbeat_handler.h
@@ -1,5 +1,5 @@
 // Answers agents' heartbeats: as the leader, as the holder of a shard, or with
-// the controller to which the agent should turn.
+// a redirect to the controller that commands the machine. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -18,29 +18,30 @@
 class AgentHeartbeatHandler {
  public:
   using Responder = net::HttpServer::Responder;
-  // This controller as the leader; null while it does not lead.
+  // Returns this controller's leader service; null while it does not lead.
   using GetLeader = std::function<LeaderService*()>;
 
-  // All that it refers to outlives it. `node`: the name of this controller.
+  // The referenced objects outlive the handler. `node`: the name of this controller.
   AgentHeartbeatHandler(std::string node, const election::Elector& elector,
                         const PeerService& peers, ShardMembership& shards, GetLeader leader,
                         net::OnMalformed on_malformed);
 
   void Answer(const net::HttpRequest& request, const Responder& respond);
-  // When this controller last took a heartbeat, in steady seconds;
-  // kNeverTakenAt before the first.
+  // Returns when this controller last accepted a heartbeat for processing, in
+  // steady seconds; kNeverTakenAt before the first.
   [[nodiscard]] double last_taken_at() const { return last_taken_at_; }
 
   static constexpr double kNeverTakenAt = -1e18;
 
  private:
-  // Answers if another controller, or this one as a holder, commands the
-  // machine; else false.
+  // Answers and returns true if this controller as a shard holder, or another
+  // controller, commands the machine. Else returns false without an answer.
   bool AnswerForShard(const wire::Heartbeat& heartbeat, const Responder& respond);
   void AnswerAsHolder(const wire::Heartbeat& heartbeat, const Responder& respond);
   void AnswerAsLeader(LeaderService& leader, const wire::Heartbeat& heartbeat,
                       const Responder& respond);
-  // Sends the agent to that controller, or, if its peers don't hear it, to any.
+  // Redirects the agent to that controller. If the controller is suspected to be
+  // down, the redirect names none and the agent tries any controller.
   void Redirect(const std::string& controller, const Responder& respond) const;
 
   const std::string node_;
--- a/include/mosspath/service/callback_scope.h
+++ b/include/mosspath/service/callback_scope.h
@@ -1,5 +1,5 @@
-// Ties callbacks to the life of their owner: once the scope is closed or destroyed, a callback that
-// it guards does nothing. For the single-threaded event loop only.
+// Ties callbacks to the lifetime of their owner: once the scope is closed or destroyed, a guarded
+// callback does nothing. Not thread-safe: for callbacks of one event loop.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
   CallbackScope& operator=(const CallbackScope&) = delete;
 
   // Returns a callable that forwards its arguments to `callback` while the scope is open and drops
-  // the call afterwards. It may outlive the scope.
+  // the call afterwards. The callable may outlive the scope.
   template <typename Callback>
   [[nodiscard]] auto Guard(Callback callback) const {
     return [open = std::weak_ptr<const Token>(token_),
@@ -25,7 +25,7 @@
     };
   }
 
-  // Returns a predicate that is false once the scope is closed, and asks `condition` before that.
+  // Returns a predicate that evaluates `condition` while the scope is open and is false afterwards.
   template <typename Condition>
   [[nodiscard]] auto GuardCondition(Condition condition) const {
     return [open = std::weak_ptr<const Token>(token_), condition = std::move(condition)] {
@@ -33,7 +33,7 @@
     };
   }
 
-  // Silences all callbacks that were guarded so far.
+  // Disables all callbacks that were guarded so far.
   void Close() { token_.reset(); }
   [[nodiscard]] bool closed() const { return token_ == nullptr; }
 
--- a/include/mosspath/service/cloud_client.h
+++ b/include/mosspath/service/cloud_client.h
@@ -1,4 +1,5 @@
-// The cloud's interface as the leader uses it: within the rate, one clear outcome per request.
+// Client of the cloud's API. Tracks the request rate, and maps each response to one outcome. Not
+// thread-safe. Must outlive its pending requests.
 #pragma once
 
 #include <functional>
@@ -15,25 +16,35 @@
 
 class CloudClient {
  public:
-  enum class Outcome { kDone, kNoCapacity, kRefused, kUndetermined };
+  enum class Outcome {
+    kDone,
+    kNoCapacity,   // the machine type is sold out
+    kRefused,      // not executed
+    kUndetermined  // no valid response: the request may have been executed
+  };
 
   CloudClient(asio::io_context& io, const config::Settings& s, const config::DerivedSettings& d,
               std::shared_ptr<net::SocketBudget> sockets);
 
-  // When a request was last answered.
+  // Returns when the cloud last answered with a status other than 503, in steady seconds.
   double last_contact() const { return last_contact_; }
-  bool MayRequest() { return budget_.DelayFor(net_now()) <= 0; }
+  // Returns whether the rate limit allows a request now. Requests themselves don't wait for it.
+  bool MayRequest() { return budget_.DelayFor(SteadyNow()) <= 0; }
+  // The callbacks' bool: whether the list was read.
   void ListMachineTypes(std::function<void(bool, std::vector<wire::MachineType>)> done);
+  // `still_wanted` is evaluated right before the request is sent; false drops the request.
   void Rent(const wire::RentRequest& r, std::function<void(Outcome, std::vector<std::string>)> done,
             net::HttpClient::StillWanted still_wanted);
   void Delete(const std::vector<std::string>& machines, std::function<void(Outcome)> done,
               net::HttpClient::StillWanted still_wanted);
+  // Requests the page of machines that follows the id `after`; empty: the first page.
   void ListMachines(const std::string& after, std::function<void(bool, wire::MachinePage)> done);
 
   net::OnMalformed on_malformed;
 
  private:
-  static double net_now();
+  static double SteadyNow();
+  // `done`: HTTP status and body; 0: the outcome is unknown, -1: the request was not sent.
   void Send(std::string method, std::string target, std::string body,
             std::function<void(int, wire::Json)> done,
             net::HttpClient::StillWanted still_wanted = {});
--- a/include/mosspath/service/command_client.h
+++ b/include/mosspath/service/command_client.h
@@ -1,5 +1,7 @@
-// Connections straight to workers, as few as the socket budget allows: one to a machine while it is
-// used, closed when another machine needs its place. What gets none waits for the next report.
+// Sends command batches to agents over direct connections, within the socket budget. Each machine
+// has at most one connection. A machine that needs a connection replaces the least recently used
+// idle one. Commands that can't be sent this way are delivered with the answer to the agent's next
+// heartbeat. Owns the connections. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -22,41 +24,44 @@
   CommandClient(asio::io_context& io, std::shared_ptr<net::SocketBudget> sockets)
       : io_(io), sockets_(std::move(sockets)) {}
 
-  // How many orders can leave now.
+  // Returns how many batches can be sent now.
   size_t Capacity() const;
-  // The link to a machine. Owned here, valid until the next call; null: its address is unusable.
+  // Returns the machine's connection, which this object owns, valid until the next call; null: the
+  // address is unusable.
   net::HttpClient* ClientFor(const std::string& machine, const std::string& address);
-  // Sends the order, and tells what became of it with the worker's report; null: it never left.
+  // Receives the outcome and the heartbeat in the agent's answer. The heartbeat has default values
+  // if there is no valid answer, and is null if the agent's address is unusable.
   using Done = std::function<void(const scheduler::CommandBatch&, scheduler::CommandOutcome,
-                                  const wire::Heartbeat* report)>;
-  void Send(scheduler::CommandBatch order, double timeout_s, net::OnMalformed on_malformed,
+                                  const wire::Heartbeat* heartbeat)>;
+  // Sends the batch. `still_wanted` is evaluated right before the request is sent.
+  void Send(scheduler::CommandBatch batch, double timeout_s, net::OnMalformed on_malformed,
             Done done, net::HttpClient::StillWanted still_wanted);
-  // Ends the links that `gone` says are of no use any more.
+  // Closes the connections to the machines for which `is_unused` returns true.
   template <typename F>
-  void Forget(F gone) {
-    for (auto it = links_.begin(); it != links_.end();) {
+  void Forget(F is_unused) {
+    for (auto it = connections_.begin(); it != connections_.end();) {
       const auto next = std::next(it);
-      if (gone(it->machine)) Drop(it);
+      if (is_unused(it->machine)) Drop(it);
       it = next;
     }
   }
   void Clear();
 
  private:
-  struct Link {
+  struct Connection {
     std::string machine;
     std::string address;
     std::unique_ptr<net::HttpClient> client;
   };
-  using Links = std::list<Link>;
-  void Drop(Links::iterator it);
-  // Closes the link that has rested longest, if the budget has no room for one more.
+  using Connections = std::list<Connection>;
+  void Drop(Connections::iterator it);
+  // Closes the least recently used idle connection if the socket budget is used up.
   void MakeRoom();
 
   asio::io_context& io_;
   const std::shared_ptr<net::SocketBudget> sockets_;
-  Links links_;  // the most recently used first
-  std::unordered_map<std::string, Links::iterator> by_machine_;
+  Connections connections_;  // most recently used first
+  std::unordered_map<std::string, Connections::iterator> by_machine_;
 };
 
 }  // namespace mosspath::service
--- a/src/service/admission_service.cc
+++ b/src/service/admission_service.cc
@@ -6,27 +6,27 @@
 namespace mosspath::service {
 namespace {
 
-// Tasks of live jobs per megabyte of a controller's memory. One that waits costs its leader 6 bytes
-// (Turns.AWaitingTaskCostsFewBytes), so these are an eighth of it.
+// Tasks of live jobs per megabyte of a controller's memory. A waiting task uses 6 bytes on the
+// leader (JobTest.APendingTaskTakesFewBytes), so waiting tasks use up to an eighth of the memory.
 constexpr double kTasksPerMb = 20'000;
-constexpr double kUserRetriesS = 60;  // PROTOCOL: a user gives up after that
-constexpr double kLeastRetryS = 1;    // and comes back no sooner than that
-constexpr double kLeastTries = 6;     // of a refused user, before it gives up
-constexpr double kPlanReports = 2;    // a plan's life, in report intervals
+constexpr double kUserRetryWindowS = 60;   // PROTOCOL: a user stops retrying after this time
+constexpr double kMinRetryS = 1;           // a user waits at least this long before a retry
+constexpr double kMinTries = 6;            // of a refused user within the retry window
+constexpr double kPlanLifeHeartbeats = 2;  // validity of a plan, in heartbeat intervals
 
-std::vector<std::string> Names(const std::vector<config::Team>& teams) {
-  std::vector<std::string> out;
-  for (const auto& t : teams) out.push_back(t.name);
-  return out;
+std::vector<std::string> TeamNames(const std::vector<config::Team>& teams) {
+  std::vector<std::string> names;
+  for (const auto& t : teams) names.push_back(t.name);
+  return names;
 }
 
 }  // namespace
 
 AdmissionService::AdmissionService(const config::Settings& settings)
     : node_(settings.name),
-      life_s_(kPlanReports * settings.heartbeat_s),
-      controller_(kTasksPerMb * settings.memory_mb, Names(settings.teams), kLeastRetryS,
-                  kUserRetriesS / kLeastTries),
+      life_s_(kPlanLifeHeartbeats * settings.heartbeat_s),
+      controller_(kTasksPerMb * settings.memory_mb, TeamNames(settings.teams), kMinRetryS,
+                  kUserRetryWindowS / kMinTries),
       share_(settings.peers.size() + 1) {
   controllers_.push_back(node_);
   for (const auto& p : settings.peers) controllers_.push_back(p.name);
@@ -43,17 +43,17 @@
 }
 
 wire::AdmissionUsage AdmissionService::Usage(double now) const {
-  wire::AdmissionUsage use;
-  use.budget = controller_.budget();
-  use.live = controller_.live();
-  use.in_flight = controller_.in_flight();
-  use.share = share_.Current(now);
-  use.plan_token = share_.plan().token;
-  use.plan_version = share_.plan().version;
-  for (const auto& [of, count] : controller_.counts()) {
-    use.groups.push_back({of.first, of.second, count.requested, count.refused});
+  wire::AdmissionUsage usage;
+  usage.budget = controller_.budget();
+  usage.live = controller_.live();
+  usage.in_flight = controller_.in_flight();
+  usage.share = share_.Current(now);
+  usage.plan_token = share_.plan().token;
+  usage.plan_version = share_.plan().version;
+  for (const auto& [group, count] : controller_.counts()) {
+    usage.groups.push_back({group.first, group.second, count.requested, count.refused});
   }
-  return use;
+  return usage;
 }
 
 void AdmissionService::OnElected(uint64_t token, double now) {
--- a/src/service/agent_heartbeat_handler.cc
+++ b/src/service/agent_heartbeat_handler.cc
@@ -9,7 +9,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr int kMisdirected = 421;
+constexpr int kMisdirected = 421;  // HTTP status
 
 net::HttpResponse ToResponse(const scheduler::HeartbeatAnswer& answer) {
   if (!answer.accepted) return RetryLaterResponse("late report");
@@ -77,8 +77,9 @@
   respond(ToResponse(holder.OnHeartbeat(heartbeat)));
 }
 
-// A controller that the peers don't hear may be gone: an agent sent there would
-// wait in vain, while the next node it tries may lead by then.
+// A suspected controller may be down: an agent redirected to it would wait until
+// its request times out, while the next controller that the agent tries may lead
+// by then.
 void AgentHeartbeatHandler::Redirect(const std::string& controller,
                                      const Responder& respond) const {
   const std::string target = peers_.IsSuspected(controller) ? "" : controller;
--- a/src/service/cloud_client.cc
+++ b/src/service/cloud_client.cc
@@ -22,23 +22,24 @@
             {.max_connections = 8, .max_queue = 32, .sockets = std::move(sockets)}),
       budget_(s.cloud_requests_per_s * 0.9, std::max(1.0, s.cloud_requests_per_s * 1.5)) {}
 
-double CloudClient::net_now() { return net::Now(); }
+double CloudClient::SteadyNow() { return net::Now(); }
 
 void CloudClient::Send(std::string method, std::string target, std::string body,
                        std::function<void(int, wire::Json)> done,
                        net::HttpClient::StillWanted still_wanted) {
-  budget_.TryTake(net_now());
+  budget_.TryTake(SteadyNow());
   http_.Send(
       std::move(method), std::move(target), std::move(body), derived_.cloud_timeout_s,
       [this, done = std::move(done)](const net::HttpResult& r) {
-        if (r.status != 0 && r.status != 503) last_contact_ = net_now();
+        if (r.status != 0 && r.status != 503) last_contact_ = SteadyNow();
         wire::Json j;
         if (!r.body.empty()) j = wire::Json::parse(r.body, nullptr, false);
         if (j.is_discarded()) {
           net::ReportMalformed(kCloud, "JSON", "not JSON", on_malformed);
           return done(0, {});
         }
-        if (r.status != 200) spdlog::debug("cloud: answer {} {}", r.status, j.dump());
+        if (r.status != 200)
+          spdlog::debug("cloud: request_failed status={} answer={}", r.status, j.dump());
         done(r.status == 0 && !r.sent ? -1 : r.status, std::move(j));
       },
       std::move(still_wanted));
@@ -66,8 +67,9 @@
           return done(ok ? Outcome::kDone : Outcome::kUndetermined, std::move(machines));
         }
         if (status == 0) return done(Outcome::kUndetermined, {});
-        const bool none = status == 503 && j.is_object() && j.value("error", "") == "no capacity";
-        done(none ? Outcome::kNoCapacity : Outcome::kRefused, {});
+        const bool is_sold_out =
+            status == 503 && j.is_object() && j.value("error", "") == "no capacity";
+        done(is_sold_out ? Outcome::kNoCapacity : Outcome::kRefused, {});
       },
       std::move(still_wanted));
 }
