--- a/include/mosspath/service/completion_writer.h
+++ b/include/mosspath/service/completion_writer.h
@@ -1,4 +1,5 @@
-// Makes the ends of jobs durable, and deletes job records in which no job is live any more.
+// Writes the final records of completed jobs, and deletes job records without live jobs. Part of
+// the leader's duties; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +20,15 @@
   CompletionWriter(const LeaderContext& context,
                    std::function<void(const std::string& id)> on_completed);
 
-  // Writes what the scheduler reports as completed, several jobs to a transaction. A job that can't
-  // be written now is given back to the scheduler for a later pass.
+  // Writes the jobs that the scheduler reports as completed, several in a transaction. A job that
+  // can't be written now is returned to the scheduler for a later pass.
   void WriteCompletions();
-  // Deletes records without live jobs, as far as the write budget has room. Nobody waits for it.
+  // Deletes records without live jobs while the write budget allows. Has low priority: no request
+  // depends on it.
   void CleanUpRecords();
 
  private:
-  // Jobs that end in one transaction, and the changes of the records that they stand in.
+  // Jobs that end in one transaction, and the changes of the records that contain them.
   struct Batch {
     std::vector<std::string> ids;
     std::vector<jobs::RecordChange> records;
@@ -34,7 +36,8 @@
   [[nodiscard]] bool Fits(const Batch& batch) const;
   void Commit(const Batch& batch);
   void OnCommitted(const Batch& batch, const kvstore::TransactionResult& result);
-  // A write of this version of the record is in flight, or committed and not in our view yet.
+  // Returns whether a write that replaces this version of the record is in flight, or has committed
+  // and is not in this controller's view yet.
   [[nodiscard]] bool IsBeingWritten(const jobs::RecordChange& record) const;
   [[nodiscard]] bool AnyIsBeingWritten(const std::vector<jobs::RecordChange>& records) const;
   void MarkBeingWritten(const std::vector<jobs::RecordChange>& records);
@@ -42,7 +45,7 @@
 
   const LeaderContext context_;
   const std::function<void(const std::string& id)> on_completed_;
-  std::map<std::string, uint64_t> replaced_versions_;  // of records being written, by their keys
+  std::map<std::string, uint64_t> replaced_versions_;  // of records being written, by record key
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/controller.h
+++ b/include/mosspath/service/controller.h
@@ -1,5 +1,6 @@
-// One controller: wires the interfaces for users, agents, peers and operators
-// to the services, and hands the state service's events to them.
+// One controller: owns the services, connects them with the interfaces for
+// users, agents, peers and operators, and dispatches the state service's events
+// to them. Not thread-safe: runs on one event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -39,8 +40,7 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Opens the servers and begins to take part in the cluster. Throws if an
-  // address can't be used.
+  // Opens the servers and joins the cluster. Throws if an address can't be used.
   void Start();
 
  private:
@@ -55,7 +55,7 @@
   [[nodiscard]] kvstore::WatchCache::Handlers CacheHandlers();
   void StartServers();
 
-  // --- What the watch cache shows ---
+  // --- Events of the watch cache ---
   void OnCacheReset();
   void OnKey(const kvstore::Event& event);
   void OnLeaderKey(const kvstore::Event& event);
@@ -76,7 +76,7 @@
   void LoadJobs(scheduler::Scheduler& scheduler, double now) const;
   [[nodiscard]] bool IsEntitledLeader() const;
 
-  // --- What the services tell each other ---
+  // --- Between the services ---
   void OnProcessStall(double from, double now);
   void OnMachineTypes(const Types& types);
   void OnOperatorSettings();
@@ -112,8 +112,8 @@
   AgentHeartbeatHandler heartbeats_;
   PublicRoutes public_routes_;
   PeerRoutes peer_routes_;
-  std::map<std::string, RecordPack> packs_;  // by their keys
-  bool cache_empty_ = true;                  // no live key was seen since the last reset
+  std::map<std::string, RecordPack> packs_;  // by record key
+  bool cache_empty_ = true;                  // no live key was read since the last reset
   std::unique_ptr<net::HttpServer> public_server_;
   std::unique_ptr<net::HttpServer> peer_server_;
 };
--- a/include/mosspath/service/http_paths.h
+++ b/include/mosspath/service/http_paths.h
@@ -1,6 +1,6 @@
-// The paths of the HTTP interfaces that the service serves and calls. They are
+// Paths of the HTTP interfaces that the controller serves and calls. They are
 // part of protocols with programs of other versions and other owners, and must
-// not change: golden_paths_test pins them.
+// not change: golden_paths_test checks them.
 #pragma once
 
 #include <string_view>
--- a/include/mosspath/service/job_service.h
+++ b/include/mosspath/service/job_service.h
@@ -1,5 +1,6 @@
-// Every node's view of the jobs, and the durable steps of their lives: accept and cancel. Carries
-// out the looks and changes that jobs/job_index decides.
+// The jobs as this controller sees them, and the durable changes that users request: submission and
+// cancellation. Carries out the reads and changes that jobs/job_index decides. Runs on every
+// controller; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,8 @@
 
 namespace mosspath::service {
 
-// The changes of records, on condition that they are as they were.
+// Adds the changes of the records to the transaction, on condition that the records' versions are
+// unchanged.
 void AddRecordChanges(kvstore::Transaction& txn, const std::vector<jobs::RecordChange>& records);
 
 class JobService {
@@ -23,38 +25,42 @@
   using JobStatus = jobs::JobStatus;
   using SubmitOutcome = JobSubmitter::Outcome;
 
-  JobService(asio::io_context& io, kvstore::Client& state, kvstore::WatchCache& mirror,
+  JobService(asio::io_context& io, kvstore::Client& state, kvstore::WatchCache& watch_cache,
              AdmissionService& admission, const config::Settings& settings,
              const config::DerivedSettings& derived);
 
-  // The mirror's view.
+  // --- Events of the watch cache ---
   void OnReset();
-  // Which jobs came and ended with this record.
+  // Applies a job record. Returns the jobs that the record shows as accepted and ended.
   jobs::JobRecords::Change OnRecord(const kvstore::Event& e);
   void OnFinalRecord(const kvstore::Event& e);
-  // Whether acceptances may share records.
+  // Sets whether several jobs may share a record.
   void SetBatching(bool allowed) { submitter_.SetBatching(allowed); }
-  // Up to this revision, the process before this one may have told of cancellations.
+  // The previous process may have confirmed cancellations up to this revision.
   void AssumeReportedUpTo(uint64_t revision) { index_.AssumeReportedUpTo(revision); }
-  // The mirror shows all that was written until then.
+  // The watch cache is complete up to this revision.
   void OnLoaded(uint64_t revision) {
     index_.OnLoaded(revision);
     admission_.controller().OnLoaded(revision);
   }
-  // Cancelled since that revision, as another controller says; the mirror need not show it yet.
+  // Another controller reports that the job was cancelled at `revision`, which the watch cache may
+  // not show yet.
   void OnCancellationLearned(const std::string& id, uint64_t revision);
-  // Called when a job is known to be cancelled ahead of the mirror: its tasks must end now. Until
-  // the mirror shows it, which takes as long as an outage does, the job is live in the ledger only.
+  // Called when a cancellation is learned before the watch cache shows it: the job's tasks must end
+  // now. Until the watch cache shows the cancellation, which takes as long as an outage lasts, the
+  // job is live in the job records only.
   std::function<void(const std::string& id)> on_cancelled_ahead;
 
+  // --- Requests of users ---
   void Lookup(const std::string& id, std::function<void(JobStatus)> done);
   void Submit(const wire::JobSpec& spec, std::function<void(SubmitOutcome)> done);
   void Cancel(const std::string& id, std::function<void(JobStatus)> done);
+  // The job has ended, and its final record is durable.
   void OnEnded(const std::string& id, JobStatus state) { index_.OnEnded(id, state); }
 
-  // What this node knows to be durable, and may have told.
+  // Returns the cancellations that are durable and that this controller may have confirmed.
   const election::CancellationLog& cancellations() const { return index_.cancellations(); }
-  // A job that is accepted and, as far as is known, not over.
+  // Returns an accepted job that has not ended, as far as this controller has read; null: none.
   const jobs::AcceptedJob* FindLive(const std::string& id) const { return index_.FindLive(id); }
 
   void ForEachLive(
@@ -62,14 +68,14 @@
     index_.ForEachLive(f);
   }
   const jobs::JobRecords& records() const { return index_.records(); }
-  // All that was written until then is in the ledger.
-  uint64_t revision() const { return mirror_.revision(); }
+  // Returns the revision up to which the job records are complete.
+  uint64_t revision() const { return watch_cache_.revision(); }
 
  private:
   void TryCancel(const std::string& id, double deadline, std::function<void(JobStatus)> done);
 
-  kvstore::Client& state_;
-  kvstore::WatchCache& mirror_;
+  kvstore::Client& store_;
+  kvstore::WatchCache& watch_cache_;
   AdmissionService& admission_;
   const config::DerivedSettings derived_;
   jobs::JobIndex index_;
--- a/include/mosspath/service/job_submitter.h
+++ b/include/mosspath/service/job_submitter.h
@@ -1,6 +1,7 @@
-// Accepts jobs durably, those that wait together in one record and one transaction. A job that
-// comes alone is written at once; under a burst the state service's rate decides how many share,
-// and teams and classes take turns in what waits.
+// Writes the records of submitted jobs, with pending jobs batched in one record and one
+// transaction. A single job is written at once. Under a burst, the write rate of the state service
+// determines the batch size, and pending jobs are queued fairly among teams and classes. Not
+// thread-safe.
 #pragma once
 
 #include <deque>
@@ -19,19 +20,20 @@
  public:
   enum class Outcome {
     kNew,              // durable
-    kAlreadyRecorded,  // it stands in a record already, live or final
-    kUndetermined,     // no answer: it may or may not be durable
-    kQueueFull,        // too many of its team wait
+    kAlreadyRecorded,  // the job has a record already, live or final
+    kUndetermined,     // no answer: the job may or may not be durable
+    kQueueFull,        // too many jobs of the team are pending
   };
-  // With the revision of the acceptance if it is new.
+  // Receives the revision at which the job was recorded if the outcome is kNew.
   using Done = std::function<void(Outcome, uint64_t revision)>;
 
   JobSubmitter(asio::io_context& io, kvstore::Client& state, const config::Settings& settings,
                const config::DerivedSettings& derived);
 
-  // Whether several jobs may share a record: every controller can read those.
+  // Sets whether several jobs may share a record, which requires that every controller can read
+  // such records.
   void SetBatching(bool allowed) { batching_ = allowed; }
-  // `revision`: of this controller's view, for names of records that were never used before.
+  // Queues the job. `revision`: of this controller's view; makes the keys of batch records unique.
   void Submit(const wire::JobSpec& spec, uint64_t revision, Done done);
 
  private:
@@ -43,30 +45,30 @@
     wire::Json entry;
     size_t bytes = 0;
     double deadline = 0;
-    bool must_go_alone = false;  // one of those it shared a transaction with is known
+    bool must_be_sent_alone = false;  // a batch with this job had a conflict
     Done done;
   };
 
-  bool AnyWaits() const { return !retried_alone_.empty() || !waiting_.empty(); }
+  bool HasPending() const { return !retried_alone_.empty() || !waiting_.empty(); }
   PendingJob& Front() { return retried_alone_.empty() ? waiting_.Front() : retried_alone_.front(); }
   PendingJob Pop();
   void Pump();
   void Send(std::deque<PendingJob> batch);
   void OnAnswer(std::deque<PendingJob> batch, const kvstore::TransactionResult& r);
-  // What waited until its deadline is answered now.
+  // Answers the pending jobs whose deadline has passed.
   void ExpireOverdue();
 
-  kvstore::Client& state_;
+  kvstore::Client& store_;
   const std::string node_;
-  const size_t most_jobs_;
-  const size_t most_bytes_;
+  const size_t max_batch_jobs_;
+  const size_t max_batch_bytes_;
   const double deadline_s_;
   net::Timer timer_;
   bool batching_ = false;
   uint64_t revision_ = 0;
   uint64_t batch_count_ = 0;
-  size_t transactions_in_flight_ = 0;     // transactions under way
-  std::deque<PendingJob> retried_alone_;  // again, each for itself; before all others
+  size_t transactions_in_flight_ = 0;
+  std::deque<PendingJob> retried_alone_;  // one per transaction, before waiting_
   admission::FairQueue<PendingJob> waiting_;
 };
 
--- a/include/mosspath/service/keys.h
+++ b/include/mosspath/service/keys.h
@@ -1,6 +1,6 @@
-// Where things are in the state service. Live keys are mirrored by every node; final records are
-// heard of as they are written and else read one by one, so that what must be kept for ever needs
-// no memory.
+// Keys in the state service. Every controller caches the live keys. Final records are received as
+// they are written, and read one by one otherwise: they are kept for ever, so caching them all
+// would need unbounded memory.
 #pragma once
 
 #include <string>
@@ -13,13 +13,14 @@
 inline const std::string kTypes = kLive + "types";
 inline const std::string kSettings = kLive + "settings";
 inline const std::string kJobs = kLive + "job/";
-inline const std::string kBatches = kLive + "batch/";  // jobs accepted together
-// What a controller can read, as it told when it first ran; see docs/job-acceptance.md.
+inline const std::string kBatches = kLive + "batch/";  // records of several jobs
+// The record formats that a controller can read, as declared at its first start; see
+// docs/job-acceptance.md.
 inline const std::string kRecordFormats = kLive + "speaks/";
 inline const std::string kProgress = kLive + "progress/";
 inline const std::string kMachines = kLive + "machines/";
-// Controllers that offer to hold a block, and the blocks' leases (docs/sharding.md); both hang on
-// the controller's grant.
+// Controllers that offer to hold a shard, and the shards' leases (docs/sharding.md). Both are
+// attached to the controller's store lease.
 inline const std::string kShardOffers = kLive + "holders/";
 inline const std::string kShardLeases = kLive + "blocks/";
 inline const std::string kFinal = kAll + "final/";
--- a/include/mosspath/service/leader_command_sender.h
+++ b/include/mosspath/service/leader_command_sender.h
@@ -1,4 +1,4 @@
-// Sends the leader's commands straight to the agents of machines.
+// Sends the leader's commands directly to the agents of machines. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,15 @@
 
 class LeaderCommandSender {
  public:
-  // `on_heartbeat` is called after a heartbeat that came with an answer was taken.
+  // `on_heartbeat` is called after the heartbeat in an agent's answer was processed.
   LeaderCommandSender(const LeaderContext& context, std::shared_ptr<net::SocketBudget> sockets,
                       net::OnMalformed on_malformed, std::function<void()> on_heartbeat);
 
-  // How late the event loop runs, in seconds: a loop that is behind sends few commands.
+  // Sets the delay of the event loop, in seconds. A late event loop sends few commands.
   void set_loop_delay(double seconds) { loop_delay_s_ = seconds; }
-  // Sends what the scheduler has for agents, as many as may leave now.
+  // Sends the scheduler's pending command batches, up to the current capacity.
   void SendCommands();
-  // Closes the connections to machines that are gone.
+  // Closes the connections to machines that the scheduler no longer has.
   void CloseUnusedConnections();
   void Stop() { client_.Clear(); }
 
--- a/include/mosspath/service/leader_context.h
+++ b/include/mosspath/service/leader_context.h
@@ -1,4 +1,4 @@
-// What the duties of a leader share.
+// Dependencies that the services of a leader share.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,7 +12,7 @@
 
 namespace mosspath::service {
 
-// Nothing is owned: all that it refers to outlives the duties.
+// Owns nothing: the referenced objects outlive the services that use the context.
 struct LeaderContext {
   asio::io_context& io;
   const config::Settings& settings;
@@ -24,7 +24,7 @@
   scheduler::Scheduler& scheduler;
 };
 
-// A transaction that commits only while the term's leader key is in place.
+// Returns a transaction that commits only while the leader key is that of the term.
 [[nodiscard]] kvstore::Transaction LeaderTransaction(const LeadershipTerm& term);
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/leader_service.h
+++ b/include/mosspath/service/leader_service.h
@@ -1,6 +1,6 @@
 // The duties of a controller while it holds the leader key: runs the scheduler and the services
-// that write its records and carry out its decisions. Ends with the leadership; answers that come
-// later are dropped.
+// that write its records and carry out its decisions. Exists for one term of leadership; answers
+// that arrive after the term are dropped. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -32,7 +32,7 @@
 
 class LeaderService {
  public:
-  // All that these refer to outlives the service.
+  // The referenced objects outlive the service.
   struct Dependencies {
     asio::io_context& io;
     const config::Settings& settings;
@@ -48,7 +48,7 @@
   struct Handlers {
     // A job's completion has become durable.
     std::function<void(const std::string& id)> completed;
-    // The cloud has answered with its machine types.
+    // The cloud has returned its machine types.
     std::function<void(const std::vector<wire::MachineType>&)> machine_types;
     net::OnMalformed malformed;
   };
@@ -59,24 +59,25 @@
   LeaderService& operator=(const LeaderService&) = delete;
 
   [[nodiscard]] scheduler::Scheduler& scheduler() { return scheduler_; }
-  // Null where shards are not leased.
+  // Returns null if the settings don't lease shards.
   [[nodiscard]] shard::ShardLeaseManager* shard_leases();
-  // Takes a frame of a shard's holder and returns the answer; none if the frame is refused.
+  // Processes a frame from a shard's holder and returns the answer; none if the frame is refused.
   [[nodiscard]] std::optional<wire::ShardFrame> OnFrame(const wire::ShardFrame& frame);
-  // Begins the duties with the next turn of the event loop: the caller may be in the middle of a
-  // batch of events.
+  // Begins the duties in the next turn of the event loop, since the caller may be in the middle of
+  // a batch of events.
   void Start();
-  // Ends the term; no handler is called afterwards. It may be reached from a callback of this
-  // object, which must therefore be destroyed in a later turn of the event loop.
+  // Ends the term; no handler is called afterwards. Stop may be called from a callback of this
+  // object, so the object must be destroyed in a later turn of the event loop.
   void Stop();
-  // Something changed that may let tasks start or stop: runs a placement pass soon.
+  // Schedules a placement pass. Called after a change that may let tasks start or stop.
   void ScheduleTick();
 
  private:
   void BeginDuties();
   void Tick();
   void MeasureLoopDelay(double tick_s);
-  // Gives up the leadership if another controller could do better. True: it is being given up.
+  // Schedules a resignation if another controller may be able to lead better. Returns whether it
+  // did.
   [[nodiscard]] bool ResignIfUnfit();
   void RunDuties();
   void PlacementPass();
@@ -100,8 +101,8 @@
   net::Timer tick_timer_;
   net::Timer placement_timer_;
   bool placement_scheduled_ = false;
-  std::optional<double> next_placement_at_;  // none: no pass was made yet
-  std::optional<double> next_cleanup_at_;    // none: no clean-up was made yet
+  std::optional<double> next_placement_at_;  // none: no pass has run yet
+  std::optional<double> next_cleanup_at_;    // none: no clean-up has run yet
   std::optional<double> tick_due_at_;        // none: no tick was scheduled yet
 };
 
--- a/include/mosspath/service/leadership_term.h
+++ b/include/mosspath/service/leadership_term.h
@@ -1,5 +1,5 @@
 // One term of leadership: its fencing token, whether this process may still act as the leader, and
-// callbacks that end with the term.
+// callbacks that are dropped once the term has ended. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,12 +19,13 @@
 
   [[nodiscard]] uint64_t token() const { return token_; }
   [[nodiscard]] bool ended() const { return callbacks_.closed(); }
-  // Whether this process is entitled to act as the leader of this term at this moment.
+  // Returns whether this process may act as the leader of this term at this moment.
   [[nodiscard]] bool MayAct() const;
-  // MayAct(), to be asked again right before a request leaves: what was decided before the process
-  // stalled must not be done by a leader of the past. It may outlive the term.
+  // Returns a predicate that evaluates MayAct(), to be checked right before a request is sent: a
+  // process that stalled after a decision may no longer lead, and must not carry the decision out.
+  // The predicate may outlive the term.
   [[nodiscard]] net::HttpClient::StillWanted MayStillAct() const;
-  // Drops the calls to `callback` once the term has ended; see CallbackScope.
+  // Returns a callable that drops calls to `callback` once the term has ended; see CallbackScope.
   template <typename Callback>
   [[nodiscard]] auto Guard(Callback callback) const {
     return callbacks_.Guard(std::move(callback));
--- a/src/service/completion_writer.cc
+++ b/src/service/completion_writer.cc
@@ -49,8 +49,8 @@
          ValueBytes(batch.records) <= kMaxRecordBytes;
 }
 
-// Several ends share a transaction, since jobs may be many and tiny, and jobs that were accepted
-// together share a record. One change for each end and one for each record.
+// Batches completions, since there may be many short jobs, and jobs that were accepted together
+// share a record. A transaction has one change for each job and one for each record.
 void CompletionWriter::WriteCompletions() {
   const auto& records = context_.jobs.records();
   const uint64_t revision = context_.jobs.revision();
@@ -58,7 +58,7 @@
   for (const std::string& id : context_.scheduler.TakeCompletedJobs()) {
     auto own = records.PlanEnd({id}, revision);
     if (own.empty() || AnyIsBeingWritten(own)) {
-      context_.scheduler.OnCompletionFailed(id);  // tried again with the next pass
+      context_.scheduler.OnCompletionFailed(id);  // retried with the next pass
       continue;
     }
     Batch wider = batch;
@@ -91,8 +91,8 @@
 void CompletionWriter::OnCommitted(const Batch& batch, const kvstore::TransactionResult& result) {
   if (result.outcome != kvstore::Outcome::kDone) {
     ForgetBeingWritten(batch.records);
-    // Tried again with a later pass. After a conflict the watch cache shows the cause before that:
-    // a cancellation, a change of the record for another job, or another leader.
+    // Retried with a later pass. If the transaction conflicted, the watch cache shows the cause by
+    // then: a cancellation, a change of the record for another job, or another leader.
     for (const std::string& id : batch.ids) context_.scheduler.OnCompletionFailed(id);
     return;
   }
--- a/src/service/controller.cc
+++ b/src/service/controller.cc
@@ -15,7 +15,7 @@
 
 using wire::Json;
 
-constexpr int kNoPack = -1;  // the key names none
+constexpr int kNoPack = -1;  // the key contains no pack number
 constexpr double kStallChecksPerHeartbeat = 8;
 constexpr int kRecordFormatVersion = 1;
 
@@ -131,8 +131,8 @@
       });
 }
 
-// ------------------------------------------------------------------ what the
-// watch cache shows
+// ------------------------------------------------------------------ events of
+// the watch cache
 
 void Controller::OnCacheReset() {
   jobs_.OnReset();
@@ -183,8 +183,8 @@
   for (const auto& id : change.ended) leader_->scheduler().RemoveJob(id, now);
 }
 
-// Packs are kept for the case that this controller is elected. The present
-// leader wrote them itself, but may not know their versions.
+// Packs are kept in case this controller is elected. The current leader wrote
+// the packs itself, but lacks a version if the result of its write was lost.
 void Controller::OnProgressKey(const kvstore::Event& event) {
   const int pack = PackNumber(event.key, keys::kProgress);
   if (leader_) leader_->scheduler().OnProgressVersion(pack, event.version);
@@ -215,8 +215,8 @@
   if (!record_formats_.own_declared()) DeclareRecordFormats();
 }
 
-// What ended while the cache was being loaded again left no event: a leader
-// that goes on must not keep such jobs.
+// A job that ended while the cache was reloading left no event. A leader that
+// continues through the reload must remove such jobs.
 void Controller::RemoveEndedJobs() {
   if (!leader_) return;
   std::vector<std::string> ended;
@@ -294,8 +294,8 @@
 void Controller::OnLost() {
   if (!leader_) return;
   leader_->Stop();
-  // Destroyed with a later turn of the loop: this may be reached from one of
-  // its callbacks.
+  // Destroyed in a later turn of the event loop, since OnLost may be called from
+  // a callback of the leader service.
   asio::post(io_, [ended = std::move(leader_)] {});
   admission_.OnDeposed();
 }
@@ -338,7 +338,8 @@
 }
 
 // Records of several jobs are written only once every controller has declared
-// that it can read them: one of an earlier version would not know their jobs.
+// that it can read them: a controller of an earlier version would miss their
+// jobs.
 void Controller::UpdateBatching() {
   const uint64_t since = record_formats_.all_since();
   jobs_.SetBatching(since != RecordFormatSupport::kNever &&
--- a/src/service/job_service.cc
+++ b/src/service/job_service.cc
@@ -9,18 +9,19 @@
 namespace mosspath::service {
 namespace {
 
-// Cached final states per megabyte of the memory limit: about a tenth of it.
+// Cached final statuses per megabyte of the memory limit: about a tenth of the memory.
 constexpr double kFinalsPerMb = 600;
-// Cancellations that peers can be told of: as many as fit a few answers.
+// Entries of the cancellation log, which peers read, per megabyte of the memory limit: as many as
+// fit in a few answers.
 constexpr double kCancelledPerMb = 20;
 
 }  // namespace
 
-JobService::JobService(asio::io_context& io, kvstore::Client& state, kvstore::WatchCache& mirror,
-                       AdmissionService& admission, const config::Settings& settings,
-                       const config::DerivedSettings& derived)
-    : state_(state),
-      mirror_(mirror),
+JobService::JobService(asio::io_context& io, kvstore::Client& state,
+                       kvstore::WatchCache& watch_cache, AdmissionService& admission,
+                       const config::Settings& settings, const config::DerivedSettings& derived)
+    : store_(state),
+      watch_cache_(watch_cache),
       admission_(admission),
       derived_(derived),
       index_(keys::kJobs, keys::kBatches,
@@ -39,76 +40,77 @@
     for (const auto& id : change.accepted)
       admission_.controller().OnAccepted(records().Find(id)->spec);
     for (const auto& id : change.ended) admission_.controller().OnEnded(id, net::Now());
-    // What came to be over before it was seen to come.
+    // Jobs that ended before the watch cache showed their acceptance.
     std::erase_if(change.accepted, [this](const auto& id) { return FindLive(id) == nullptr; });
     return change;
   } catch (const std::exception& error) {
-    spdlog::error("jobs: unreadable record {}: {}", e.key, error.what());
+    spdlog::error("service: job_record_malformed key={} error={}", e.key, error.what());
     return {};
   }
 }
 
 void JobService::OnFinalRecord(const kvstore::Event& e) {
-  if (!e.value) return;  // never deleted
+  if (!e.value) return;  // final records are never deleted
   index_.OnFinalRecord(e.key.substr(keys::kFinal.size()), *e.value, e.version);
 }
 
 void JobService::OnCancellationLearned(const std::string& id, uint64_t revision) {
-  index_.OnCancellationLearned(id, revision, mirror_.revision());
+  index_.OnCancellationLearned(id, revision, watch_cache_.revision());
   if (on_cancelled_ahead) on_cancelled_ahead(id);
 }
 
 void JobService::Lookup(const std::string& id, std::function<void(JobStatus)> done) {
   if (const auto known = index_.FindEnded(id)) return done(*known);
-  mirror_.CatchUp([this, id, done = std::move(done)](bool ok) {
+  watch_cache_.CatchUp([this, id, done = std::move(done)](bool ok) {
     if (const auto known = ok ? index_.StatusAfterRead(id) : index_.FindEnded(id)) {
       return done(*known);
     }
     if (!ok) return done(JobStatus::kUndetermined);
-    state_.Get(keys::Final(id),
-               [this, id, looked = mirror_.revision(), done](const kvstore::GetResult& v) {
-                 if (v.kind == kvstore::GetResult::Kind::kFailed)
-                   return done(JobStatus::kUndetermined);
-                 const bool missing = v.kind == kvstore::GetResult::Kind::kMissing;
-                 const uint64_t read = mirror_.loaded() ? mirror_.revision() : 0;
-                 const JobStatus known = index_.StatusFromFinalRecord(
-                     id, missing ? nullptr : &v.value, v.version, looked, read);
-                 if (known == JobStatus::kCancelled && on_cancelled_ahead) on_cancelled_ahead(id);
-                 done(known);
-               });
+    store_.Get(keys::Final(id), [this, id, revision_at_request = watch_cache_.revision(),
+                                 done](const kvstore::GetResult& v) {
+      if (v.kind == kvstore::GetResult::Kind::kFailed) return done(JobStatus::kUndetermined);
+      const bool missing = v.kind == kvstore::GetResult::Kind::kMissing;
+      const uint64_t read = watch_cache_.loaded() ? watch_cache_.revision() : 0;
+      const JobStatus known = index_.StatusFromFinalRecord(id, missing ? nullptr : &v.value,
+                                                           v.version, revision_at_request, read);
+      if (known == JobStatus::kCancelled && on_cancelled_ahead) on_cancelled_ahead(id);
+      done(known);
+    });
   });
 }
 
 void JobService::Submit(const wire::JobSpec& spec, std::function<void(SubmitOutcome)> done) {
-  // A retry needs no write.
+  // A retry of a recorded job needs no write.
   if (index_.Contains(spec.id)) return done(SubmitOutcome::kAlreadyRecorded);
-  // Another controller may have accepted it a moment ago, in a record of its own. A look that began
-  // now tells, and takes no longer than the write does.
-  struct Both {
+  // Another controller may have just accepted the job in a record of its own. A read that begins
+  // now shows that record, and takes no longer than the write.
+  struct PendingSubmission {
     int missing = 2;
     SubmitOutcome outcome = SubmitOutcome::kUndetermined;
     uint64_t revision = 0;
   };
-  const auto both = std::make_shared<Both>();
-  const auto join = [this, id = spec.id, both, done = std::move(done)] {
-    if (--both->missing > 0) return;
+  const auto pending = std::make_shared<PendingSubmission>();
+  const auto on_step_done = [this, id = spec.id, pending, done = std::move(done)] {
+    if (--pending->missing > 0) return;
     const auto* known = records().Find(id);
-    const bool earlier = known != nullptr && known->version < both->revision;
-    done(both->outcome == SubmitOutcome::kNew && earlier ? SubmitOutcome::kAlreadyRecorded
-                                                         : both->outcome);
+    const bool accepted_earlier = known != nullptr && known->version < pending->revision;
+    done(pending->outcome == SubmitOutcome::kNew && accepted_earlier
+             ? SubmitOutcome::kAlreadyRecorded
+             : pending->outcome);
   };
-  mirror_.CatchUp([join](bool) { join(); });
-  submitter_.Submit(spec, mirror_.revision(),
-                    [this, id = spec.id, both, join](SubmitOutcome outcome, uint64_t revision) {
-                      if (outcome == SubmitOutcome::kNew) {
-                        admission_.controller().OnDurable(id, revision);
-                      } else {
-                        admission_.controller().OnDropped(id);
-                      }
-                      both->outcome = outcome;
-                      both->revision = revision;
-                      join();
-                    });
+  watch_cache_.CatchUp([on_step_done](bool) { on_step_done(); });
+  submitter_.Submit(
+      spec, watch_cache_.revision(),
+      [this, id = spec.id, pending, on_step_done](SubmitOutcome outcome, uint64_t revision) {
+        if (outcome == SubmitOutcome::kNew) {
+          admission_.controller().OnDurable(id, revision);
+        } else {
+          admission_.controller().OnDropped(id);
+        }
+        pending->outcome = outcome;
+        pending->revision = revision;
+        on_step_done();
+      });
 }
 
 void AddRecordChanges(kvstore::Transaction& txn, const std::vector<jobs::RecordChange>& records) {
@@ -126,24 +128,26 @@
                            std::function<void(JobStatus)> done) {
   Lookup(id, [this, id, deadline, done = std::move(done)](JobStatus known) {
     using Kind = jobs::JobIndex::CancelStep::Kind;
-    const auto step = index_.PlanCancellation(id, known, mirror_.revision());
+    const auto step = index_.PlanCancellation(id, known, watch_cache_.revision());
     if (step.kind == Kind::kAnswer) return done(step.status);
-    const double left = deadline - net::Now();
-    if (left <= 0) return done(JobStatus::kUndetermined);
+    const double remaining_s = deadline - net::Now();
+    if (remaining_s <= 0) return done(JobStatus::kUndetermined);
     if (step.kind == Kind::kReadAgain) return TryCancel(id, deadline, done);
     kvstore::Transaction txn;
-    // One end only, whoever is first.
+    // The first end wins: the job must not have a final record yet.
     txn.conditions.push_back({keys::Final(id), 0});
     AddRecordChanges(txn, step.records);
     txn.changes.push_back({keys::Final(id), jobs::EncodeFinalRecord(JobStatus::kCancelled)});
-    state_.Commit(std::move(txn), left, [this, id, deadline, done](kvstore::TransactionResult r) {
-      if (r.outcome == kvstore::Outcome::kDone) {
-        OnCancellationLearned(id, r.revision);
-        return done(JobStatus::kCancelled);
-      }
-      if (r.outcome == kvstore::Outcome::kConflict) return TryCancel(id, deadline, done);
-      done(JobStatus::kUndetermined);
-    });
+    store_.Commit(std::move(txn), remaining_s,
+                  [this, id, deadline, done](kvstore::TransactionResult r) {
+                    if (r.outcome == kvstore::Outcome::kDone) {
+                      OnCancellationLearned(id, r.revision);
+                      return done(JobStatus::kCancelled);
+                    }
+                    if (r.outcome == kvstore::Outcome::kConflict)
+                      return TryCancel(id, deadline, done);
+                    done(JobStatus::kUndetermined);
+                  });
   });
 }
 
--- a/src/service/job_submitter.cc
+++ b/src/service/job_submitter.cc
@@ -12,10 +12,10 @@
 namespace mosspath::service {
 namespace {
 
-constexpr size_t kMostOut = 2;             // transactions under way at once
-constexpr size_t kMostWaiting = 512;       // jobs
-constexpr double kRecordFill = 0.8;        // of a value's bound
-constexpr size_t kRecordBytes = 8u << 10;  // larger ones cost more to write again at each end
+constexpr size_t kMaxTransactionsInFlight = 2;
+constexpr size_t kMaxPendingJobs = 512;
+constexpr double kMaxRecordFill = 0.8;             // of the size limit of a value
+constexpr size_t kMaxBatchRecordBytes = 8u << 10;  // each end of a job rewrites the whole record
 
 double WallSeconds() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -25,102 +25,106 @@
 
 JobSubmitter::JobSubmitter(asio::io_context& io, kvstore::Client& state,
                            const config::Settings& settings, const config::DerivedSettings& derived)
-    : state_(state),
+    : store_(state),
       node_(settings.name),
-      // Two conditions a job and one for the record, of four times as many as changes.
-      most_jobs_(
+      // A transaction may have four times as many conditions as changes. Each job takes two
+      // conditions, and the record one.
+      max_batch_jobs_(
           static_cast<size_t>(std::max(1, (4 * settings.store_transaction_changes - 1) / 2))),
-      most_bytes_(static_cast<size_t>(
-          kRecordFill * std::min<double>(settings.store_value_kb * 1024, kRecordBytes))),
+      max_batch_bytes_(static_cast<size_t>(
+          kMaxRecordFill * std::min<double>(settings.store_value_kb * 1024, kMaxBatchRecordBytes))),
       deadline_s_(derived.user_deadline_s),
       timer_(io) {}
 
 void JobSubmitter::Submit(const wire::JobSpec& spec, uint64_t revision, Done done) {
   revision_ = std::max(revision_, revision);
-  // As in the gate: one team's flood stops itself while there are places left for others.
+  // As in AdmissionController: a team that floods the queue is refused while there is space left
+  // for other teams.
   const size_t waiting = waiting_.size() + retried_alone_.size();
   const size_t of_team = waiting_.SizeOf(spec.team);
-  if (waiting >= kMostWaiting || (of_team > 0 && of_team >= kMostWaiting - waiting)) {
+  if (waiting >= kMaxPendingJobs || (of_team > 0 && of_team >= kMaxPendingJobs - waiting)) {
     return done(Outcome::kQueueFull, 0);
   }
-  PendingJob w{spec.id,
-               spec.team,
-               spec.job_class,
-               admission::PriorityWeight(spec.priority),
-               jobs::JobRecords::EncodeEntry(spec, WallSeconds()),
-               0,
-               net::Now() + deadline_s_,
-               false,
-               std::move(done)};
-  w.bytes = w.entry.dump().size() + 1;
-  const auto [team, job_class, weight] = std::tuple(w.team, w.job_class, w.weight);
-  waiting_.Push(team, job_class, weight, std::move(w));
+  PendingJob job{spec.id,
+                 spec.team,
+                 spec.job_class,
+                 admission::PriorityWeight(spec.priority),
+                 jobs::JobRecords::EncodeEntry(spec, WallSeconds()),
+                 0,
+                 net::Now() + deadline_s_,
+                 false,
+                 std::move(done)};
+  job.bytes = job.entry.dump().size() + 1;
+  const auto [team, job_class, weight] = std::tuple(job.team, job.job_class, job.weight);
+  waiting_.Push(team, job_class, weight, std::move(job));
   Pump();
 }
 
 JobSubmitter::PendingJob JobSubmitter::Pop() {
   if (retried_alone_.empty()) return waiting_.Pop();
-  PendingJob w = std::move(retried_alone_.front());
+  PendingJob job = std::move(retried_alone_.front());
   retried_alone_.pop_front();
-  return w;
+  return job;
 }
 
 void JobSubmitter::ExpireOverdue() {
-  const auto is_late = [now = net::Now()](const PendingJob& w) { return w.deadline <= now; };
-  std::vector<PendingJob> late;
-  waiting_.RemoveIf(is_late, [&](PendingJob w) { late.push_back(std::move(w)); });
-  for (PendingJob& w : retried_alone_) {
-    if (is_late(w)) late.push_back(std::move(w));
+  const auto is_overdue = [now = net::Now()](const PendingJob& job) { return job.deadline <= now; };
+  std::vector<PendingJob> overdue;
+  waiting_.RemoveIf(is_overdue, [&](PendingJob job) { overdue.push_back(std::move(job)); });
+  for (PendingJob& job : retried_alone_) {
+    if (is_overdue(job)) overdue.push_back(std::move(job));
   }
-  std::erase_if(retried_alone_, is_late);
-  for (PendingJob& w : late) w.done(Outcome::kUndetermined, 0);
+  std::erase_if(retried_alone_, is_overdue);
+  for (PendingJob& job : overdue) job.done(Outcome::kUndetermined, 0);
 }
 
 void JobSubmitter::Pump() {
   ExpireOverdue();
-  while (AnyWaits() && transactions_in_flight_ < kMostOut) {
-    // While the rate has no room, more may come to share the change.
-    if (const double wait = state_.WriteDelay(1); wait > 0) {
+  while (HasPending() && transactions_in_flight_ < kMaxTransactionsInFlight) {
+    // While the write rate is used up, more jobs may arrive for the same transaction.
+    if (const double wait = store_.WriteDelay(1); wait > 0) {
       timer_.After(wait + 0.002, [this] { Pump(); });
       return;
     }
     std::deque<PendingJob> batch;
     size_t bytes = 32;
-    while (AnyWaits()) {
-      const PendingJob& w = Front();
+    while (HasPending()) {
+      const PendingJob& job = Front();
       const bool fits =
-          batch.empty() || (batching_ && !w.must_go_alone && !batch.front().must_go_alone &&
-                            batch.size() < most_jobs_ && bytes + w.bytes <= most_bytes_);
+          batch.empty() ||
+          (batching_ && !job.must_be_sent_alone && !batch.front().must_be_sent_alone &&
+           batch.size() < max_batch_jobs_ && bytes + job.bytes <= max_batch_bytes_);
       if (!fits) break;
-      bytes += w.bytes;
+      bytes += job.bytes;
       batch.push_back(Pop());
     }
     Send(std::move(batch));
   }
-  // Nothing waits beyond its deadline, whatever becomes of what is under way.
-  if (AnyWaits()) timer_.After(deadline_s_ / 8, [this] { Pump(); });
+  // Pending jobs are answered by their deadline even if the transactions in flight get no answer.
+  if (HasPending()) timer_.After(deadline_s_ / 8, [this] { Pump(); });
 }
 
 void JobSubmitter::Send(std::deque<PendingJob> batch) {
   kvstore::Transaction txn;
-  for (const PendingJob& w : batch) {
-    txn.conditions.push_back({keys::Job(w.id), 0});
-    txn.conditions.push_back({keys::Final(w.id), 0});
+  for (const PendingJob& job : batch) {
+    txn.conditions.push_back({keys::Job(job.id), 0});
+    txn.conditions.push_back({keys::Final(job.id), 0});
   }
   if (batching_) {
-    // Never used before: under this revision by nobody else, and by this process once.
+    // The key is unique: no other process uses this node's name with this revision, and this
+    // process counts its batches.
     const std::string key = keys::kBatches + node_ + "." + std::to_string(revision_) + "." +
                             std::to_string(++batch_count_);
     txn.conditions.push_back({key, 0});
     std::vector<wire::Json> entries;
-    for (const PendingJob& w : batch) entries.push_back(w.entry);
+    for (const PendingJob& job : batch) entries.push_back(job.entry);
     txn.changes.push_back({key, jobs::JobRecords::EncodeBatch(std::move(entries))});
   } else {
     txn.changes.push_back({keys::Job(batch.front().id), batch.front().entry});
   }
   ++transactions_in_flight_;
-  const double left = batch.front().deadline - net::Now();
-  state_.Commit(std::move(txn), left,
+  const double remaining_s = batch.front().deadline - net::Now();
+  store_.Commit(std::move(txn), remaining_s,
                 [this, batch = std::make_shared<std::deque<PendingJob>>(std::move(batch))](
                     const kvstore::TransactionResult& r) {
                   --transactions_in_flight_;
@@ -131,18 +135,18 @@
 
 void JobSubmitter::OnAnswer(std::deque<PendingJob> batch, const kvstore::TransactionResult& r) {
   if (r.outcome == kvstore::Outcome::kConflict && batch.size() > 1) {
-    // One of them is known: each for itself.
-    for (PendingJob& w : batch) {
-      w.must_go_alone = true;
-      retried_alone_.push_back(std::move(w));
+    // At least one job of the batch has a record already: retries each job alone.
+    for (PendingJob& job : batch) {
+      job.must_be_sent_alone = true;
+      retried_alone_.push_back(std::move(job));
     }
     return;
   }
-  for (PendingJob& w : batch) {
-    w.done(r.outcome == kvstore::Outcome::kDone       ? Outcome::kNew
-           : r.outcome == kvstore::Outcome::kConflict ? Outcome::kAlreadyRecorded
-                                                      : Outcome::kUndetermined,
-           r.revision);
+  for (PendingJob& job : batch) {
+    job.done(r.outcome == kvstore::Outcome::kDone       ? Outcome::kNew
+             : r.outcome == kvstore::Outcome::kConflict ? Outcome::kAlreadyRecorded
+                                                        : Outcome::kUndetermined,
+             r.revision);
   }
 }
 
--- a/src/service/leader_command_sender.cc
+++ b/src/service/leader_command_sender.cc
@@ -9,8 +9,8 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kLateHeartbeats = 0.1;     // a loop that is later, in heartbeats, is behind
-constexpr size_t kMaxCommandsWhenLate = 8;  // batches at once
+constexpr double kMaxLoopDelayHeartbeats = 0.1;  // a longer delay makes the event loop late
+constexpr size_t kMaxBatchesWhenLate = 8;        // at once
 
 }  // namespace
 
@@ -23,13 +23,14 @@
       on_heartbeat_(std::move(on_heartbeat)),
       client_(context.io, std::move(sockets)) {}
 
-// Commands and probes cost as much as heartbeats. A process that is behind has heartbeats waiting,
-// which renew agent leases and bring the same: a successor that asked all its machines first was
-// too late for those that had found it meanwhile, and their tasks were lost.
+// Commands and probes cost as much time as heartbeats. When the event loop is late, heartbeats are
+// queued that renew agent leases and carry the same information as answers to probes, so heartbeats
+// come first. A new leader that probed all its machines first answered the heartbeats of agents
+// that had already found the leader too late, and the tasks of those agents were lost.
 size_t LeaderCommandSender::Capacity() const {
   const size_t capacity = client_.Capacity();
-  const bool late = loop_delay_s_ > kLateHeartbeats * context_.settings.heartbeat_s;
-  return late ? std::min(capacity, kMaxCommandsWhenLate) : capacity;
+  const bool late = loop_delay_s_ > kMaxLoopDelayHeartbeats * context_.settings.heartbeat_s;
+  return late ? std::min(capacity, kMaxBatchesWhenLate) : capacity;
 }
 
 void LeaderCommandSender::SendCommands() {
--- a/src/service/leader_service.cc
+++ b/src/service/leader_service.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kTicksPerHeartbeat = 6;
-constexpr double kPauseRatio = 3;  // between placement passes, in the time that the last one took
+constexpr double kPauseRatio = 3;  // minimum pause between placement passes, in pass durations
 
 }  // namespace
 
@@ -88,7 +88,7 @@
   tick_due_at_ = now + tick_s;
 }
 
-// The resignation is posted: it ends this service, which must not happen within its own call.
+// Posts the resignation, since it stops this service, which must not happen within this call.
 bool LeaderService::ResignIfUnfit() {
   const double now = net::Now();
   if (elector_.IsStale(now) && elector_.MayResign(now)) {
@@ -99,10 +99,11 @@
     return true;
   }
   if (!term_.MayAct()) return false;
-  // Asked at every tick, whether it may resign or not: it measures for how long that has lasted.
+  // Called at every tick, even if this leader may not resign yet: the call measures how long the
+  // partition has lasted.
   const bool partitioned = scheduler_.IsPartitionedFromAgents(now);
   if (!partitioned || !elector_.MayResign(now)) return false;
-  // Agents would lose their leases and tasks while another controller may well reach them.
+  // Otherwise agents would lose their leases and tasks while another controller may reach them.
   asio::post(io_, term_.Guard([this] {
     if (term_.MayAct()) elector_.Resign(election::LeadershipLossReason::kAgentsPartitioned);
   }));
@@ -125,8 +126,8 @@
   }
 }
 
-// Heartbeats, lease renewals and users come first: a pass over the waiting jobs is made now and
-// then, and takes a limited part of the time however long it is.
+// Heartbeats, lease renewals and user requests come first. So placement passes are rate-limited,
+// and take a limited fraction of the time even if a pass is long.
 void LeaderService::ScheduleTick() {
   if (placement_scheduled_) return;
   placement_scheduled_ = true;
--- a/tests/job_service_test.cc
+++ b/tests/job_service_test.cc
@@ -1,4 +1,5 @@
-// What a controller counts as reported to users and as ended, however it learned of it.
+// Which cancellations a controller counts as reported to users, and which jobs as ended, for each
+// way in which the controller learns of a cancellation.
 #include "mosspath/service/job_service.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
  protected:
   static config::Settings Settings(const std::string& state) {
     config::Settings settings = fakes::OneControllerSettings(state);
-    settings.agent_lease_s = 6;  // calls time out soon
+    settings.agent_lease_s = 6;  // shortens the timeouts of calls
     settings.memory_mb = 64;
     return settings;
   }
@@ -81,14 +82,14 @@
   std::vector<std::string> accepted_;
 };
 
-// Between the check of the live jobs and the read of its final record, a job was accepted and
-// cancelled, and is reported so here: a leader that has not read that must learn of it from this
-// controller.
+// A job is accepted and cancelled between the check of the live jobs and the read of the job's
+// final record, and this controller reports the cancellation. A leader that has not read the record
+// must learn of the cancellation from this controller.
 TEST_F(JobServiceTest, ACancellationReadFromItsFinalRecordCountsAsReported) {
   uint64_t cancelled = 0;
   bool answered = false;
   store_.before_single_read = [&] {
-    store_.down = true;  // nothing else is read any more
+    store_.down = true;  // nothing else can be read
     cancelled = store_.Put(keys::Final("req-2"),
                            {{"stage", wire::JobStateName(wire::JobState::kCancelled)}});
   };
@@ -102,7 +103,8 @@
   EXPECT_GT(cancelled, before);
 }
 
-// It counts before its user is answered, whatever the watch cache shows by then.
+// A cancellation counts as reported before the user is answered, even if the watch cache does not
+// show it yet.
 TEST_F(JobServiceTest, ItsOwnCancellationCountsAtOnce) {
   bool answered = false;
   jobs_.Cancel("req-1", [&](JobStatus status) {
@@ -114,7 +116,7 @@
   RunUntil([&] { return answered; });
 }
 
-// The cancellation is committed, its answer is lost, and a retry finds it done.
+// The cancellation is committed, its answer is lost, and a retry finds the job cancelled.
 TEST_F(JobServiceTest, ACancellationWithoutAnAnswerIsReportedByTheRetry) {
   store_.lose_changes = true;
   EXPECT_EQ(Cancel("req-1"), JobStatus::kUndetermined);
@@ -124,8 +126,8 @@
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
 }
 
-// Its tasks end at once, not when the watch cache shows the cancellation, which takes as long as an
-// outage does.
+// The tasks of a cancelled job end at once, not when the watch cache shows the cancellation, which
+// takes as long as an outage lasts.
 TEST_F(JobServiceTest, AJobCancelledAheadOfTheWatchCacheHasEnded) {
   ASSERT_NE(jobs_.FindLive("req-1"), nullptr);
   store_.down = true;
@@ -138,9 +140,9 @@
   EXPECT_EQ(jobs_.cancellations().newest(), revision);
 }
 
-// The watch cache shows that the job was accepted, and then nothing more for as long as an outage
-// lasts: a leader that took it for live continued it, although its user had been told of the
-// cancellation.
+// The watch cache shows the job's acceptance, and then nothing more while an outage lasts. A leader
+// that treated the job as live kept running it, although the user had received the confirmation of
+// the cancellation.
 TEST_F(JobServiceTest, AJobCancelledBeforeItsAcceptanceIsSeenIsNotAccepted) {
   jobs_.OnCancellationLearned("req-3", watch_cache_.revision() + 2);
   store_.Put(keys::Job("req-3"), jobs::JobRecords::EncodeEntry(Spec("req-3"), 0));
--- a/tests/job_submitter_test.cc
+++ b/tests/job_submitter_test.cc
@@ -1,4 +1,4 @@
-// What a burst of submissions costs the state service, and how it is answered.
+// Bursts of submissions: the number of transactions, and the outcomes.
 #include "mosspath/service/job_submitter.h"
 
 #include <gtest/gtest.h>
@@ -52,8 +52,8 @@
   JobSubmitter submitter_;
 };
 
-// With one transaction each, 100 submissions took five seconds at this rate, and were answered 503
-// after two.
+// With one transaction for each job, 100 submissions took five seconds at this write rate, and were
+// answered 503 after two seconds.
 TEST_F(JobSubmitterTest, AHundredSubmissionsAtOnceTakeFewTransactions) {
   submitter_.SetBatching(true);
   const auto outcomes = Submit(0, 100);
@@ -61,7 +61,8 @@
   EXPECT_LE(BatchRecords(), 12u);
 }
 
-// While a controller may be of the previous version, each job has a record that it can read.
+// While a controller may still run the previous version, each job has a record that this version
+// can read.
 TEST_F(JobSubmitterTest, WithoutBatchingOneRecordPerJobIsWritten) {
   const auto outcomes = Submit(0, 10);
   EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kNew), 10);
@@ -69,7 +70,8 @@
   EXPECT_TRUE(store_.pairs().contains(keys::Job("req-100003")));
 }
 
-// A job that is known must not keep the others of its transaction from being accepted.
+// A job that is already recorded must not prevent the other jobs of its transaction from being
+// accepted.
 TEST_F(JobSubmitterTest, AKnownJobDoesNotBlockItsBatch) {
   EXPECT_EQ(Submit(3, 1).at(JobSubmitter::Outcome::kNew), 1);
   submitter_.SetBatching(true);
@@ -78,15 +80,15 @@
   EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kAlreadyRecorded), 1);
 }
 
-// What cannot be accepted is answered, not held back.
+// During an outage, submissions are answered as undetermined instead of being held in the queue.
 TEST_F(JobSubmitterTest, AnOutageIsAnsweredAtOnce) {
   submitter_.SetBatching(true);
   store_.down = true;
   EXPECT_EQ(Submit(0, 40).at(JobSubmitter::Outcome::kUndetermined), 40);
 }
 
-// One team's flood leaves queue space to others, and the next job of another team is accepted
-// before the pending ones of that team.
+// A flood of one team leaves queue space to other teams, and the next job of another team is
+// accepted before the pending jobs of the flooding team.
 TEST_F(JobSubmitterTest, OneTeamsFloodLeavesQueueSpaceToOthers) {
   submitter_.SetBatching(true);
   int full = 0;
