--- a/include/mosspath/service/machine_list_poller.h
+++ b/include/mosspath/service/machine_list_poller.h
@@ -1,5 +1,5 @@
-// Lists the cloud's machines at an interval, page by page, for the scheduler to compare with what
-// it knows.
+// Lists the cloud's machines at an interval, page by page, and passes each complete list to the
+// scheduler, which compares it with its own machines. Part of the leader's duties; not thread-safe.
 #pragma once
 
 #include <memory>
@@ -31,7 +31,7 @@
 
   const LeaderContext context_;
   net::Timer timer_;
-  std::shared_ptr<Listing> current_;  // pages of an earlier one are dropped
+  std::shared_ptr<Listing> current_;  // pages of earlier listings are dropped
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/machine_type_cache.h
+++ b/include/mosspath/service/machine_type_cache.h
@@ -1,5 +1,6 @@
-// The machine types that this controller knows: from the cloud, or as a leader has published them,
-// so that jobs can be judged while the cloud's interface is down.
+// Caches the machine types. They come from the cloud, or from the record that a leader publishes,
+// so that jobs can be validated while the cloud's API is down. Runs on every controller; not
+// thread-safe.
 #pragma once
 
 #include <functional>
@@ -18,28 +19,30 @@
  public:
   using Types = std::vector<wire::MachineType>;
 
-  MachineTypeCache(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
+  // `on_types` is called whenever types arrive, even if they are unchanged.
+  MachineTypeCache(asio::io_context& io, kvstore::Client& store, CloudClient& cloud,
                    const election::Elector& elector, const config::DerivedSettings& derived,
-                   std::function<void(const Types&)> learned);
+                   std::function<void(const Types&)> on_types);
 
   const Types& types() const { return types_; }
   bool empty() const { return types_.empty(); }
-  // Asks the cloud until something is known.
+  // Requests the types from the cloud, with retries, unless types are cached already.
   void Fetch();
+  // An event of the published record.
   void OnKey(const kvstore::Event& e);
-  // As the cloud told; a leader publishes it.
+  // The cloud returned these types. A leader publishes them if they differ in more than the price.
   void OnCloudTypes(const Types& types);
 
  private:
-  void Learn(const Types& types);
+  void SetTypes(const Types& types);
 
-  kvstore::Client& state_;
+  kvstore::Client& store_;
   CloudClient& cloud_;
   const election::Elector& elector_;
   const config::DerivedSettings derived_;
-  const std::function<void(const Types&)> learned_;
+  const std::function<void(const Types&)> on_types_;
   Types types_;
-  std::string published_;
+  std::string published_;  // value of the published record; empty: none, or unknown
   net::Timer timer_;
 };
 
--- a/include/mosspath/service/machine_type_poller.h
+++ b/include/mosspath/service/machine_type_poller.h
@@ -1,4 +1,5 @@
-// Reads the cloud's machine types and prices at an interval for the leader.
+// Reads the cloud's machine types and prices at an interval, for the scheduler. Part of the
+// leader's duties; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -14,7 +15,7 @@
  public:
   using OnTypes = std::function<void(const std::vector<wire::MachineType>&)>;
 
-  // `on_types` is called with each answer, after the scheduler has it.
+  // `on_types` is called with each list of types, after the scheduler has received it.
   MachineTypePoller(const LeaderContext& context, OnTypes on_types);
 
   void Start() { Poll(); }
--- a/include/mosspath/service/metrics.h
+++ b/include/mosspath/service/metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms, in the text form that Prometheus reads.
+// Metrics of this process, in the Prometheus text format. Not thread-safe.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -21,11 +21,12 @@
   enum class Route { kSubmit, kGet, kCancel, kReport, kOther };
 
   Metrics();
+  // A request was answered after `seconds`.
   void OnAnswered(Route route, int status, double seconds);
-  // A message of an outside system or a peer that could not be understood.
+  // A message from `from`, of kind `what`, was malformed.
   void OnMalformed(const char* from, const char* what);
-  void OnProcessStall(double seconds) { stood_still_.Increment(seconds); }
-  // What the status page shows.
+  void OnProcessStall(double seconds) { process_stall_seconds_.Increment(seconds); }
+  // Sets the gauges to the figures of the status page.
   void Update(const wire::Status& s);
   std::string Text() const;
 
@@ -34,19 +35,19 @@
   prometheus::Family<prometheus::Histogram>& latency_;
   prometheus::Family<prometheus::Counter>& answers_;
   prometheus::Family<prometheus::Counter>& malformed_;
-  prometheus::Counter& stood_still_;
-  prometheus::Family<prometheus::Gauge>& heard_;
-  prometheus::Family<prometheus::Gauge>& lacks_;
+  prometheus::Counter& process_stall_seconds_;
+  prometheus::Family<prometheus::Gauge>& heartbeat_age_;
+  prometheus::Family<prometheus::Gauge>& unreachable_count_;
   prometheus::Family<prometheus::Gauge>& waiting_;
   prometheus::Family<prometheus::Gauge>& since_;
   prometheus::Family<prometheus::Gauge>& sockets_;
   prometheus::Family<prometheus::Gauge>& admission_;
   prometheus::Family<prometheus::Gauge>& submissions_;
-  prometheus::Gauge& age_;
-  std::set<std::string> shown_;  // classes and teams
-  // Looked up once each: there are hundreds of reports a second.
-  std::map<Route, prometheus::Histogram*> latency_of_;
-  std::map<std::pair<Route, int>, prometheus::Counter*> answers_of_;
+  prometheus::Gauge& status_age_;
+  std::set<std::string> exported_groups_;  // classes and teams with metrics
+  // Caches of metrics by their labels: there are hundreds of heartbeats a second.
+  std::map<Route, prometheus::Histogram*> latency_by_route_;
+  std::map<std::pair<Route, int>, prometheus::Counter*> answers_by_route_;
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/operator_settings_api.h
+++ b/include/mosspath/service/operator_settings_api.h
@@ -1,5 +1,5 @@
-// The operators' settings: mirrored, shown and changed by compare-and-set over the administration
-// API.
+// The operators' settings: caches the record, and serves the administration API that reads the
+// record and changes it by compare-and-set. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,26 @@
 
 class OperatorSettingsApi {
  public:
-  OperatorSettingsApi(kvstore::Client& state, kvstore::WatchCache& mirror,
-                      const config::DerivedSettings& derived, std::function<void()> changed)
-      : state_(state), mirror_(mirror), derived_(derived), changed_(std::move(changed)) {}
+  // `on_changed` is called after each event of the record.
+  OperatorSettingsApi(kvstore::Client& store, kvstore::WatchCache& watch_cache,
+                      const config::DerivedSettings& derived, std::function<void()> on_changed)
+      : store_(store),
+        watch_cache_(watch_cache),
+        derived_(derived),
+        on_changed_(std::move(on_changed)) {}
 
   const config::OperatorSettings& settings() const { return settings_; }
-  // The record as the state service has it now.
+  // An event of the settings record. A malformed record puts the defaults in force.
   void OnKey(const kvstore::Event& e);
   void Answer(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
  private:
   void Put(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
-  kvstore::Client& state_;
-  kvstore::WatchCache& mirror_;
+  kvstore::Client& store_;
+  kvstore::WatchCache& watch_cache_;
   const config::DerivedSettings derived_;
-  const std::function<void()> changed_;
+  const std::function<void()> on_changed_;
   config::OperatorSettings settings_;
   uint64_t version_ = 0;
 };
--- a/include/mosspath/service/peer_frame_sender.h
+++ b/include/mosspath/service/peer_frame_sender.h
@@ -1,4 +1,5 @@
-// Frames about blocks to the other controllers, one at a time to each.
+// Sends frames about shards to the other controllers, at most one at a time to each. Owns the
+// connections. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -22,19 +23,20 @@
   PeerFrameSender(asio::io_context& io, const config::Settings& settings,
                   const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
 
-  // A frame to it is under way, or there is no such controller.
+  // Returns whether a frame to the controller is in flight, or there is no such controller.
   bool IsBusy(const std::string& node) const;
-  // `done` gets the frame that answers; none if it was refused, lost or malformed.
+  // Receives the answer's frame; none if the request was refused or lost, or the answer malformed.
   using Done = std::function<void(std::optional<wire::ShardFrame>)>;
   void Send(const std::string& node, wire::ShardFrame frame, double timeout_s, Done done);
 
+  // Return the totals of frames and bytes sent.
   uint64_t frames() const { return frames_; }
   uint64_t bytes() const { return bytes_; }
 
  private:
-  const std::string own_;
+  const std::string node_;
   const net::OnMalformed on_malformed_;
-  std::map<std::string, std::unique_ptr<net::HttpClient>> links_;
+  std::map<std::string, std::unique_ptr<net::HttpClient>> connections_;
   uint64_t frames_ = 0;
   uint64_t bytes_ = 0;
 };
--- a/include/mosspath/service/peer_routes.h
+++ b/include/mosspath/service/peer_routes.h
@@ -1,4 +1,5 @@
-// Routes the requests of the peer address: other controllers, and operators.
+// Routes the requests to the peer address, from other controllers and from operators. Not
+// thread-safe.
 #pragma once
 
 #include <functional>
@@ -17,16 +18,16 @@
 class PeerRoutes {
  public:
   using Responder = net::HttpServer::Responder;
-  // Takes a frame about a shard and returns the answer; none if the frame is of
-  // another leadership or lease.
+  // Processes a frame about a shard and returns the answer; none if the frame
+  // belongs to another leadership or lease.
   using OnShardFrame = std::function<std::optional<wire::ShardFrame>(const wire::ShardFrame&)>;
 
-  // All that it refers to outlives it. `node`: the name of this controller.
+  // The referenced objects outlive the routes. `node`: the name of this controller.
   PeerRoutes(std::string node, PeerService& peers, Metrics& metrics,
              OperatorSettingsApi& operator_settings, net::OnMalformed on_malformed,
              OnShardFrame on_shard_frame);
 
-  // Calls the responder once, at once or later.
+  // Calls the responder exactly once, during this call or later.
   void Answer(const net::HttpRequest& request, Responder respond);
 
  private:
--- a/include/mosspath/service/public_routes.h
+++ b/include/mosspath/service/public_routes.h
@@ -1,5 +1,5 @@
-// Routes the requests of the public address: agents' heartbeats, health, status
-// and jobs.
+// Routes the requests to the public address: agents' heartbeats, health, status
+// and jobs. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -17,16 +17,17 @@
  public:
   using Responder = net::HttpServer::Responder;
 
-  // All that it refers to outlives it. `is_healthy` tells whether this node
-  // should serve users.
+  // The referenced objects outlive the routes. `is_healthy` returns whether this
+  // controller should serve users.
   PublicRoutes(const config::DerivedSettings& derived, Metrics& metrics, const PeerService& peers,
                UserApi& users, AgentHeartbeatHandler& heartbeats, std::function<bool()> is_healthy);
 
-  // Calls the responder once, at once or later.
+  // Calls the responder exactly once, during this call or later.
   void Answer(const net::HttpRequest& request, Responder respond);
 
  private:
-  // Adds the measurements and the connection's treatment to an answer.
+  // Wraps the responder: records the metrics of the answer, and sets how its
+  // connection is classified and when it is closed.
   Responder Observed(Metrics::Route route, Responder respond);
   void AnswerHealth(const Responder& respond) const;
   void AnswerStatus(const net::HttpRequest& request, const Responder& respond) const;
--- a/include/mosspath/service/record_flusher.h
+++ b/include/mosspath/service/record_flusher.h
@@ -1,5 +1,5 @@
 // Writes the leader's machine and progress records to the state service: at a regular interval, and
-// sooner for machines that have no durable entry yet.
+// sooner for machines that have no durable entry yet. Part of the leader's duties; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 class RecordFlusher {
  public:
-  // `on_written` is called after each transaction that committed, while the term lasts.
+  // `on_written` is called after each committed transaction, during the term only.
   RecordFlusher(const LeaderContext& context, std::function<void()> on_written);
 
   void Start() { Flush(); }
@@ -29,7 +29,7 @@
   const LeaderContext context_;
   const std::function<void()> on_written_;
   net::Timer timer_;
-  std::optional<double> last_flush_at_;  // none: nothing was flushed yet
+  std::optional<double> last_flush_at_;  // none: no flush yet
   std::optional<double> not_before_;     // after a failure
 };
 
--- a/include/mosspath/service/record_format_support.h
+++ b/include/mosspath/service/record_format_support.h
@@ -1,6 +1,7 @@
-// Which controllers have told that they read and keep the newer records: several jobs in one, and
-// marks of jobs that may have been started (docs/job-acceptance.md, docs/design.md, decision 5).
-// What was accepted before all of them had may have been started by a version that marks nothing.
+// Which controllers have declared that they support the newer record formats: records of several
+// jobs, and start markers of jobs that may have been started (docs/job-acceptance.md,
+// docs/design.md, decision 5). A job that was accepted before all controllers had declared this may
+// have been started by a version that writes no start markers.
 #pragma once
 
 #include <algorithm>
@@ -23,7 +24,7 @@
   }
 
   void Clear() { declared_at_.clear(); }
-  // `version` 0: no longer.
+  // `version`: of the controller's declaration; 0: the declaration was removed.
   void OnDeclared(const std::string& node, uint64_t version) {
     if (version == 0) {
       declared_at_.erase(node);
@@ -32,7 +33,8 @@
     }
   }
   bool own_declared() const { return declared_at_.contains(own_); }
-  // The revision since which all controllers of the settings have; kNever: not all.
+  // Returns the revision since which all controllers of the settings have declared support; kNever:
+  // some have not.
   uint64_t all_since() const {
     uint64_t since = 0;
     for (const auto& node : nodes_) {
--- a/include/mosspath/service/scale_out_requester.h
+++ b/include/mosspath/service/scale_out_requester.h
@@ -1,4 +1,5 @@
 // Sends the planned scale-out requests to the cloud and retries those whose outcome is unknown.
+// Part of the leader's duties; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +20,12 @@
  public:
   explicit ScaleOutRequester(const LeaderContext& context);
 
-  // No request is in flight or waits.
+  // Returns whether no request is in flight or pending.
   [[nodiscard]] bool idle() const { return requests_.empty(); }
-  // Queues the requests, cut to what the cloud takes at once. Each gets a name of its own.
+  // Queues the requests, split to the cloud's maximum size. Each part gets a unique name, which
+  // makes its retries idempotent.
   void Enqueue(const std::vector<autoscaler::ScaleOutRequest>& planned);
-  // Sends what may leave now within the cloud's rate, and comes back for the rest.
+  // Sends the pending requests that the cloud's rate limit allows now, and schedules the rest.
   void Send();
   void Stop() { timer_.Cancel(); }
 
@@ -39,14 +41,14 @@
   void OnOutcome(const wire::RentRequest& request, CloudClient::Outcome outcome,
                  const std::vector<std::string>& machines);
   void OnProvisioned(const wire::RentRequest& request, const std::vector<std::string>& machines);
-  // The offer is sold out: it is closed for a while, and not asked for any more.
+  // The offer is sold out: pauses its planning, and drops its unsent requests.
   void CloseOffer(const autoscaler::ScaleOutRequest& offer);
   void DropUnsent(const autoscaler::ScaleOutRequest& offer);
 
   const LeaderContext context_;
   net::Timer timer_;
   std::vector<PendingRequest> requests_;
-  uint64_t request_count_ = 0;  // of this term, for the names
+  uint64_t request_count_ = 0;  // of this term; part of the requests' names
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/scaling_service.h
+++ b/include/mosspath/service/scaling_service.h
@@ -1,4 +1,5 @@
-// Plans at an interval which machines to add and which to delete, and carries the plan out.
+// Plans at an interval which machines to add and which to delete, and executes the plan. Part of
+// the leader's duties; not thread-safe.
 #pragma once
 
 #include <optional>
@@ -20,7 +21,8 @@
 
   void Start() { Plan(); }
   void Stop();
-  // Brings the next plan forward: work that finds no room asks for machines at once.
+  // Brings the next plan forward, so that machines for tasks that fit nowhere are requested at
+  // once.
   void PlanSoon();
 
  private:
@@ -32,7 +34,7 @@
   const LeaderContext context_;
   net::StallDetector& stalls_;
   net::Timer timer_;
-  std::optional<double> next_plan_at_;  // none: nothing was planned yet
+  std::optional<double> next_plan_at_;  // none: no plan yet
   ScaleOutRequester scale_out_;
 };
 
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -1,5 +1,5 @@
-// What users ask: submit, get, cancel. Every answer about a job is no older than what any
-// controller has told (docs/design.md, rule 7).
+// The users' API: submit, get and cancel jobs. An answer about a job is never older than any answer
+// that any controller has given before (docs/design.md, rule 7). Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,8 @@
 
 namespace mosspath::service {
 
-// An answer with an error in its body; with Retry-After if it may be asked again.
+// Return a response with an error in its body. RetryLaterResponse has status 503 and a Retry-After
+// header.
 net::HttpResponse ErrorResponse(int status, const std::string& error);
 net::HttpResponse RetryLaterResponse(const std::string& why);
 
@@ -24,11 +25,11 @@
   using Counts = std::function<scheduler::JobCounts(const std::string& id)>;
 
   UserApi(const config::Settings& settings, JobService& jobs, AdmissionService& admission,
-          const kvstore::WatchCache& mirror, const MachineTypeCache& types, Counts counts)
+          const kvstore::WatchCache& watch_cache, const MachineTypeCache& types, Counts counts)
       : settings_(settings),
         jobs_(jobs),
         admission_(admission),
-        mirror_(mirror),
+        watch_cache_(watch_cache),
         types_(types),
         counts_(std::move(counts)) {}
 
@@ -37,13 +38,14 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  void AnswerKnown(const std::string& id, JobService::JobStatus known, const Responder& respond,
-                   net::HttpResponse missing);
+  // Answers with the status of the job, or with `missing` if there is no such job.
+  void AnswerWithStatus(const std::string& id, JobService::JobStatus known,
+                        const Responder& respond, net::HttpResponse missing);
 
   const config::Settings& settings_;
   JobService& jobs_;
   AdmissionService& admission_;
-  const kvstore::WatchCache& mirror_;
+  const kvstore::WatchCache& watch_cache_;
   const MachineTypeCache& types_;
   const Counts counts_;
 };
--- a/src/service/machine_type_cache.cc
+++ b/src/service/machine_type_cache.cc
@@ -10,15 +10,15 @@
 
 using wire::Json;
 
-MachineTypeCache::MachineTypeCache(asio::io_context& io, kvstore::Client& state, CloudClient& cloud,
+MachineTypeCache::MachineTypeCache(asio::io_context& io, kvstore::Client& store, CloudClient& cloud,
                                    const election::Elector& elector,
                                    const config::DerivedSettings& derived,
-                                   std::function<void(const Types&)> learned)
-    : state_(state),
+                                   std::function<void(const Types&)> on_types)
+    : store_(store),
       cloud_(cloud),
       elector_(elector),
       derived_(derived),
-      learned_(std::move(learned)),
+      on_types_(std::move(on_types)),
       timer_(io) {}
 
 void MachineTypeCache::Fetch() {
@@ -33,32 +33,33 @@
   if (!e.value) return;
   try {
     published_ = e.value->dump();
-    Learn(wire::ParseMachineTypes(*e.value));
+    SetTypes(wire::ParseMachineTypes(*e.value));
   } catch (const std::exception& error) {
-    spdlog::error("state: unreadable machine types: {}", error.what());
+    spdlog::error("service: machine_types_malformed error={}", error.what());
   }
 }
 
-void MachineTypeCache::Learn(const Types& types) {
+void MachineTypeCache::SetTypes(const Types& types) {
   types_ = types;
-  learned_(types_);
+  on_types_(types_);
 }
 
 void MachineTypeCache::OnCloudTypes(const Types& types) {
-  Learn(types);
+  SetTypes(types);
   if (elector_.token() == 0) return;
   Json value = wire::ToJson(types);
-  // Prices move all the time; only what decides whether a job can run is worth a write.
-  const auto shape = [](Json j) {
+  // Prices change all the time. Only a change that affects whether a job can run is written.
+  const auto without_prices = [](Json j) {
     for (auto& t : j["builds"]) t.erase("low_price");
     return j;
   };
-  if (!published_.empty() && shape(Json::parse(published_)) == shape(value)) return;
+  if (!published_.empty() && without_prices(Json::parse(published_)) == without_prices(value))
+    return;
   published_ = value.dump();
   kvstore::Transaction txn;
   txn.conditions.push_back({keys::kLeader, elector_.token()});
   txn.changes.push_back({keys::kTypes, std::move(value)});
-  state_.Commit(std::move(txn), derived_.user_deadline_s,
+  store_.Commit(std::move(txn), derived_.user_deadline_s,
                 [this](const kvstore::TransactionResult& r) {
                   if (r.outcome != kvstore::Outcome::kDone) published_.clear();
                 });
--- a/src/service/machine_type_poller.cc
+++ b/src/service/machine_type_poller.cc
@@ -5,7 +5,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kIntervalLeases = 3;  // between polls, in agent leases
+constexpr double kPollIntervalLeases = 3;  // in agent lease durations
 constexpr double kRetryS = 2.0;
 
 }  // namespace
@@ -20,7 +20,7 @@
           context_.scheduler.SetMachineTypes(types);
           on_types_(types);
         }
-        const double pause_s = ok ? kIntervalLeases * context_.settings.agent_lease_s : kRetryS;
+        const double pause_s = ok ? kPollIntervalLeases * context_.settings.agent_lease_s : kRetryS;
         timer_.After(pause_s, [this] { Poll(); });
       }));
 }
--- a/src/service/metrics.cc
+++ b/src/service/metrics.cc
@@ -5,7 +5,8 @@
 namespace mosspath::service {
 namespace {
 
-constexpr size_t kMostShown = 200;  // users choose the names of classes
+// Classes and teams with metrics. The limit bounds memory, since users choose the names of classes.
+constexpr size_t kMaxExportedGroups = 200;
 
 const char* Name(Metrics::Route r) {
   switch (r) {
@@ -38,19 +39,20 @@
                      .Name("mosspath_malformed_total")
                      .Help("Messages that could not be understood, by sender and kind")
                      .Register(registry_)),
-      stood_still_(prometheus::BuildCounter()
-                       .Name("mosspath_stood_still_seconds_total")
-                       .Help("Time in which this process did not run though its clock did")
-                       .Register(registry_)
-                       .Add({})),
-      heard_(prometheus::BuildGauge()
-                 .Name("mosspath_controller_heard_seconds")
-                 .Help("Since a controller was last heard by any")
-                 .Register(registry_)),
-      lacks_(prometheus::BuildGauge()
-                 .Name("mosspath_controller_lacks")
-                 .Help("How many things a controller can't reach")
-                 .Register(registry_)),
+      process_stall_seconds_(
+          prometheus::BuildCounter()
+              .Name("mosspath_stood_still_seconds_total")
+              .Help("Time in which this process did not run though its clock did")
+              .Register(registry_)
+              .Add({})),
+      heartbeat_age_(prometheus::BuildGauge()
+                         .Name("mosspath_controller_heard_seconds")
+                         .Help("Since a controller was last heard by any")
+                         .Register(registry_)),
+      unreachable_count_(prometheus::BuildGauge()
+                             .Name("mosspath_controller_lacks")
+                             .Help("How many things a controller can't reach")
+                             .Register(registry_)),
       waiting_(prometheus::BuildGauge()
                    .Name("mosspath_waiting_tasks")
                    .Help("Tasks waiting, by class or team")
@@ -71,17 +73,17 @@
                        .Name("mosspath_submissions")
                        .Help("Jobs that this process was asked to accept, and refused for room")
                        .Register(registry_)),
-      age_(prometheus::BuildGauge()
-               .Name("mosspath_status_age_seconds")
-               .Help("How old the figures are that this node shows")
-               .Register(registry_)
-               .Add({})) {}
+      status_age_(prometheus::BuildGauge()
+                      .Name("mosspath_status_age_seconds")
+                      .Help("How old the figures are that this node shows")
+                      .Register(registry_)
+                      .Add({})) {}
 
 void Metrics::Update(const wire::Status& s) {
-  age_.Set(s.snapshot_age_s);
+  status_age_.Set(s.snapshot_age_s);
   for (const auto& c : s.controllers) {
-    heard_.Add({{"controller", c.node}}).Set(c.heard_ago_s);
-    lacks_.Add({{"controller", c.node}}).Set(static_cast<double>(c.unreachable.size()));
+    heartbeat_age_.Add({{"controller", c.node}}).Set(c.heard_ago_s);
+    unreachable_count_.Add({{"controller", c.node}}).Set(static_cast<double>(c.unreachable.size()));
   }
   for (const auto& u : s.sockets) {
     const auto set = [&](const char* what, uint64_t n) {
@@ -98,8 +100,8 @@
   admission_.Add({{"what", "part"}}).Set(s.admission.share);
   for (const auto& g : s.admission.groups) {
     const std::string name = g.team + "/" + g.job_class;
-    if (shown_.size() >= kMostShown && !shown_.contains(name)) continue;
-    shown_.insert(name);
+    if (exported_groups_.size() >= kMaxExportedGroups && !exported_groups_.contains(name)) continue;
+    exported_groups_.insert(name);
     const auto set = [&](const char* what, uint64_t n) {
       submissions_.Add({{"team", g.team}, {"class", g.job_class}, {"what", what}})
           .Set(static_cast<double>(n));
@@ -107,26 +109,28 @@
     set("asked", g.requested);
     set("refused", g.refused);
   }
-  const auto show = [&](const std::vector<wire::StatusSnapshot::Queue>& queues, const char* by) {
+  const auto export_queues = [&](const std::vector<wire::StatusSnapshot::Queue>& queues,
+                                 const char* by) {
     for (const auto& q : queues) {
-      if (shown_.size() >= kMostShown && !shown_.contains(q.job_class)) continue;
-      shown_.insert(q.job_class);
+      if (exported_groups_.size() >= kMaxExportedGroups && !exported_groups_.contains(q.job_class))
+        continue;
+      exported_groups_.insert(q.job_class);
       waiting_.Add({{by, q.job_class}}).Set(static_cast<double>(q.waiting));
       since_.Add({{by, q.job_class}, {"what", "started"}}).Set(q.started_ago_s);
       since_.Add({{by, q.job_class}, {"what", "finished"}}).Set(q.finished_ago_s);
     }
   };
-  show(s.snapshot.queues, "class");
-  show(s.snapshot.teams, "team");
+  export_queues(s.snapshot.queues, "class");
+  export_queues(s.snapshot.teams, "team");
 }
 
 void Metrics::OnAnswered(Route route, int status, double seconds) {
   static const prometheus::Histogram::BucketBoundaries kBounds{
       0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5};
-  auto& latency = latency_of_[route];
+  auto& latency = latency_by_route_[route];
   if (latency == nullptr) latency = &latency_.Add({{"route", Name(route)}}, kBounds);
   latency->Observe(seconds);
-  auto& answers = answers_of_[{route, status}];
+  auto& answers = answers_by_route_[{route, status}];
   if (answers == nullptr) {
     answers = &answers_.Add({{"route", Name(route)}, {"status", std::to_string(status)}});
   }
--- a/src/service/operator_settings_api.cc
+++ b/src/service/operator_settings_api.cc
@@ -16,17 +16,17 @@
   try {
     settings_ = config::Change({}, e.value ? *e.value : Json::object());
   } catch (const std::exception& error) {
-    spdlog::error("settings: unreadable record, defaults are in force: {}", error.what());
+    spdlog::error("service: operator_settings_malformed fallback=defaults error={}", error.what());
     settings_ = {};
   }
-  spdlog::info("settings: version {} is in force", version_);
-  changed_();
+  spdlog::info("service: operator_settings_applied version={}", version_);
+  on_changed_();
 }
 
 void OperatorSettingsApi::Answer(const net::HttpRequest& r, net::HttpServer::Responder respond) {
   if (r.method == "PUT") return Put(r, std::move(respond));
   if (r.method != "GET") return respond(ErrorResponse(405, "method not allowed"));
-  mirror_.CatchUp([this, respond](bool ok) {
+  watch_cache_.CatchUp([this, respond](bool ok) {
     if (!ok) return respond(RetryLaterResponse("can't tell now"));
     respond({200, Json{{"version", version_}, {"settings", config::ToJson(settings_)}}.dump()});
   });
@@ -47,14 +47,14 @@
   } catch (const std::exception& e) {
     return respond(ErrorResponse(400, e.what()));
   }
-  mirror_.CatchUp([this, version, changes, respond = std::move(respond)](bool ok) {
+  watch_cache_.CatchUp([this, version, changes, respond = std::move(respond)](bool ok) {
     if (!ok) return respond(RetryLaterResponse("can't tell now"));
     if (version != version_) return respond(ErrorResponse(409, "the settings have changed"));
     const Json next = config::ToJson(config::Change(settings_, changes));
     kvstore::Transaction txn;
     txn.conditions.push_back({keys::kSettings, version});
     txn.changes.push_back({keys::kSettings, next});
-    state_.Commit(std::move(txn), derived_.user_deadline_s,
+    store_.Commit(std::move(txn), derived_.user_deadline_s,
                   [respond, next](kvstore::TransactionResult t) {
                     if (t.outcome == kvstore::Outcome::kConflict) {
                       return respond(ErrorResponse(409, "the settings have changed"));
--- a/src/service/peer_frame_sender.cc
+++ b/src/service/peer_frame_sender.cc
@@ -7,23 +7,23 @@
 PeerFrameSender::PeerFrameSender(asio::io_context& io, const config::Settings& settings,
                                  const std::shared_ptr<net::SocketBudget>& sockets,
                                  net::OnMalformed on_malformed)
-    : own_(settings.name), on_malformed_(std::move(on_malformed)) {
+    : node_(settings.name), on_malformed_(std::move(on_malformed)) {
   const net::HttpClient::Options options{.max_connections = 1, .max_queue = 1, .sockets = sockets};
   for (const auto& p : settings.peers) {
-    links_[p.name] = std::make_unique<net::HttpClient>(io, p.address, options);
+    connections_[p.name] = std::make_unique<net::HttpClient>(io, p.address, options);
   }
 }
 
 bool PeerFrameSender::IsBusy(const std::string& node) const {
-  const auto it = links_.find(node);
-  return it == links_.end() || !it->second->idle();
+  const auto it = connections_.find(node);
+  return it == connections_.end() || !it->second->idle();
 }
 
 void PeerFrameSender::Send(const std::string& node, wire::ShardFrame frame, double timeout_s,
                            Done done) {
-  const auto it = links_.find(node);
-  if (it == links_.end()) return;
-  frame.node = own_;
+  const auto it = connections_.find(node);
+  if (it == connections_.end()) return;
+  frame.node = node_;
   std::string text = wire::Encode(frame);
   ++frames_;
   bytes_ += text.size();
--- a/src/service/public_routes.cc
+++ b/src/service/public_routes.cc
@@ -12,8 +12,8 @@
 
 using net::HttpResponse;
 
-// How long an agent's connection may be idle, in the time that makes a machine
-// suspect.
+// Idle timeout of an agent's connection, as a multiple of the silence that makes
+// a machine suspect.
 constexpr double kAgentIdleRatio = 1.5;
 constexpr int kOk = 200;
 
@@ -24,7 +24,7 @@
   return path.ends_with(paths::kCancelSuffix) ? Metrics::Route::kCancel : Metrics::Route::kGet;
 }
 
-// Returns whether the request has that method, and answers it if not.
+// Returns whether the request has that method. Answers the request if not.
 bool RequireMethod(const net::HttpRequest& request, std::string_view method,
                    const PublicRoutes::Responder& respond) {
   if (request.method == method) return true;
@@ -45,13 +45,13 @@
       is_healthy_(std::move(is_healthy)) {}
 
 PublicRoutes::Responder PublicRoutes::Observed(Metrics::Route route, Responder respond) {
-  return [this, route, began = net::Now(), respond = std::move(respond)](HttpResponse answer) {
-    metrics_.OnAnswered(route, answer.status, net::Now() - began);
+  return [this, route, started_at = net::Now(), respond = std::move(respond)](HttpResponse answer) {
+    metrics_.OnAnswered(route, answer.status, net::Now() - started_at);
     const bool from_agent = route == Metrics::Route::kReport;
     answer.connection_class =
         from_agent ? net::ConnectionClass::kAgent : net::ConnectionClass::kUser;
-    // An agent that is not served goes elsewhere; one that has died never says
-    // so.
+    // An agent that is refused connects to another controller, so its connection
+    // is closed. A dead agent never closes its connection, so idle ones time out.
     answer.close = from_agent && answer.status != kOk;
     if (from_agent) answer.idle_s = kAgentIdleRatio * derived_.agent_suspect_s;
     respond(std::move(answer));
--- a/src/service/record_flusher.cc
+++ b/src/service/record_flusher.cc
@@ -8,7 +8,7 @@
 namespace mosspath::service {
 namespace {
 
-// How soon after the last flush the next one may be brought forward, as a part of the interval.
+// Minimum time between the last flush and an early one, as a fraction of the flush interval.
 constexpr double kEarlyFlushRatio = 0.4;
 
 void AddWrite(kvstore::Transaction& transaction, const std::string& key,
@@ -26,8 +26,8 @@
 
 void RecordFlusher::FlushSoon() {
   if (IsBackingOff()) return;
-  const double earliest_pause_s = kEarlyFlushRatio * context_.derived.record_flush_s;
-  const double wait_s = last_flush_at_ ? *last_flush_at_ + earliest_pause_s - net::Now() : 0;
+  const double min_pause_s = kEarlyFlushRatio * context_.derived.record_flush_s;
+  const double wait_s = last_flush_at_ ? *last_flush_at_ + min_pause_s - net::Now() : 0;
   timer_.After(wait_s, [this] { Flush(); });
 }
 
@@ -57,8 +57,8 @@
     on_written_();
     return;
   }
-  // After a conflict, an earlier write of ours has committed without our learning of it: the watch
-  // cache brings the versions.
+  // A conflict means that an earlier write of this leader committed but its result was lost. The
+  // watch cache will deliver the versions of the records.
   context_.scheduler.OnRecordsFailed();
   not_before_ = net::Now() + context_.derived.record_flush_s;
 }
--- a/src/service/scale_out_requester.cc
+++ b/src/service/scale_out_requester.cc
@@ -11,7 +11,7 @@
 constexpr int kMaxMachinesPerRequest = 50;
 constexpr double kMinBackoffS = 1.0;
 constexpr double kMaxBackoffS = 8.0;
-constexpr double kRefusedPauseS = 2.0;  // before an offer whose request was refused is planned anew
+constexpr double kRefusedPauseS = 2.0;  // before an offer is planned again after a refusal
 
 autoscaler::ScaleOutRequest OfferOf(const wire::RentRequest& request) {
   return {request.type, request.zone, request.spot, request.count};
@@ -25,11 +25,12 @@
 void ScaleOutRequester::Enqueue(const std::vector<autoscaler::ScaleOutRequest>& planned) {
   const std::string prefix =
       context_.settings.name + "-" + std::to_string(context_.term.token()) + "-";
-  for (const autoscaler::ScaleOutRequest& wanted : planned) {
-    for (int left = wanted.count; left > 0; left -= kMaxMachinesPerRequest) {
+  for (const autoscaler::ScaleOutRequest& planned_request : planned) {
+    for (int left = planned_request.count; left > 0; left -= kMaxMachinesPerRequest) {
       const std::string name = prefix + std::to_string(++request_count_);
       const int count = std::min(left, kMaxMachinesPerRequest);
-      requests_.push_back({.request = {name, wanted.type, wanted.zone, wanted.spot, count},
+      requests_.push_back({.request = {name, planned_request.type, planned_request.zone,
+                                       planned_request.spot, count},
                            .backoff = net::Backoff(kMinBackoffS, kMaxBackoffS),
                            .retry_at = std::nullopt});
     }
@@ -44,8 +45,8 @@
     });
   }
   for (PendingRequest& pending : requests_) {
-    const bool waits = pending.retry_at && now < *pending.retry_at;
-    if (pending.in_flight || waits || !context_.cloud.MayRequest()) continue;
+    const bool is_backing_off = pending.retry_at && now < *pending.retry_at;
+    if (pending.in_flight || is_backing_off || !context_.cloud.MayRequest()) continue;
     SendOne(pending);
   }
 }
@@ -80,11 +81,12 @@
       requests_.erase(pending);
       CloseOffer(OfferOf(request));
       break;
-    case CloudClient::Outcome::kRefused:  // not executed: planned anew after a pause
+    case CloudClient::Outcome::kRefused:  // not executed: planned again after a pause
       requests_.erase(pending);
       context_.scheduler.OnProvisioningRefused(OfferOf(request), net::Now() + kRefusedPauseS);
       break;
-    case CloudClient::Outcome::kUndetermined:  // the same name gets the same machines
+    case CloudClient::Outcome::kUndetermined:  // a retry under the same name returns the same
+                                               // machines
       pending->in_flight = false;
       pending->retry_at = net::Now() + pending->backoff.Next();
       break;
@@ -104,8 +106,9 @@
   DropUnsent(offer);
 }
 
-// A plan asks for fifties. Without this the rest of them kept asking for what is sold out, and took
-// the cloud's calls from lists and deletions: idle machines were paid for minutes.
+// A plan is split into requests of 50 machines. Without this function the remaining requests kept
+// requesting a sold-out offer, and used the cloud's request rate that listings and deletions need:
+// idle machines were paid for minutes longer.
 void ScaleOutRequester::DropUnsent(const autoscaler::ScaleOutRequest& offer) {
   std::erase_if(requests_, [&](const PendingRequest& pending) {
     return !pending.in_flight && !pending.retry_at && pending.request.type == offer.type &&
--- a/src/service/scaling_service.cc
+++ b/src/service/scaling_service.cc
@@ -8,7 +8,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kPauseRatio = 3;  // between plans, in the time that the last one took
+constexpr double kPauseRatio = 3;  // minimum pause between plans, in planning durations
 constexpr double kMinPlanIntervalS = 1.0;
 constexpr size_t kMaxMachinesPerDeletion = 100;
 
--- a/src/service/user_api.cc
+++ b/src/service/user_api.cc
@@ -22,23 +22,23 @@
 }
 
 HttpResponse RetryLaterResponse(const std::string& why) {
-  HttpResponse a = ErrorResponse(503, why);
-  a.retry_after_s = kRetryS;
-  return a;
+  HttpResponse response = ErrorResponse(503, why);
+  response.retry_after_s = kRetryS;
+  return response;
 }
 
 namespace {
 
-HttpResponse Full(const std::string& why, double retry_after_s) {
-  HttpResponse a = ErrorResponse(429, why);
-  a.retry_after_s = retry_after_s;
-  return a;
+HttpResponse TooManyRequests(const std::string& why, double retry_after_s) {
+  HttpResponse response = ErrorResponse(429, why);
+  response.retry_after_s = retry_after_s;
+  return response;
 }
 
 }  // namespace
 
-void UserApi::AnswerKnown(const std::string& id, JobService::JobStatus known,
-                          const Responder& respond, HttpResponse missing) {
+void UserApi::AnswerWithStatus(const std::string& id, JobService::JobStatus known,
+                               const Responder& respond, HttpResponse missing) {
   switch (known) {
     case JobService::JobStatus::kDone: {
       return respond({200, wire::JobAnswer(id, wire::JobState::kDone).dump()});
@@ -65,11 +65,12 @@
     return respond(ErrorResponse(400, e.what()));
   }
   const std::string id = wire::PeekJobId(body);
-  // A known job is answered before anything else is checked.
+  // A job that is recorded already is answered with its status, even if the request is invalid now
+  // or would be refused.
   const auto refuse = [&](HttpResponse answer) {
     if (id.empty()) return respond(std::move(answer));
     jobs_.Lookup(id, [this, id, respond, answer](JobService::JobStatus known) {
-      AnswerKnown(id, known, respond, answer);
+      AnswerWithStatus(id, known, respond, answer);
     });
   };
   wire::JobSpec spec;
@@ -78,13 +79,14 @@
   } catch (const std::exception& e) {
     return refuse(ErrorResponse(400, e.what()));
   }
-  if (types_.empty() || !mirror_.loaded()) return refuse(RetryLaterResponse("can't decide yet"));
+  if (types_.empty() || !watch_cache_.loaded())
+    return refuse(RetryLaterResponse("can't decide yet"));
   const std::string why = admission::ReasonNeverRunnable(spec, settings_.teams, types_.types());
   if (!why.empty()) return refuse(ErrorResponse(422, why));
   if (const auto verdict = admission_.Request(spec, net::Now()); !verdict.admit) {
-    spdlog::debug("admission: {} is refused, to come back in {:.1f} s: {}", id,
+    spdlog::debug("service: job_refused job={} retry_after_s={:.1f} reason={}", id,
                   verdict.retry_after_s, verdict.reason);
-    return refuse(Full(verdict.reason, verdict.retry_after_s));
+    return refuse(TooManyRequests(verdict.reason, verdict.retry_after_s));
   }
   jobs_.Submit(spec, [this, id, respond](JobService::SubmitOutcome accepted) {
     switch (accepted) {
@@ -92,10 +94,10 @@
         return respond({201, wire::JobAnswer(id, wire::JobState::kQueued).dump()});
       case JobService::SubmitOutcome::kAlreadyRecorded:
         return jobs_.Lookup(id, [this, id, respond](JobService::JobStatus known) {
-          AnswerKnown(id, known, respond, RetryLaterResponse("can't tell now"));
+          AnswerWithStatus(id, known, respond, RetryLaterResponse("can't tell now"));
         });
       case JobService::SubmitOutcome::kQueueFull:
-        return respond(Full("too many submissions of this team are waiting", kRetryS));
+        return respond(TooManyRequests("too many submissions of this team are waiting", kRetryS));
       case JobService::SubmitOutcome::kUndetermined:
         return respond(RetryLaterResponse("can't take it now"));
     }
@@ -104,13 +106,13 @@
 
 void UserApi::Get(const std::string& id, Responder respond) {
   jobs_.Lookup(id, [this, id, respond = std::move(respond)](JobService::JobStatus known) {
-    AnswerKnown(id, known, respond, ErrorResponse(404, "no such job"));
+    AnswerWithStatus(id, known, respond, ErrorResponse(404, "no such job"));
   });
 }
 
 void UserApi::Cancel(const std::string& id, Responder respond) {
   jobs_.Cancel(id, [this, id, respond = std::move(respond)](JobService::JobStatus known) {
-    AnswerKnown(id, known, respond, ErrorResponse(404, "no such job"));
+    AnswerWithStatus(id, known, respond, ErrorResponse(404, "no such job"));
   });
 }
 
