--- a/include/mosspath/service/job_submitter.h
+++ b/include/mosspath/service/job_submitter.h
@@ -27,7 +27,7 @@
   // Receives the revision at which the job was recorded if the outcome is kNew.
   using Done = std::function<void(Outcome, uint64_t revision)>;
 
-  JobSubmitter(asio::io_context& io, kvstore::Client& state, const config::Settings& settings,
+  JobSubmitter(asio::io_context& io, kvstore::Client& store, const config::Settings& settings,
                const config::DerivedSettings& derived);
 
   // Sets whether several jobs may share a record, which requires that every controller can read
--- a/include/mosspath/service/peer_service.h
+++ b/include/mosspath/service/peer_service.h
@@ -1,5 +1,7 @@
-// The duties between controllers: each tells the others that it is there and what it reaches, the
-// leader tells its counts, and in an outage of the state service it asks all to vouch for it.
+// Communication between controllers. Each controller sends heartbeats to its peers, which say how
+// recently it had contact with the state service, the cloud, agents and peers. The leader also
+// sends status snapshots. During an outage of the state service, the leader requests promises from
+// its peers not to lead. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -24,9 +26,10 @@
 class PeerService {
  public:
   struct LocalState {
-    std::function<std::optional<wire::StatusSnapshot>()> snapshot;  // while this node leads
-    std::function<wire::PeerHeartbeat()> heartbeat;                 // its peers are filled in here
-    std::function<bool()> may_act;                                  // to plan for others
+    // Returns none while this node doesn't lead.
+    std::function<std::optional<wire::StatusSnapshot>()> snapshot;
+    std::function<wire::PeerHeartbeat()> heartbeat;  // without node and peers
+    std::function<bool()> may_act;                   // whether this node may plan admission shares
   };
 
   PeerService(asio::io_context& io, const config::Settings& settings,
@@ -35,20 +38,21 @@
               const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
   void Start();
 
-  // Answers the request if it is between controllers.
+  // Answers the request and returns true if the request is one between controllers.
   bool Answer(const net::HttpRequest& r, const net::HttpServer::Responder& respond);
 
   void OnProcessStall(double from, double now) { failure_detector_.OnProcessStall(from, now); }
-  // Not heard of lately, though it was.
+  // Returns whether a controller that sent heartbeats before is silent now.
   bool IsSuspected(const std::string& node) const {
     return failure_detector_.IsSuspected(node, net::Now());
   }
-  // See election::Liveness.
+  // See election::FailureDetector.
   bool ShouldServeUsers(double state_contact, double patience_s) const {
     return failure_detector_.ShouldServeUsers(state_contact, patience_s, net::Now());
   }
-  // What this node knows, its own or the leader's last word.
+  // Returns the status with this node's own snapshot if it leads, else the last snapshot received.
   wire::Status Status() const;
+  // Returns the task counts of the job in the last snapshot received; zeros if it has none.
   scheduler::JobCounts CountsOf(const std::string& id) const;
 
  private:
@@ -62,12 +66,12 @@
 
   struct PeerConnection {
     std::string node;
-    net::HttpClient updates;          // presence and digests
-    net::HttpClient promises;         // nothing else waits here
-    bool reads_demand = false;        // it has answered with a plan, so it reads demands
-    bool bad_promise_logged = false;  // its last answer could not be understood, which was told
+    net::HttpClient updates;   // heartbeats and snapshots
+    net::HttpClient promises;  // separate, so that promise requests are not queued behind updates
+    bool supports_demand = false;     // it answered with a plan, so it supports demands
+    bool bad_promise_logged = false;  // its last answer was malformed, and that was logged
   };
-  void OnPromiseResponse(uint64_t round, PeerConnection& link, const std::string& body);
+  void OnPromiseResponse(uint64_t round, PeerConnection& peer, const std::string& body);
 
   const config::Settings& settings_;
   const config::DerivedSettings derived_;
@@ -78,14 +82,14 @@
   const std::shared_ptr<net::SocketBudget> sockets_;
   const net::OnMalformed on_malformed_;
   election::FailureDetector failure_detector_;
-  std::vector<std::unique_ptr<PeerConnection>> links_;
+  std::vector<std::unique_ptr<PeerConnection>> peers_;
   net::Timer heartbeat_timer_;
   net::Timer snapshot_timer_;
   net::Timer promise_timer_;
-  bool bad_request_logged_ = false;  // the last one could not be understood, which was told
-  wire::StatusSnapshot snapshot_;    // the leader's last word; display only
+  bool bad_request_logged_ = false;  // the last request was malformed, and that was logged
+  wire::StatusSnapshot snapshot_;    // the last one received; for display only
   double snapshot_at_ = -1e18;
-  std::map<std::string, scheduler::JobCounts> counts_;  // from it
+  std::map<std::string, scheduler::JobCounts> counts_;  // by job; from snapshot_
 };
 
 }  // namespace mosspath::service
--- a/src/service/job_submitter.cc
+++ b/src/service/job_submitter.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-JobSubmitter::JobSubmitter(asio::io_context& io, kvstore::Client& state,
+JobSubmitter::JobSubmitter(asio::io_context& io, kvstore::Client& store,
                            const config::Settings& settings, const config::DerivedSettings& derived)
-    : store_(state),
+    : store_(store),
       node_(settings.name),
       // A transaction may have four times as many conditions as changes. Each job takes two
       // conditions, and the record one.
--- a/src/service/peer_service.cc
+++ b/src/service/peer_service.cc
@@ -13,11 +13,11 @@
 using net::HttpResponse;
 using Responder = net::HttpServer::Responder;
 
-HttpResponse Frame(std::string body) {
+HttpResponse FrameResponse(std::string body) {
   return {200, std::move(body), 0, "application/octet-stream"};
 }
 
-HttpResponse Malformed() { return {400, wire::ErrorAnswer("malformed frame").dump()}; }
+HttpResponse MalformedFrameResponse() { return {400, wire::ErrorAnswer("malformed frame").dump()}; }
 
 }  // namespace
 
@@ -40,7 +40,7 @@
       promise_timer_(io) {
   const net::HttpClient::Options options{.max_connections = 1, .max_queue = 2, .sockets = sockets};
   for (const auto& p : settings_.peers) {
-    links_.push_back(std::unique_ptr<PeerConnection>(
+    peers_.push_back(std::unique_ptr<PeerConnection>(
         new PeerConnection{p.name, {io, p.address, options}, {io, p.address, options}}));
   }
 }
@@ -79,24 +79,26 @@
   const double now = net::Now();
   own.demand = admission_.Demand(now);
   const std::string with_demand = wire::Encode(own);
-  // Who leads asks itself as others ask it, and only while it is entitled to plan: one that had
-  // lapsed went on planning for itself beside its successor.
+  // The leader requests its own plan like its peers do, and only while it may act: a leader whose
+  // lease had lapsed kept planning a share for itself alongside its successor.
   if (local_.may_act()) {
     admission_.OnPlan(admission_.PlanFor(settings_.name, *own.demand, now), now);
   }
-  for (auto& l : links_) {
-    l->updates.Send("POST", "/peer/v1/presence", l->reads_demand ? with_demand : frame,
-                    2 * failure_detector_.interval_s(),
-                    [this, link = l.get(), asked = now](const net::HttpResult& r) {
-                      // An earlier version answers with nothing, and would not read a demand.
-                      link->reads_demand = link->reads_demand && r.status == 0;
-                      if (r.status != 200 || r.body.empty()) return;
-                      net::TryRead("peer", "plan", on_malformed_, [&] {
-                        const admission::AdmissionPlan plan = wire::DecodeAdmissionPlan(r.body);
-                        link->reads_demand = true;
-                        admission_.OnPlan(plan, asked);
-                      });
-                    });
+  for (auto& connection : peers_) {
+    connection->updates.Send(
+        "POST", "/peer/v1/presence", connection->supports_demand ? with_demand : frame,
+        2 * failure_detector_.interval_s(),
+        [this, peer = connection.get(), requested_at = now](const net::HttpResult& r) {
+          // A peer of an earlier version answers with an empty body and can't parse a
+          // demand.
+          peer->supports_demand = peer->supports_demand && r.status == 0;
+          if (r.status != 200 || r.body.empty()) return;
+          net::TryRead("peer", "plan", on_malformed_, [&] {
+            const admission::AdmissionPlan plan = wire::DecodeAdmissionPlan(r.body);
+            peer->supports_demand = true;
+            admission_.OnPlan(plan, requested_at);
+          });
+        });
   }
 }
 
@@ -104,22 +106,22 @@
   wire::PeerHeartbeat p;
   const bool understood = net::TryRead("peer", "presence", on_malformed_,
                                        [&] { p = wire::DecodePeerHeartbeat(r.body); });
-  if (!understood) return respond(Malformed());
+  if (!understood) return respond(MalformedFrameResponse());
   const double now = net::Now();
   failure_detector_.OnHeartbeat(p, now);
   admission::AdmissionPlan plan;
   if (local_.may_act() && p.demand) plan = admission_.PlanFor(p.node, *p.demand, now);
-  respond(Frame(wire::Encode(plan)));
+  respond(FrameResponse(wire::Encode(plan)));
 }
 
 void PeerService::SendSnapshot() {
   snapshot_timer_.After(std::max(1.0, settings_.heartbeat_s / 2), [this] { SendSnapshot(); });
-  const auto digest = local_.snapshot();
-  if (!digest) return;
-  const std::string frame = wire::Encode(*digest);
-  for (auto& l : links_) {
-    l->updates.Send("POST", "/peer/v1/digest", frame, settings_.heartbeat_s,
-                    [](const net::HttpResult&) {});
+  const auto own_snapshot = local_.snapshot();
+  if (!own_snapshot) return;
+  const std::string frame = wire::Encode(*own_snapshot);
+  for (auto& connection : peers_) {
+    connection->updates.Send("POST", "/peer/v1/digest", frame, settings_.heartbeat_s,
+                             [](const net::HttpResult&) {});
   }
 }
 
@@ -127,14 +129,14 @@
   wire::StatusSnapshot d;
   const bool understood = net::TryRead("peer", "digest", on_malformed_,
                                        [&] { d = wire::DecodeStatusSnapshot(r.body); });
-  if (!understood) return respond(Malformed());
+  if (!understood) return respond(MalformedFrameResponse());
   if (d.token >= snapshot_.token) {
     counts_.clear();
     for (const auto& j : d.jobs) counts_[j.id] = {j.done, j.running};
     snapshot_ = std::move(d);
     snapshot_at_ = net::Now();
   }
-  respond(Frame(""));
+  respond(FrameResponse(""));
 }
 
 wire::Status PeerService::Status() const {
@@ -162,26 +164,27 @@
   return it == counts_.end() ? scheduler::JobCounts{} : it->second;
 }
 
-// While the state service is silent, a leader asks all peers to vouch that they won't lead.
+// While the state service doesn't answer, a leader requests promises from all peers not to lead.
 void PeerService::RequestPromises() {
   promise_timer_.After(derived_.promise_s / 4, [this] { RequestPromises(); });
   const auto round = elector_.BeginPromiseRound(net::Now());
   if (!round) return;
   const std::string frame = wire::Encode(elector_.MakePromiseRequest());
-  for (auto& l : links_) {
-    l->promises.Send("POST", "/peer/v1/vouch", frame, derived_.promise_s,
-                     [this, round = *round, link = l.get()](const net::HttpResult& r) {
-                       if (r.status == 200) OnPromiseResponse(round, *link, r.body);
-                     });
+  for (auto& connection : peers_) {
+    connection->promises.Send(
+        "POST", "/peer/v1/vouch", frame, derived_.promise_s,
+        [this, round = *round, peer = connection.get()](const net::HttpResult& r) {
+          if (r.status == 200) OnPromiseResponse(round, *peer, r.body);
+        });
   }
 }
 
-void PeerService::OnPromiseResponse(uint64_t round, PeerConnection& link, const std::string& body) {
-  // An answer that can't be understood is no promise, and is told once: the next question comes
-  // soon.
+void PeerService::OnPromiseResponse(uint64_t round, PeerConnection& peer, const std::string& body) {
+  // A malformed answer is no promise. It is logged only once for each peer until the next valid
+  // answer, since requests are frequent.
   const auto malformed = [&](const char* why) {
-    if (!std::exchange(link.bad_promise_logged, true)) {
-      spdlog::error("peer: {} vouches in a way that can't be: {}", link.node, why);
+    if (!std::exchange(peer.bad_promise_logged, true)) {
+      spdlog::error("service: promise_response_malformed node={} error={}", peer.node, why);
     }
     on_malformed_("peer", "vouch");
   };
@@ -192,36 +195,36 @@
     return malformed(e.what());
   }
   std::vector<wire::CancellationLogSlice::Entry> learned;
-  if (elector_.OnPromiseResponse(round, link.node, answer, net::Now(), learned) ==
+  if (elector_.OnPromiseResponse(round, peer.node, answer, net::Now(), learned) ==
       election::PromiseResponseResult::kImplausible) {
     return malformed("a revision above any");
   }
-  link.bad_promise_logged = false;
+  peer.bad_promise_logged = false;
   for (const auto& e : learned) {
     if (jobs_.FindLive(e.id) != nullptr) {
-      spdlog::info("jobs: {} is cancelled, as {} says", e.id, link.node);
+      spdlog::info("service: cancellation_learned job={} node={}", e.id, peer.node);
     }
     jobs_.OnCancellationLearned(e.id, e.revision);
   }
 }
 
 void PeerService::OnPromiseRequest(const net::HttpRequest& r, const Responder& respond) {
-  election::Leadership::PromiseDecision promise;
-  wire::PromiseRequest question;
+  election::Leadership::PromiseDecision decision;
+  wire::PromiseRequest request;
   try {
-    question = wire::DecodePromiseRequest(r.body);
-    promise = elector_.OnPromiseRequest(question, net::Now());
-    if (!promise.well_formed) throw wire::BadMessage("a node, token or revision that can't be");
+    request = wire::DecodePromiseRequest(r.body);
+    decision = elector_.OnPromiseRequest(request, net::Now());
+    if (!decision.well_formed) throw wire::BadMessage("a node, token or revision that can't be");
   } catch (const std::exception& e) {
-    // A leader asks several times a second: told once, until one is understood again.
+    // A leader sends several requests a second: logs only once until the next valid request.
     if (!std::exchange(bad_request_logged_, true))
-      spdlog::error("peer: malformed vouch: {}", e.what());
+      spdlog::error("service: promise_request_malformed error={}", e.what());
     on_malformed_("peer", "vouch");
-    return respond(Malformed());
+    return respond(MalformedFrameResponse());
   }
   bad_request_logged_ = false;
-  respond(Frame(wire::Encode(wire::PromiseResponse{
-      promise.promised, jobs_.cancellations().Since(question.read_revision)})));
+  respond(FrameResponse(wire::Encode(wire::PromiseResponse{
+      decision.promised, jobs_.cancellations().Since(request.read_revision)})));
 }
 
 }  // namespace mosspath::service
