--- a/include/mosspath/service/agent_heartbeat_handler.h
+++ b/include/mosspath/service/agent_heartbeat_handler.h
@@ -27,11 +27,11 @@
                         net::OnMalformed on_malformed);
 
   void Answer(const net::HttpRequest& request, const Responder& respond);
-  // Returns when this controller last accepted a heartbeat for processing, in
-  // steady seconds; kNeverTakenAt before the first.
-  [[nodiscard]] double last_taken_at() const { return last_taken_at_; }
+  // Returns when this controller last processed a heartbeat as the leader or a
+  // shard holder, in steady seconds; kNeverProcessedAt before the first.
+  [[nodiscard]] double last_processed_at() const { return last_processed_at_; }
 
-  static constexpr double kNeverTakenAt = -1e18;
+  static constexpr double kNeverProcessedAt = -1e18;
 
  private:
   // Answers and returns true if this controller as a shard holder, or another
@@ -50,7 +50,7 @@
   ShardMembership& shards_;
   const GetLeader leader_;
   const net::OnMalformed on_malformed_;
-  double last_taken_at_ = kNeverTakenAt;
+  double last_processed_at_ = kNeverProcessedAt;
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/cloud_client.h
+++ b/include/mosspath/service/cloud_client.h
@@ -1,5 +1,5 @@
 // Client of the cloud's API. Tracks the request rate, and maps each response to one outcome. Not
-// thread-safe. Must outlive its pending requests.
+// thread-safe.
 #pragma once
 
 #include <functional>
--- a/include/mosspath/service/job_service.h
+++ b/include/mosspath/service/job_service.h
@@ -43,8 +43,8 @@
     index_.OnLoaded(revision);
     admission_.controller().OnLoaded(revision);
   }
-  // Another controller reports that the job was cancelled at `revision`, which the watch cache may
-  // not show yet.
+  // The job was cancelled at `revision`, according to another controller or to a commit of this
+  // one. The watch cache may not show the cancellation yet.
   void OnCancellationLearned(const std::string& id, uint64_t revision);
   // Called when a cancellation is learned before the watch cache shows it: the job's tasks must end
   // now. Until the watch cache shows the cancellation, which takes as long as an outage lasts, the
--- a/include/mosspath/service/record_limits.h
+++ b/include/mosspath/service/record_limits.h
@@ -5,7 +5,7 @@
 
 namespace mosspath::service {
 
-// Bytes of values in one transaction. A request may have 64 KiB in all.
+// Bytes of values in one transaction. A request has at most 64 KiB in all.
 inline constexpr size_t kMaxRecordBytes = 48u << 10;
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/scale_out_requester.h
+++ b/include/mosspath/service/scale_out_requester.h
@@ -33,7 +33,7 @@
   struct PendingRequest {
     wire::RentRequest request;
     net::Backoff backoff;
-    std::optional<double> retry_at;  // none: its outcome was never unknown
+    std::optional<double> retry_at;  // set once its outcome was unknown
     bool in_flight = false;
   };
 
--- a/src/service/agent_heartbeat_handler.cc
+++ b/src/service/agent_heartbeat_handler.cc
@@ -46,9 +46,9 @@
 
 void AgentHeartbeatHandler::AnswerAsLeader(LeaderService& leader, const wire::Heartbeat& heartbeat,
                                            const Responder& respond) {
-  last_taken_at_ = net::Now();
+  last_processed_at_ = net::Now();
   const scheduler::HeartbeatAnswer answer =
-      leader.scheduler().OnHeartbeat(heartbeat, last_taken_at_);
+      leader.scheduler().OnHeartbeat(heartbeat, last_processed_at_);
   if (answer.accepted) leader.ScheduleTick();
   respond(ToResponse(answer));
 }
@@ -73,7 +73,7 @@
                                            const Responder& respond) {
   ShardHolderService& holder = *shards_.holder();
   if (!holder.MayAct()) return respond(RetryLaterResponse("not entitled now"));
-  last_taken_at_ = net::Now();
+  last_processed_at_ = net::Now();
   respond(ToResponse(holder.OnHeartbeat(heartbeat)));
 }
 
--- a/src/service/controller.cc
+++ b/src/service/controller.cc
@@ -374,7 +374,7 @@
   heartbeat.is_leader = IsEntitledLeader();
   heartbeat.state_ago_s = now - store_.last_contact();
   heartbeat.cloud_ago_s = now - cloud_.last_contact();
-  heartbeat.workers_ago_s = now - heartbeats_.last_taken_at();
+  heartbeat.workers_ago_s = now - heartbeats_.last_processed_at();
   return heartbeat;
 }
 
--- a/src/service/metrics.cc
+++ b/src/service/metrics.cc
@@ -5,7 +5,7 @@
 namespace mosspath::service {
 namespace {
 
-// Classes and teams with metrics. The limit bounds memory, since users choose the names of classes.
+// Classes and teams with metrics. Limited, since users choose the names of classes.
 constexpr size_t kMaxExportedGroups = 200;
 
 const char* Name(Metrics::Route r) {
