--- a/src/service/scale_out_requester.cc
+++ b/src/service/scale_out_requester.cc
@@ -108,7 +108,7 @@
 
 // A plan is split into requests of 50 machines. Without this function the remaining requests kept
 // requesting a sold-out offer, and used the cloud's request rate that listings and deletions need:
-// idle machines were paid for minutes longer.
+// idle machines were paid for minutes.
 void ScaleOutRequester::DropUnsent(const autoscaler::ScaleOutRequest& offer) {
   std::erase_if(requests_, [&](const PendingRequest& pending) {
     return !pending.in_flight && !pending.retry_at && pending.request.type == offer.type &&
