--- a/src/service/agent_heartbeat_handler.cc
+++ b/src/service/agent_heartbeat_handler.cc
@@ -9,7 +9,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr int kMisdirected = 421;
+constexpr int kMisdirected = 421;  // HTTP status
 
 net::HttpResponse ToResponse(const scheduler::HeartbeatAnswer& answer) {
   if (!answer.accepted) return RetryLaterResponse("late report");
@@ -46,9 +46,9 @@
 
 void AgentHeartbeatHandler::AnswerAsLeader(LeaderService& leader, const wire::Heartbeat& heartbeat,
                                            const Responder& respond) {
-  last_taken_at_ = net::Now();
+  last_processed_at_ = net::Now();
   const scheduler::HeartbeatAnswer answer =
-      leader.scheduler().OnHeartbeat(heartbeat, last_taken_at_);
+      leader.scheduler().OnHeartbeat(heartbeat, last_processed_at_);
   if (answer.accepted) leader.ScheduleTick();
   respond(ToResponse(answer));
 }
@@ -73,12 +73,13 @@
                                            const Responder& respond) {
   ShardHolderService& holder = *shards_.holder();
   if (!holder.MayAct()) return respond(RetryLaterResponse("not entitled now"));
-  last_taken_at_ = net::Now();
+  last_processed_at_ = net::Now();
   respond(ToResponse(holder.OnHeartbeat(heartbeat)));
 }
 
-// A controller that the peers don't hear may be gone: an agent sent there would
-// wait in vain, while the next node it tries may lead by then.
+// A suspected controller may be down: an agent redirected to it would wait until
+// its request times out, while the next controller that the agent tries may lead
+// by then.
 void AgentHeartbeatHandler::Redirect(const std::string& controller,
                                      const Responder& respond) const {
   const std::string target = peers_.IsSuspected(controller) ? "" : controller;
