--- a/include/mosspath/wire/json.h
+++ b/include/mosspath/wire/json.h
@@ -1,4 +1,5 @@
-// JSON forms of the messages. The protocol's field names live in json.cc and nowhere else.
+// Parsing and encoding of the messages as JSON. Field names and the names of enum values are
+// defined only in src/wire/field_names.h.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,50 +13,59 @@
 
 using Json = nlohmann::json;
 
-// Raised by every Parse function: the input is not a message of this kind.
+// Thrown by every Parse and Decode function if the input is not a valid message of the expected
+// kind.
 struct BadMessage : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Parses text as a JSON object, refusing invalid UTF-8, or throws BadMessage.
+// Parses the text as a JSON object. Throws BadMessage on anything else, also on invalid UTF-8.
 Json ParseObject(std::string_view text);
 
 JobSpec ParseJob(const Json& j);
 Json ToJson(const JobSpec& spec);
-// The id of a submission that may be otherwise invalid; empty when it has none.
+// Returns the job id of a submission that may otherwise be invalid; empty if it has no valid id.
 std::string PeekJobId(const Json& j);
+// Returns whether the text has the form of a job id.
 bool IsJobId(std::string_view id);
 
 Heartbeat ParseHeartbeat(const Json& j);
-// The same from text, many times faster.
+// Parses a heartbeat from text, with the same checks and many times faster than ParseHeartbeat.
 Heartbeat ReadHeartbeat(std::string_view text);
 Json ToJson(const Heartbeat& r);
 std::string TaskName(const TaskId& t);
 TaskId ParseTaskName(const std::string& name);
 
+// The answer to an agent's heartbeat: the leader's fencing token and the commands.
 Json HeartbeatAnswer(uint64_t token, const std::vector<Command>& commands);
+// The request that sends commands to an agent outside a heartbeat's answer. `session`: the agent
+// epoch for which the commands are meant.
 Json DirectCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
 std::vector<Command> ParseCommands(const Json& answer);
+// The answer to an agent that sent its heartbeat to the wrong controller. `report_to`: the
+// controller that should receive the heartbeats; empty if none is known to be up.
 Json MisdirectedAnswer(const std::string& report_to);
 
 std::vector<MachineType> ParseMachineTypes(const Json& j);
 Json ToJson(const std::vector<MachineType>& types);
 
 struct RentRequest {
-  std::string request;
+  std::string request;  // idempotency key: the cloud answers a repeated request as the first time
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
 };
 Json ToJson(const RentRequest& r);
+// Returns the ids of the rented machines.
 std::vector<std::string> ParseRented(const Json& j);
 Json DeleteRequest(const std::vector<std::string>& machines);
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool more = false;  // whether another page follows
 };
 MachinePage ParseMachinePage(const Json& j);
+// Returns the request target of the page of up to `limit` machines that follows the id `after`.
 std::string MachineListTarget(const std::string& after, int limit);
 
 const char* JobStateName(JobState s);
--- a/include/mosspath/wire/messages.h
+++ b/include/mosspath/wire/messages.h
@@ -1,4 +1,4 @@
-// Messages of the platform's interfaces in the field's standard terms. No I/O.
+// Messages exchanged with users, agents and the cloud, independent of their encoding. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace mosspath::wire {
 
-// A gang's tasks run only all together.
+// The tasks of a gang run only if all of them run at the same time.
 enum class JobKind { kArray, kGang, kService };
 enum class Priority { kLow = 0, kNormal = 1, kHigh = 2, kCritical = 3 };
 
-// A job as its user submitted it.
+// A job as submitted by its user.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -38,9 +38,10 @@
 
 enum class JobState { kQueued, kRunning, kDone, kCancelled };
 
-// Waiting: a gang's task whose peers have not all started.
+// kWaitingForGang: a task of a gang of which other tasks have not started yet.
 enum class TaskState { kFetching, kWaitingForGang, kRunning, kCheckpointing, kExited };
-// Peers: another task of the gang ended. Alone: the gang did not come together.
+// kGangMemberEnded: another task of the gang has ended. kGangIncomplete: the tasks of the gang did
+// not all start.
 enum class ExitReason {
   kNone,
   kSucceeded,
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -1,5 +1,5 @@
-// What each controller tells the others of itself, every other moment: that it is there, and whom
-// and what it can reach.
+// The heartbeat that each controller periodically sends to its peers: whether it is the leader, and
+// which peers and outside systems it can reach.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,26 @@
 
 namespace mosspath::wire {
 
-inline constexpr double kNeverS = 1e9;  // ago
+inline constexpr double kNeverS = 1e9;  // seconds since an event that has not happened
 
 struct PeerHeartbeat {
   struct PeerContact {
     std::string node;
-    double ago_s = 0;
+    double ago_s = 0;  // seconds since the peer's last heartbeat arrived
     friend bool operator==(const PeerContact&, const PeerContact&) = default;
   };
 
   std::string node;
   bool is_leader = false;
-  // Since it was last answered; kNever if it hasn't been.
+  // Seconds since the state service, and the cloud, last answered this controller; kNeverS if
+  // never.
   double state_ago_s = 0;
   double cloud_ago_s = 0;
-  double workers_ago_s = 0;  // since the last report that it took as the leader
+  // Seconds since this controller, as the leader, last accepted a heartbeat of an agent.
+  double workers_ago_s = 0;
   std::vector<PeerContact> peers;
-  // Tasks that users lately asked it to accept. Told only to who has shown that it reads that.
+  // Tasks that users recently submitted to this controller. Sent only to a peer that has shown that
+  // it can read the field: a peer of an earlier version would reject the frame.
   std::optional<double> demand = std::nullopt;
 
   friend bool operator==(const PeerHeartbeat&, const PeerHeartbeat&) = default;
@@ -36,22 +39,22 @@
 
 inline constexpr size_t kMaxPeerHeartbeatBytes = 8 << 10;
 
-// A controller as the others know it.
+// The state of a controller, as far as its peers can observe it.
 struct ControllerState {
   std::string node;
   std::string zone;
   bool is_leader = false;
-  double heard_ago_s = kNeverS;  // by whoever heard it last
-  std::string heard_by;
-  std::vector<std::string> unreachable;
+  double heard_ago_s = kNeverS;          // since any controller last received its heartbeat
+  std::string heard_by;                  // the controller that received that heartbeat
+  std::vector<std::string> unreachable;  // peers and outside systems that it can't reach
 };
 
 std::string Encode(const PeerHeartbeat& p);
 PeerHeartbeat DecodePeerHeartbeat(std::string_view frame);
 
-// What a presence is answered with: the plan of what may be accepted (admission/admission_plan.h),
-// from who leads; of others a plan without life. A version that does not know it answers with
-// nothing.
+// The answer to a peer heartbeat: from the leader, the sender's admission plan
+// (admission/admission_plan.h); from any other controller, a plan with a validity of 0 s. A
+// controller of an earlier version answers with an empty body.
 std::string Encode(const admission::AdmissionPlan& p);
 admission::AdmissionPlan DecodeAdmissionPlan(std::string_view frame);
 
--- a/include/mosspath/wire/promise_frame.h
+++ b/include/mosspath/wire/promise_frame.h
@@ -1,6 +1,7 @@
-// The promise requests that a leader sends its peers while the state service is silent, and their
-// answers: whether they promise not to lead for a short time, and the cancellations that they may
-// have confirmed and that the leader has not read (election/leadership). In the varint codec.
+// Promise requests, which a leader sends to its peers while the state service does not answer, and
+// the responses to them. A response states whether the peer promises not to become the leader for a
+// short time, and lists the cancellations that the peer may have confirmed and the leader has not
+// read (election/leadership). Encoded by the varint codec.
 #pragma once
 
 #include <cstddef>
@@ -11,26 +12,26 @@
 
 namespace mosspath::wire {
 
-// Job ids in one answer; about 20 bytes each.
+// Job ids in one response, of about 20 bytes each.
 inline constexpr size_t kMaxCancelledIds = 512;
 
 struct PromiseRequest {
-  std::string node;            // the leader that asks
-  uint64_t token = 0;          // of its term
-  uint64_t read_revision = 0;  // it has read everything up to this revision
+  std::string node;            // the leader that sends the request
+  uint64_t token = 0;          // fencing token of the leader's term
+  uint64_t read_revision = 0;  // the leader has read all changes up to this revision
 };
 
-// A part of the cancellations that a controller may have confirmed to users.
+// A range, by revision, of the cancellations that a controller may have confirmed to users.
 struct CancellationLogSlice {
   struct Entry {
     std::string id;         // of the job
     uint64_t revision = 0;  // at which the cancellation is durable
   };
-  uint64_t newest = 0;  // none after this revision can have been confirmed
-  // The entries are complete for the revisions after from_revision up to to_revision.
+  uint64_t newest = 0;  // no cancellation after this revision can have been confirmed
+  // `entries` is complete for the revisions after from_revision, up to and including to_revision.
   uint64_t from_revision = 0;
   uint64_t to_revision = 0;
-  std::vector<Entry> entries;  // by revision
+  std::vector<Entry> entries;  // in order of revision
 };
 
 struct PromiseResponse {
@@ -40,9 +41,10 @@
 
 [[nodiscard]] std::string Encode(const PromiseRequest& request);
 [[nodiscard]] std::string Encode(const PromiseResponse& response);
-// Throw BadMessage on what no writer of this version can have written: cut short, longer than it
-// should be, another version, ids out of order or beyond the bound. A peer of another version is
-// answered with an error, which is no promise.
+// Throw BadMessage on a frame that no encoder of this version writes: truncated, with trailing
+// bytes, of another version, with revisions out of order or out of range, or with too many ids. A
+// peer of another version receives an error instead of a response, which does not count as a
+// promise.
 PromiseRequest DecodePromiseRequest(std::string_view frame);
 PromiseResponse DecodePromiseResponse(std::string_view frame);
 
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -1,6 +1,6 @@
-// What the leader and the holder of a block tell each other (docs/sharding.md). A frame carries the
-// items that the receiver has not acknowledged yet, in order, and acknowledges what came the other
-// way. Amounts travel in thousandths.
+// Frames between the leader and the holder of a shard (docs/sharding.md). A frame carries, in
+// order, the messages that the receiver has not acknowledged yet, and acknowledges the messages of
+// the other direction. Amounts are encoded in thousandths.
 #pragma once
 
 #include <cstdint>
@@ -16,25 +16,34 @@
 struct ShardMessage {
   enum class Kind : uint8_t {
     // From the leader.
-    kDelegateTasks = 1,  // tasks of the job `name`, to be placed in the block
-    kHandOverTasks = 2,  // tasks of `job` that may be on the machine `name`, which the block gets
+    kDelegateTasks = 1,  // the holder places these tasks of the job `name` on the shard's machines
+    // The machine `name` is handed over to the shard, and these tasks of `job` may run on it.
+    kHandOverTasks = 2,
     kCompletionsDurable = 3,  // the completions of these tasks are durable
-    kStopTasks = 4,           // these tasks are elsewhere or done: to be stopped
-    kRecallMachine = 5,       // the machine `name` is to be given back as soon as it is empty
-    kSetDraining = 6,  // the machine takes no new tasks: count is 0 no, 1 yes, 2 only urgent ones
-    kMachineDeleted = 7,  // the machine is gone
+    kStopTasks = 4,      // the holder stops these tasks, which are done or run outside the shard
+    kRecallMachine = 5,  // the holder returns the machine `name` as soon as it is empty
+    // Sets the machine's draining state. `count`: 0: accepts tasks; 1: accepts none; 2: accepts
+    // only urgent tasks.
+    kSetDraining = 6,
+    kMachineDeleted = 7,  // the machine no longer exists
     // From the holder.
-    kClaimTasks = 20,  // has these tasks
-    kSyncComplete =
-        21,           // has told all that it has; all its machines up to revision `count` are known
-    kTasksDone = 22,  // completed: `count` of them were timed and ran `seconds` in all
-    kReturnTasks = 23,    // does not have these tasks any more, nor can they be on its machines
-    kMachineStatus = 24,  // how the machine `name` is
-    kMachineReturned =
-        25,           // the machine is empty and not commanded any more; count: twice which time it
-                      // was handed over, and 1 if it was lost
-    kLoad = 26,       // `seconds` of CPUs wait for room; gives up to `count` are counted in that
-    kCrashLoop = 27,  // the job fails everywhere, after `count` tries
+    kClaimTasks = 20,  // the holder has these tasks
+    // The holder has sent all its claims, and has recovered the state of all machines that the
+    // records up to revision `count` assign to the shard.
+    kSyncComplete = 21,
+    // These tasks have completed. The run times of `count` of them were measured, `seconds` in
+    // total.
+    kTasksDone = 22,
+    // The holder no longer has these tasks, and none of its machines can run them.
+    kReturnTasks = 23,
+    kMachineStatus = 24,  // the state of the machine `name`
+    // The machine is empty or lost, and the holder sends it no more commands. `count`: twice the
+    // revision of the handover, plus 1 if the machine was lost.
+    kMachineReturned = 25,
+    // `seconds`: CPUs that the pending tasks of the shard request. `count`: the last batch of
+    // delegated tasks that is included.
+    kLoad = 26,
+    kCrashLoop = 27,  // the job fails on every machine; `count`: the retries so far
   };
   struct MachineStatus {
     std::string address;
@@ -43,11 +52,11 @@
     bool spot = false;
     bool schedulable = false;
     bool idle = false;
-    bool has_on_demand_work = false;
+    bool has_on_demand_work = false;  // runs work that may not use spot machines
     bool unresponsive = false;
     double idle_s = 0;
     double remaining_cpu_s = 0;
-    double used_cpus = 0;  // used
+    double used_cpus = 0;
     double used_gpus = 0;
     double used_memory_gb = 0;
     friend bool operator==(const MachineStatus&, const MachineStatus&) = default;
@@ -65,24 +74,25 @@
 };
 
 struct ShardFrame {
-  std::string node;           // who sends it
-  uint64_t leader_token = 0;  // the leader's token
-  uint64_t lease = 0;         // the block's lease
+  std::string node;           // the sender
+  uint64_t leader_token = 0;  // the leader's fencing token
+  uint64_t lease = 0;         // the shard's lease
   bool from_leader = false;
-  uint64_t acknowledged = 0;          // the other's items up to this one have been taken in
-  uint64_t receive_window_bytes = 0;  // bytes of items that the sender takes with the next frame
-  // As of so long before this was sent the sender knew all cancellations that anybody was told,
-  // the last of them at this revision; kNever: doesn't tell.
+  uint64_t acknowledged = 0;          // the sender has processed all messages up to this number
+  uint64_t receive_window_bytes = 0;  // message bytes that the sender accepts in the next frame
+  // The sender's view contains all cancellations that any controller had confirmed to a user up to
+  // `view_age_s` before this frame was sent. `newest_cancellation` is the revision of the last one.
+  // kNeverS: the frame makes no such statement.
   double view_age_s = 1e9;
   uint64_t newest_cancellation = 0;
-  uint64_t first_sequence = 0;        // number of the first item
-  std::vector<std::string> messages;  // encoded
+  uint64_t first_sequence = 0;        // number of the first message
+  std::vector<std::string> messages;  // each encoded by Encode
 };
 
 inline constexpr size_t kMaxShardFrameBytes = 56 << 10;
 
 std::string Encode(const ShardMessage& item);
-// Throw BadMessage on anything that the encoder can't have written.
+// Throws BadMessage on input that the encoder can't have written, as does DecodeShardFrame.
 ShardMessage DecodeShardMessage(std::string_view text);
 std::string Encode(const ShardFrame& frame);
 ShardFrame DecodeShardFrame(std::string_view text);
--- a/include/mosspath/wire/status_snapshot.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -1,5 +1,6 @@
-// What the leader tells the other controllers, for display only: counts of jobs, the fleet, queues,
-// progress towards the objectives and recent troubles. Nothing is decided on it.
+// The status snapshot that the leader sends to the other controllers: counts of jobs, the machines,
+// the queues, progress towards the objectives and recent incidents. For display only: no controller
+// bases a decision on a snapshot.
 #pragma once
 
 #include <cstdint>
@@ -23,14 +24,15 @@
     uint64_t jobs = 0;
     uint64_t waiting = 0;  // tasks
     uint64_t running = 0;
-    // Since this leader began; kNever if none has.
+    // Seconds since a task last started and a job last finished under this leader; kNeverS if none
+    // has.
     double started_ago_s = kNeverS;
     double finished_ago_s = kNeverS;
-    double oldest_s = 0;         // how long the oldest job with waiting tasks has been here
-    std::string waiting_reason;  // most of what waits does so for this
+    double oldest_s = 0;         // age of the oldest job with waiting tasks
+    std::string waiting_reason;  // the reason for which most of the waiting tasks wait
     friend bool operator==(const Queue&, const Queue&) = default;
   };
-  struct Machines {  // of one type, zone and kind
+  struct Machines {  // the machines of one type and zone, either spot or on-demand
     std::string type;
     std::string zone;
     bool spot = false;
@@ -41,7 +43,7 @@
     double used_cpus = 0;
     friend bool operator==(const Machines&, const Machines&) = default;
   };
-  struct Progress {  // towards one objective, since the leader took over
+  struct Progress {  // towards one objective, since the leader's term began
     std::string kind;
     std::string job_class;
     double within_s = 0;
@@ -63,7 +65,7 @@
   double leader_for_s = 0;
   std::vector<Job> jobs;
   std::vector<Queue> queues;
-  std::vector<Queue> teams;  // the same by team
+  std::vector<Queue> teams;  // the queues by team; job_class is the team's name
   std::vector<Machines> machines;
   std::vector<Progress> progress;
   std::vector<Incident> incidents;
@@ -73,39 +75,42 @@
 
 inline constexpr size_t kMaxStatusSnapshotBytes = 60 << 10;
 
-// Jobs beyond what fits are left out.
+// Leaves out jobs that do not fit into kMaxStatusSnapshotBytes.
 std::string Encode(const StatusSnapshot& d);
 StatusSnapshot DecodeStatusSnapshot(std::string_view frame);
-// One party's sockets of the controller that tells.
+// The sockets of the controller that serves the status, for one class of connections.
 struct SocketUsage {
   std::string connection_class;
   uint64_t used = 0;
   uint64_t limit = 0;
-  uint64_t refused = 0;              // since the process began: there was none
-  uint64_t closed_after_answer = 0;  // and: answered, and told not to stay
+  uint64_t refused = 0;  // since the process started: connections refused at the limit
+  // Since the process started: connections that were closed after the response.
+  uint64_t closed_after_answer = 0;
 };
 
-// What the controller that tells accepts (docs/admission.md).
+// Admission at the controller that serves the status (docs/admission.md).
 struct AdmissionUsage {
   struct Group {
     std::string team;
     std::string job_class;
-    uint64_t requested = 0;  // jobs, since the process began
-    uint64_t refused = 0;    // of them, as there was no room
+    uint64_t requested = 0;  // submitted jobs, since the process started
+    uint64_t refused = 0;    // of these, jobs refused for lack of budget
   };
   double budget = 0;     // tasks of live jobs
-  double live = 0;       // as its view shows
-  double in_flight = 0;  // accepted here, not in the view yet
-  double share = 0;      // of the free room, that it may fill before it sees what others did
+  double live = 0;       // tasks of live jobs in the controller's view
+  double in_flight = 0;  // tasks accepted here that are not in the view yet
+  // The part of the free budget that this controller may fill before its view shows what the other
+  // controllers accepted.
+  double share = 0;
   uint64_t plan_token = 0;
   uint64_t plan_version = 0;
   std::vector<Group> groups;
 };
 
-// For people and programs; without the jobs.
+// The content of the status page and of status.json. The jobs of the snapshot are not shown.
 struct Status {
   StatusSnapshot snapshot;
-  double snapshot_age_s = 0;  // of the digest
+  double snapshot_age_s = 0;  // kNeverS if no snapshot has arrived
   std::string served_by;
   std::vector<ControllerState> controllers;
   std::vector<SocketUsage> sockets;
--- a/include/mosspath/wire/varint.h
+++ b/include/mosspath/wire/varint.h
@@ -14,12 +14,12 @@
 namespace mosspath::wire {
 
 namespace varint {
-inline constexpr unsigned kPayloadBits = 7;  // of each byte
+inline constexpr unsigned kPayloadBits = 7;  // in each byte
 inline constexpr uint64_t kContinuation = 0x80;
 inline constexpr uint64_t kPayloadMask = 0x7f;
 inline constexpr unsigned kValueBits = 64;
-inline constexpr unsigned kLastShift = 63;  // of the tenth byte, which has room for one bit
-inline constexpr double kAmountUnits = 1000;
+inline constexpr unsigned kLastShift = 63;    // shift of the tenth byte, which holds only one bit
+inline constexpr double kAmountUnits = 1000;  // per unit of the amount
 }  // namespace varint
 
 class VarintWriter {
@@ -35,11 +35,11 @@
     Put(static_cast<uint64_t>(text.size()));
     out_.append(text);
   }
-  // Amounts travel in thousandths; negative ones as zero.
+  // Writes the amount in thousandths, and a negative amount as zero.
   void PutAmount(double amount) {
     Put(static_cast<uint64_t>(std::llround(std::max(0.0, amount) * varint::kAmountUnits)));
   }
-  // What was written; the writer is empty afterwards.
+  // Returns the bytes written so far, and leaves the writer empty.
   [[nodiscard]] std::string Take() { return std::move(out_); }
   [[nodiscard]] size_t size() const { return out_.size(); }
 
@@ -47,8 +47,8 @@
   std::string out_;
 };
 
-// Reads from a text that must outlive it. Throws BadMessage on anything that a writer can't have
-// written.
+// Reads a frame. Does not own the bytes, which must outlive the reader. Throws BadMessage on input
+// that VarintWriter can't have written.
 class VarintReader {
  public:
   explicit VarintReader(std::string_view in) : in_(in) {}
@@ -72,14 +72,15 @@
     in_.remove_prefix(size);
     return text;
   }
-  // The length of a list of at most `max_count` elements, each of which takes at least a byte.
+  // Reads the length of a list of at most `max_count` elements. Each element takes at least one
+  // byte, so a length above the number of remaining bytes is invalid.
   uint64_t GetCount(uint64_t max_count) {
     const uint64_t count = Get();
     if (count > max_count || count > in_.size()) throw BadMessage("frame: a list is too long");
     return count;
   }
   double GetAmount() { return static_cast<double>(Get()) / varint::kAmountUnits; }
-  // To be called last: nothing may be left.
+  // Checks that no bytes remain. Called after the last read.
   void End() const {
     if (!in_.empty()) throw BadMessage("frame: has more than it should");
   }
