--- a/include/mosspath/config/operator_settings.h
+++ b/include/mosspath/config/operator_settings.h
@@ -1,4 +1,4 @@
-// What operators may change while the service runs, through the administration API only.
+// Settings that operators may change while the service runs, only through the administration API.
 #pragma once
 
 #include <map>
@@ -9,31 +9,39 @@
 namespace mosspath::config {
 
 struct OperatorSettings {
-  double gamma = 1.5;               // a machine's layer bytes may be up to gamma/M of the block's
-  double epsilon = 1e-3;            // weight of the disk share in the score
-  uint64_t max_machines = 100'000;  // never rent beyond this
-  double horizon_boots = 2.0;       // waiting work should be gone within this many boot times
-  double keep_idle_boots = 0.02;    // an idle machine is kept for this many boot times
-  double reserve = 0.1;             // free room that is kept, as a share of what is used
-  // Room that is kept on ordinary machines for urgent work that may use no other: as much as came
-  // of it in so many boot times; 0: none.
+  // Cap on the layer bytes of one machine: gamma/M of the bytes on all M machines of the shard.
+  double gamma = 1.5;
+  double epsilon = 1e-3;            // weight of a machine's share of all layer bytes in the score
+  uint64_t max_machines = 100'000;  // upper bound on rented machines
+  double horizon_boots = 2.0;  // scale-out aims to run the waiting work within this many boot times
+  double keep_idle_boots = 0.02;  // an idle machine is kept for this many boot times
+  double reserve = 0.1;           // free CPUs that are kept, as a ratio to the used CPUs
+  // Capacity reserved on on-demand machines for urgent work that may not use spot machines, as the
+  // arrivals of such work within this many boot times; 0: no reservation.
   double ordinary_boots = 1.0;
-  // Of the pool, in a lease, for first tasks of jobs that have waited long to begin; 0: none.
+  // Share of the pool's CPUs that may go, within one agent lease time, to the first tasks of jobs
+  // that have waited long without running any task; 0: none.
   double begin_share = 0.1;
-  bool preemption = true;    // urgent work may stop lower work
-  double give_ahead = 0.15;  // work that waits with a block's holder, of the block's CPUs
-  // Of the pool for turns, which no other work may take (docs/admission.md); 0: none.
+  bool preemption = true;  // urgent tasks may stop tasks of a lower priority
+  // Work that is delegated to a shard's holder beyond the free capacity and waits there, as a share
+  // of the shard's CPUs.
+  double give_ahead = 0.15;
+  // Share of the pool's CPUs for the fair-share floors, which other work may not take
+  // (docs/admission.md); 0: no floors.
   double turn_share = 0.15;
-  // Of a team ("name") or a class ("team/class") in turns and in what is accepted; 1 if not named.
+  // Weights in the fair-share floors and in admission, by team ("name") or class ("team/class"); 1
+  // if absent.
   std::map<std::string, double> weights;
-  bool lease_blocks = true;       // where it is turned on: controllers hold blocks
-  bool share_acceptances = true;  // jobs that come together may be recorded together
+  // Whether the leader leases shards to other controllers. Has no effect unless
+  // Settings::lease_shards is set.
+  bool lease_blocks = true;
+  bool share_acceptances = true;  // jobs accepted at the same time may share one batch record
 
   friend bool operator==(const OperatorSettings&, const OperatorSettings&) = default;
 };
 
-// Takes over the fields given in `changes`; throws wire::BadMessage naming the field that is
-// unknown or invalid, and then nothing is changed.
+// Returns `from` with the fields in `changes` replaced. Throws wire::BadMessage, with a text that
+// names the field, if a field is unknown or invalid.
 OperatorSettings Change(const OperatorSettings& from, const wire::Json& changes);
 wire::Json ToJson(const OperatorSettings& s);
 
--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -1,4 +1,5 @@
-// The settings file that the platform hands over, checked, and the figures derived from it.
+// The validated contents of the settings file that the platform provides, and the durations derived
+// from them.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +15,7 @@
   std::string address;
 };
 
+// Quotas of a team.
 struct Team {
   std::string name;
   double cpus = 0;  // guaranteed
@@ -61,46 +63,49 @@
   double memory_mb = 0;
   int max_connections = 0;
 
-  // Turned on by whoever starts the program, not by the platform's file (docs/sharding.md).
+  // Whether this controller takes part in leasing shards. Set by the command line, not by the
+  // settings file (docs/sharding.md).
   bool lease_shards = false;
 };
 
-// One clear line that names the offending key.
+// The message is one line that names the invalid key.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// Load and Parse throw SettingsError on the first key that is missing or invalid. Unknown keys are
+// ignored.
 Settings Load(const std::string& path);
 Settings Parse(const std::string& toml_text);
 
-// Clocks of two machines drift apart by up to this ratio.
+// Upper bound on the drift between the clocks of two machines, as a ratio.
 inline constexpr double kMaxClockDrift = 0.0005;
 
-// Durations that the duties use, as ratios to the settings.
+// Durations in seconds that follow from the settings.
 struct DerivedSettings {
   explicit DerivedSettings(const Settings& s);
 
-  double store_lease_s;         // life of a controller's grant
-  double store_lease_renew_s;   // how often the grant is renewed
-  double renew_timeout_s;       // of a renewal, so that several are tried in a grant's life
-  double promise_s;             // a peer's promise not to lead lasts this long
-  double lapse_margin_s;        // taken off the grant's life by its holder
-  double agent_lease_over_s;    // a machine unanswered for this long has dropped its tasks
-  double probe_answer_s;        // a successor waits this long for a machine's answer
-  double agents_find_leader_s;  // workers have found a new leader within this, mostly
-  double agents_try_all_s;      // a worker has tried all nodes within this
-  double max_view_age_s;        // the leader acts on no older view of the jobs than this
-  double shard_hold_s;          // the holder of a block may act for so long after its lease ended
-  double agent_suspect_s;       // a machine unheard of for this long is suspect
-  double record_flush_s;        // interval of the leader's batched writes
-  double placement_interval_s;  // least time between two passes over the waiting jobs
-  double scaling_interval_s;    // least time between two plans of the fleet
-  double catch_up_interval_s;   // least time between two catch-up reads
-  double watch_s;               // how long a watch stays open
-  double call_timeout_s;        // of a request to the state service
-  double cloud_timeout_s;       // of a request to the cloud
-  double machine_list_interval_s;  // interval of machine lists
-  double user_deadline_s;          // a user's request is answered within this
+  double store_lease_s;         // duration of a controller's store lease
+  double store_lease_renew_s;   // interval of renewals of the store lease
+  double renew_timeout_s;       // timeout of one renewal, short enough for several within the lease
+  double promise_s;             // duration of a peer's promise not to lead
+  double lapse_margin_s;        // the owner of a store lease counts it as over by this much earlier
+  double agent_lease_over_s;    // an agent without an answer for this long has ended its tasks
+  double probe_answer_s;        // timeout of a new leader's probe of an agent
+  double agents_find_leader_s;  // nearly all agents have found a new leader within this time
+  double agents_try_all_s;      // an agent has tried all controllers within this time
+  double max_view_age_s;        // the leader does not act on a view of the jobs older than this
+  double shard_hold_s;     // a shard's holder may act for up to this long after its lease ended
+  double agent_suspect_s;  // an agent without contact for this long is suspected
+  double record_flush_s;   // interval of the leader's batched writes
+  double placement_interval_s;     // minimum time between two passes over the waiting jobs
+  double scaling_interval_s;       // minimum time between two scaling plans
+  double catch_up_interval_s;      // minimum time between two catch-up reads
+  double watch_s;                  // how long a watch request stays open
+  double call_timeout_s;           // timeout of a request to the state service
+  double cloud_timeout_s;          // timeout of a request to the cloud
+  double machine_list_interval_s;  // interval of machine list requests to the cloud
+  double user_deadline_s;          // a user's request is answered within this time
 };
 
 }  // namespace mosspath::config
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -44,7 +44,7 @@
   return weights;
 }
 
-// A setting that is a number, and its range.
+// A numeric setting and its range.
 struct NumberSetting {
   const char* key;
   double OperatorSettings::*member;
@@ -63,7 +63,7 @@
     {"turn_share", &OperatorSettings::turn_share, 0.0, 0.5},
 };
 
-// A setting that is on or off.
+// A boolean setting.
 struct SwitchSetting {
   const char* key;
   bool OperatorSettings::*member;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -22,11 +22,11 @@
   throw SettingsError("settings: " + key + " " + what);
 }
 
-// A table of the file and the path to it, for the texts of errors. Each function throws a
-// SettingsError if the key is missing or its value is invalid.
+// A table of the file, with its path for error messages. Each reading function throws SettingsError
+// if the key is missing or its value is invalid.
 class Section {
  public:
-  // `path` ends with a dot, or is empty at the root. The table must outlive this object.
+  // `path` ends with a dot; it is empty for the root table. The table must outlive this object.
   Section(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
 
   [[nodiscard]] bool Has(const char* key) const { return static_cast<bool>(table_[key]); }
@@ -34,7 +34,7 @@
     config::Fail(path_ + key, what);
   }
 
-  // A string that is not empty.
+  // Returns a string that is not empty.
   [[nodiscard]] std::string Text(const char* key) const {
     const auto value = table_[key].value_exact<std::string>();
     if (!value) Fail(key, Has(key) ? "is not a string" : "is missing");
@@ -82,7 +82,7 @@
     return *list;
   }
 
-  // Calls `visit` with each element of a list of tables; not at all if the key is missing.
+  // Calls `visit` with each element of a list of tables. A missing key counts as an empty list.
   template <typename Visitor>
   void EachTable(const char* key, Visitor visit) const {
     if (!Has(key)) return;
@@ -110,7 +110,8 @@
   root.EachTable("seeds", [&](const Section& peer) {
     settings.peers.push_back({peer.Text("label"), peer.Text("domain"), peer.Address("address")});
   });
-  // A process that took itself for one of its peers would wait for its own answers.
+  // A controller that is listed among its own peers would wait for its own answers, so every
+  // peer must have a name and an address other than its own.
   std::set<std::string> names{settings.name};
   for (size_t i = 0; i < settings.peers.size(); ++i) {
     const std::string path = "seeds[" + std::to_string(i) + "].";
--- a/tests/operator_settings_test.cc
+++ b/tests/operator_settings_test.cc
@@ -1,4 +1,4 @@
-// Validation of the operator's settings.
+// Validation of the operator settings.
 #include "mosspath/config/operator_settings.h"
 
 #include <gtest/gtest.h>
--- a/tests/peer_settings.h
+++ b/tests/peer_settings.h
@@ -1,5 +1,4 @@
-// Settings of one of three controllers that know each other, for tests of the
-// election.
+// Settings of one of three controllers that are peers of each other, for tests of the election.
 #pragma once
 
 #include <string>
@@ -9,8 +8,8 @@
 
 namespace mosspath::test {
 
-// The simulation's small cluster as controller `node` of hut-0, hut-1 and hut-2
-// sees it.
+// Returns the settings of the simulation's small cluster for controller `node`, which is hut-0,
+// hut-1 or hut-2.
 inline config::Settings PeerSettings(const std::string& node = "hut-0") {
   config::Settings settings = simulation::SmallSettings();
   settings.name = node;
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -1,4 +1,5 @@
-// The deploy file: a good one is read, and a broken one is refused by the name of its key.
+// The settings file: a valid file is read, and an invalid file is rejected with an error that names
+// the key.
 #include "mosspath/config/settings.h"
 
 #include <gtest/gtest.h>
@@ -65,7 +66,7 @@
   EXPECT_LT(derived.store_lease_renew_s * 2, derived.store_lease_s);
 }
 
-// A valid file with `from` replaced by `to`, and the key that the error must name.
+// The valid file with `from` replaced by `to`, and the key that the error must name.
 struct BrokenFile {
   const char* from;
   const char* to;
