--- a/src/wire/agent_json.cc
+++ b/src/wire/agent_json.cc
@@ -1,4 +1,4 @@
-// JSON forms of the heartbeats of agents and of the commands to them.
+// JSON encoding of agent heartbeats and of the commands to agents.
 #include <charconv>
 #include <utility>
 
--- a/src/wire/cloud_json.cc
+++ b/src/wire/cloud_json.cc
@@ -1,4 +1,5 @@
-// JSON forms of the cloud's interface: machine types, requests for machines, and lists of them.
+// JSON encoding of the cloud's API: machine types, requests to rent and delete machines, and
+// machine lists.
 #include <utility>
 
 #include "mosspath/wire/json.h"
@@ -30,7 +31,7 @@
   if (!object.is_object()) ThrowBadMessage("a machine is not an object");
   ListedMachine machine;
   machine.id = TextField(object, field::kId);
-  // A machine without an address in the list may still have one.
+  // Optional: the list may omit the address of a machine that has one.
   const Json* address = OptionalField(object, field::kAddress);
   if (address != nullptr && address->is_string()) machine.address = address->get<std::string>();
   machine.type = TextField(object, field::kMachineType);
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -1,6 +1,5 @@
-// The one place where the names that the platform's protocol gives to its fields and values meet
-// the standard terms of the field. Left: our term. Right: the name in the JSON, which never
-// changes.
+// Maps the identifiers of the code to the names of fields and enum values in the platform's JSON
+// protocol. The names in the JSON never change.
 #pragma once
 
 #include <array>
@@ -11,7 +10,7 @@
 
 namespace mosspath::wire {
 
-// The most bytes in a name or an identifier.
+// Maximum length in bytes of a name or an identifier.
 inline constexpr size_t kMaxName = 120;
 
 namespace field {
@@ -58,7 +57,7 @@
 inline constexpr const char* kGraceS = "leeway_s";
 inline constexpr const char* kLeader = "steward";
 
-// The cloud's machines and machine types.
+// Machines and machine types of the cloud.
 inline constexpr const char* kMachines = "rigs";
 inline constexpr const char* kName = "name";
 inline constexpr const char* kCacheGb = "local_gb";
@@ -72,14 +71,14 @@
 inline constexpr const char* kAgeS = "age_s";
 inline constexpr const char* kMore = "truncated";
 
-// Answers to users.
+// Responses to users.
 inline constexpr const char* kDoneTasks = "done";
 inline constexpr const char* kRunningTasks = "running";
 inline constexpr const char* kError = "error";
 
 }  // namespace field
 
-// A value of an enum and its name in the protocol.
+// An enum value and its name in the protocol.
 template <typename Enum>
 struct EnumName {
   const char* name;
@@ -88,7 +87,7 @@
 template <typename Enum, size_t kSize>
 using EnumNames = std::array<EnumName<Enum>, kSize>;
 
-// The protocol's name of a value; empty if it has none.
+// Returns the name of the value in the protocol; an empty string if it has none.
 template <typename Enum, size_t kSize>
 [[nodiscard]] constexpr const char* NameOf(Enum value, const EnumNames<Enum, kSize>& names) {
   for (const EnumName<Enum>& entry : names) {
@@ -97,7 +96,7 @@
   return "";
 }
 
-// The entry with this name; null: the protocol has no such value.
+// Returns the entry with this name, or null if the protocol has no such value.
 template <typename Enum, size_t kSize>
 [[nodiscard]] constexpr const EnumName<Enum>* FindName(std::string_view name,
                                                        const EnumNames<Enum, kSize>& names) {
--- a/src/wire/frame_header.h
+++ b/src/wire/frame_header.h
@@ -1,5 +1,5 @@
-// The first two numbers of frames between controllers: what a frame is, and the version of its
-// layout. (Promise frames carry the version only.)
+// The header of frames between controllers: the kind of the frame and the version of its layout.
+// Promise frames have a version but no kind.
 #pragma once
 
 #include <cstdint>
--- a/src/wire/job_json.cc
+++ b/src/wire/job_json.cc
@@ -1,4 +1,4 @@
-// JSON forms of jobs: submissions of users, and their records.
+// JSON encoding of jobs, in submissions of users and in stored records.
 #include <utility>
 
 #include "mosspath/wire/json.h"
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kJobIdPrefix = "req-";
 constexpr size_t kMaxJobIdDigits = 20;
-constexpr size_t kMaxTypes = 32;  // a job's record must fit into a value of the state service
+constexpr size_t kMaxTypes = 32;  // bounds a job's record, which must fit into one stored value
 
 std::vector<std::string> ParseTypes(const Json& list) {
   if (!list.is_array()) ThrowBadMessage(std::string(field::kMachineTypes) + " is not a list");
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -1,5 +1,5 @@
-// Checked reads of JSON fields. Each function throws BadMessage, with a text that names the field,
-// if the field is missing (where it must be there), of another type, or out of range.
+// Validating accessors for JSON fields. Each function throws BadMessage, with a text that names the
+// field, if a required field is missing, or if the value has the wrong type or is out of range.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,28 @@
 
 namespace mosspath::wire {
 
-// Amounts (cores, gigabytes, seconds, prices) are not negative, and at most this.
+// Upper bound of amounts (cores, gigabytes, seconds, prices). Amounts are not negative.
 inline constexpr double kMaxAmount = 1e9;
-// Tasks of one job.
+// Maximum number of tasks in one job.
 inline constexpr uint32_t kMaxTasks = 100'000;
 
 [[noreturn]] void ThrowBadMessage(const std::string& what);
 
-// The value of a field that must be there and not null.
+// Returns the value of a required field; null counts as missing.
 [[nodiscard]] const Json& RequiredField(const Json& object, const char* key);
-// The value of an optional field; null pointer: it is not there, or null.
+// Returns the value of an optional field, or a null pointer if the field is missing or null.
 [[nodiscard]] const Json* OptionalField(const Json& object, const char* key);
-// A string that is not empty and has at most kMaxName bytes.
+// Returns a string that is not empty and has at most kMaxName bytes.
 [[nodiscard]] std::string TextField(const Json& object, const char* key);
 [[nodiscard]] double AmountField(const Json& object, const char* key);
-// The amount in a value that was read from the field `key`.
+// Returns the value as an amount. `key` is the field that the error message names.
 [[nodiscard]] double ToAmount(const Json& value, const char* key);
 [[nodiscard]] bool FlagField(const Json& object, const char* key);
-// A whole number that is not negative.
+// Returns an unsigned integer.
 [[nodiscard]] uint64_t CountField(const Json& object, const char* key);
 [[nodiscard]] const Json& ListField(const Json& object, const char* key);
 
-// A value of an enum, by its name in the protocol.
+// Returns the enum value whose name in the protocol the field holds.
 template <typename Enum, size_t kSize>
 [[nodiscard]] Enum EnumField(const Json& object, const char* key,
                              const EnumNames<Enum, kSize>& names) {
--- a/src/wire/peer_heartbeat.cc
+++ b/src/wire/peer_heartbeat.cc
@@ -11,7 +11,7 @@
 constexpr uint64_t kVersion = 1;
 constexpr uint64_t kVersionWithDemand = 2;
 constexpr uint64_t kPlanVersion = 1;
-constexpr double kShareUnits = 1e9;  // a share travels in billionths
+constexpr double kShareUnits = 1e9;  // shares are encoded in billionths
 constexpr uint64_t kMaxPeers = 64;
 constexpr size_t kMaxNodeName = 100;
 
@@ -65,7 +65,7 @@
   writer.Put(plan.token);
   writer.Put(plan.version);
   writer.PutAmount(plan.life_s);
-  // Rounded down: the shares of all must not exceed the whole.
+  // Rounded down, so that the shares of all controllers do not add up to more than the whole.
   writer.Put(static_cast<uint64_t>(std::clamp(plan.share, 0.0, 1.0) * kShareUnits));
   return writer.Take();
 }
--- a/src/wire/read_heartbeat.cc
+++ b/src/wire/read_heartbeat.cc
@@ -1,5 +1,6 @@
-// Heartbeats come hundreds of times a second with dozens of tasks each, so they are read without
-// building a document of them. The checks are those of ParseHeartbeat.
+// Fast parsing of agent heartbeats. A controller receives hundreds of heartbeats per second, with
+// dozens of tasks each, so this parser builds no Json document. Its checks are those of
+// ParseHeartbeat.
 #include <simdjson.h>
 
 #include "mosspath/wire/json.h"
--- a/src/wire/shard_frame.cc
+++ b/src/wire/shard_frame.cc
@@ -18,7 +18,7 @@
 constexpr uint64_t kMaxTaskIndex = 100'000;
 constexpr uint64_t kMaxMessages = 1 << 16;
 
-// Bits of a machine's flags.
+// Bits of the flags in a machine status.
 constexpr uint64_t kSpotBit = 1;
 constexpr uint64_t kSchedulableBit = 2;
 constexpr uint64_t kIdleBit = 4;
@@ -34,7 +34,7 @@
          is_between(Kind::kClaimTasks, Kind::kCrashLoop);
 }
 
-// Consecutive task indices.
+// A run of consecutive task indices.
 struct TaskRun {
   uint32_t first = 0;
   uint32_t count = 0;
@@ -53,7 +53,8 @@
   return runs;
 }
 
-// As runs: the gap to the end of the previous run, and the length.
+// Writes the tasks as runs. Each run is encoded as the gap since the end of the previous run and
+// its length.
 void PutTasks(VarintWriter& writer, const std::vector<uint32_t>& tasks) {
   const std::vector<TaskRun> runs = RunsOf(tasks);
   writer.Put(static_cast<uint64_t>(runs.size()));
--- a/src/wire/status_json.cc
+++ b/src/wire/status_json.cc
@@ -1,4 +1,4 @@
-// The document status.json.
+// Encodes the status as the document status.json.
 #include <utility>
 
 #include "mosspath/wire/status_snapshot.h"
@@ -6,7 +6,7 @@
 namespace mosspath::wire {
 namespace {
 
-// Null: it has not happened.
+// Null if the event has not happened.
 Json AgoJson(double ago_s) { return ago_s >= kNeverS ? Json() : Json(ago_s); }
 
 Json TextOrNull(const std::string& text) { return text.empty() ? Json() : Json(text); }
--- a/src/wire/status_page.cc
+++ b/src/wire/status_page.cc
@@ -1,4 +1,5 @@
-// The status page. People and scripts read it: its text is part of the interface.
+// Renders the status as the plain-text status page. Scripts parse the page too, so its text is part
+// of the interface.
 #include <spdlog/fmt/fmt.h>
 
 #include "mosspath/wire/status_snapshot.h"
--- a/src/wire/status_snapshot.cc
+++ b/src/wire/status_snapshot.cc
@@ -18,7 +18,7 @@
 constexpr uint64_t kMaxItems = 4096;
 constexpr size_t kMaxTextBytes = 200;
 constexpr size_t kMaxBytesWithJobs = kMaxStatusSnapshotBytes - 64;
-constexpr size_t kMaxJobCountsBytes = 16;  // of a job, besides its id
+constexpr size_t kMaxJobCountsBytes = 16;  // upper bound on a job's bytes besides its id
 
 std::string_view Clip(std::string_view text) { return text.substr(0, kMaxTextBytes); }
 
@@ -110,7 +110,8 @@
   incident.description = reader.GetString(kMaxTextBytes);
 }
 
-// As many jobs as fit into a frame that has `bytes_before` already, with their number.
+// Encodes as many jobs as fit into a frame that already has `bytes_before` bytes, preceded by their
+// number.
 std::string EncodeJobs(const std::vector<Job>& jobs, size_t bytes_before) {
   VarintWriter items;
   uint64_t count = 0;
--- a/src/wire/user_json.cc
+++ b/src/wire/user_json.cc
@@ -1,4 +1,4 @@
-// JSON forms of the answers to users.
+// JSON encoding of the responses to users.
 #include "mosspath/wire/json.h"
 #include "wire/field_names.h"
 
