--- a/tests/fakes/fake_agent.cc
+++ b/tests/fakes/fake_agent.cc
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 
-constexpr double kSoonS = 0.05;
-constexpr double kAnswerTimeoutS = 4.0;
-constexpr double kNextNodeAfterS = 0.2;
-constexpr int kOnlyEpoch = 1;
+constexpr double kPromptHeartbeatDelayS = 0.05;
+constexpr double kHeartbeatTimeoutS = 4.0;
+constexpr double kNextNodeDelayS = 0.2;
+constexpr int kAgentEpoch = 1;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
                           const net::HttpServer::Responder& respond) {
   if (request.path == "/commands") {
     const json body = json::parse(request.body);
-    if (body.at("baton").get<uint64_t>() < fencing_token_ || body.at("shift") != kOnlyEpoch) {
+    if (body.at("baton").get<uint64_t>() < fencing_token_ || body.at("shift") != kAgentEpoch) {
       return respond({409, MakeHeartbeat().dump()});
     }
     fencing_token_ = body["baton"];
@@ -55,19 +55,19 @@
   for (const auto& [attempt, entry] : tasks_) tasks.push_back(entry);
   return {{"rig", id_},           {"endpoint", LoopbackAddress(*server_)},
           {"build", "box"},       {"shore", "a"},
-          {"loaners", false},     {"shift", kOnlyEpoch},
+          {"loaners", false},     {"shift", kAgentEpoch},
           {"tick", ++sequence_},  {"baton", fencing_token_},
           {"warning_s", nullptr}, {"crates", tasks}};
 }
 
 void FakeAgent::SendHeartbeatSoon() {
-  heartbeat_timer_.After(kSoonS, [this] { SendHeartbeat(); });
+  heartbeat_timer_.After(kPromptHeartbeatDelayS, [this] { SendHeartbeat(); });
 }
 
 void FakeAgent::SendHeartbeat() {
   if (awaiting_answer_) return;
   awaiting_answer_ = true;
-  clients_[node_index_]->Send("POST", "/v1/report", MakeHeartbeat().dump(), kAnswerTimeoutS,
+  clients_[node_index_]->Send("POST", "/v1/report", MakeHeartbeat().dump(), kHeartbeatTimeoutS,
                               [this](const net::HttpResult& result) {
                                 awaiting_answer_ = false;
                                 OnHeartbeatAnswered(result);
@@ -77,7 +77,7 @@
 void FakeAgent::OnHeartbeatAnswered(const net::HttpResult& result) {
   if (result.status != 200) {
     node_index_ = (node_index_ + 1) % nodes_.size();
-    heartbeat_timer_.After(kNextNodeAfterS, [this] { SendHeartbeat(); });
+    heartbeat_timer_.After(kNextNodeDelayS, [this] { SendHeartbeat(); });
     return;
   }
   const json body = json::parse(result.body);
@@ -87,7 +87,8 @@
     fencing_token_ = token;
     Execute(body.at("calls"));
   }
-  heartbeat_timer_.After(new_leader ? kSoonS : heartbeat_s_, [this] { SendHeartbeat(); });
+  heartbeat_timer_.After(new_leader ? kPromptHeartbeatDelayS : heartbeat_s_,
+                         [this] { SendHeartbeat(); });
 }
 
 void FakeAgent::Execute(const json& commands) {
--- a/tests/fakes/fake_agent.h
+++ b/tests/fakes/fake_agent.h
@@ -1,4 +1,4 @@
-// A machine's agent that talks HTTP on loopback, for runs of the real program.
+// A fake agent that serves and sends HTTP on loopback, for tests that run the real program.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,15 +16,16 @@
 
 namespace mosspath::fakes {
 
-// Runs every task for a moment and reports each change soon. Speaks the protocol's JSON itself.
+// Runs every task for a fixed time and sends a heartbeat soon after each change. Encodes the
+// protocol's JSON without the project's code.
 class FakeAgent {
  public:
-  // `nodes`: addresses of the controllers. Tasks of `long_jobs`, which must outlive the agent, run
-  // until they are stopped; all others for `run_s`.
+  // `nodes`: addresses of the controllers. Tasks run for `run_s` seconds, or, if their job is in
+  // `long_jobs`, until they are stopped. `long_jobs` must outlive the agent.
   FakeAgent(asio::io_context& io, std::string id, std::vector<std::string> nodes,
             double heartbeat_s, double run_s, const std::set<std::string>& long_jobs);
 
-  // How many tasks of the job run here.
+  // Returns how many tasks of the job run on this agent.
   size_t running(const std::string& job) const;
 
  private:
@@ -47,10 +48,10 @@
   uint64_t fencing_token_ = 0;
   uint64_t sequence_ = 0;
   bool awaiting_answer_ = false;
-  std::map<std::string, nlohmann::json> tasks_;  // "task attempt" -> entry of the heartbeat
+  std::map<std::string, nlohmann::json> tasks_;  // heartbeat entries, by "task attempt"
   std::vector<std::unique_ptr<net::Timer>> run_timers_;
   net::Timer heartbeat_timer_;
-  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // by index of the node
+  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // one per element of nodes_
   std::unique_ptr<net::HttpServer> server_;
 };
 
--- a/tests/fakes/fake_cloud.cc
+++ b/tests/fakes/fake_cloud.cc
@@ -9,9 +9,9 @@
 
 using nlohmann::json;
 
-constexpr size_t kMostMachines = 3;
-constexpr size_t kFirstNumber = 100000;
-constexpr size_t kNumbersPerRequest = 50;
+constexpr size_t kMaxMachines = 3;
+constexpr size_t kFirstMachineNumber = 100000;
+constexpr size_t kMachineNumbersPerRequest = 50;
 
 void Respond(const net::HttpServer::Responder& respond, int status, const json& body) {
   respond({status, body.dump()});
@@ -75,19 +75,20 @@
 
 void FakeCloud::HandleRent(const net::HttpRequest& request, const Responder& respond) {
   const json body = json::parse(request.body);
-  const std::string name = body.at("hire");
-  if (rent_answers_.contains(name)) return Respond(respond, 200, rent_answers_[name]);
+  const std::string request_id = body.at("hire");
+  if (rent_answers_.contains(request_id)) return Respond(respond, 200, rent_answers_[request_id]);
   json machines = json::array();
-  const size_t first_number = kFirstNumber + rent_answers_.size() * kNumbersPerRequest;
+  const size_t first_number =
+      kFirstMachineNumber + rent_answers_.size() * kMachineNumbersPerRequest;
   const auto count = body.at("count").get<size_t>();
-  for (size_t i = 0; i < count && agents_.size() < kMostMachines; ++i) {
+  for (size_t i = 0; i < count && agents_.size() < kMaxMachines; ++i) {
     const std::string id = "vm-" + std::to_string(first_number + i);
     machines.push_back(id);
     agents_[id] = std::make_unique<FakeAgent>(io_, id, nodes_, heartbeat_s_, run_s_, long_jobs);
   }
   if (machines.empty()) return Respond(respond, 503, {{"error", "no capacity"}});
-  rent_answers_[name] = {{"rigs", machines}};
-  Respond(respond, 200, rent_answers_[name]);
+  rent_answers_[request_id] = {{"rigs", machines}};
+  Respond(respond, 200, rent_answers_[request_id]);
 }
 
 }  // namespace mosspath::fakes
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -1,4 +1,4 @@
-// The cloud as an HTTP server on loopback, for runs of the real program.
+// A fake cloud: an HTTP server on loopback, for tests that run the real program.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,18 +14,19 @@
 
 namespace mosspath::fakes {
 
-// Rents out a few machines, each of which is a fake agent that is up at once. Deletions are
-// answered but ignored. Speaks the protocol's JSON itself.
+// Rents out a few machines without boot time. Each machine is a FakeAgent. Requests to delete
+// machines are acknowledged but have no effect. Encodes the protocol's JSON without the project's
+// code.
 class FakeCloud {
  public:
-  // `nodes`: addresses of the controllers; the other arguments are its agents'.
+  // `nodes`: addresses of the controllers. All arguments are passed on to the agents.
   FakeCloud(asio::io_context& io, std::vector<std::string> nodes, double heartbeat_s, double run_s);
 
   std::string address() const;
   size_t rented() const { return agents_.size(); }
   // Jobs whose tasks run until they are stopped.
   std::set<std::string> long_jobs;
-  // How many tasks of the job run on any machine.
+  // Returns how many tasks of the job run on all machines together.
   size_t running(const std::string& job) const;
 
  private:
@@ -34,14 +35,14 @@
   void Handle(const net::HttpRequest& request, const Responder& respond);
   void HandleTypes(const Responder& respond);
   void HandleList(const Responder& respond);
-  // A repeated request is answered as the first time.
+  // Answers a repeated request like the first one.
   void HandleRent(const net::HttpRequest& request, const Responder& respond);
 
   asio::io_context& io_;
   const std::vector<std::string> nodes_;
   const double heartbeat_s_;
   const double run_s_;
-  std::map<std::string, nlohmann::json> rent_answers_;  // by the name of the request
+  std::map<std::string, nlohmann::json> rent_answers_;  // by the id of the request
   std::map<std::string, std::unique_ptr<FakeAgent>> agents_;
   std::unique_ptr<net::HttpServer> server_;
 };
--- a/tests/fakes/fake_key_value_store.cc
+++ b/tests/fakes/fake_key_value_store.cc
@@ -13,7 +13,7 @@
 const std::string kGrantPrefix = "/grants/";
 const std::string kKeyPrefix = "/kv/";
 
-// The value of a parameter of the query; empty if it is absent.
+// Returns the value of a query parameter; empty if the parameter is absent.
 std::string Parameter(const net::HttpRequest& request, const std::string& name) {
   const std::string& query = request.query;
   const size_t at = ("&" + query).find("&" + name + "=");
@@ -87,7 +87,7 @@
     if (pair.value("berth", uint64_t{0}) == lease) keys.push_back(key);
   }
   for (const auto& key : keys) Apply(key, nullptr, 0);
-  // Not at once: its timer is running this.
+  // Deferred: the caller is the lease's own timer, which must not be destroyed while it runs.
   asio::post(io_, [this, lease] { leases_.erase(lease); });
   AnswerWatches();
 }
@@ -96,10 +96,10 @@
 
 void FakeKeyValueStore::HandleRange(const net::HttpRequest& request, const Responder& respond) {
   const std::string prefix = Parameter(request, "under");
-  const std::string after = Parameter(request, "since");
+  const std::string after_key = Parameter(request, "since");
   json items = json::array();
   for (const auto& [key, pair] : pairs_) {
-    if (key.starts_with(prefix) && key > after) items.push_back(pair);
+    if (key.starts_with(prefix) && key > after_key) items.push_back(pair);
   }
   Respond(respond, 200, {{"pairs", items}, {"truncated", false}, {"epoch", revision_}});
 }
@@ -107,7 +107,7 @@
 void FakeKeyValueStore::HandleSingleRead(const net::HttpRequest& request,
                                          const Responder& respond) {
   ++single_reads;
-  if (const auto first = std::exchange(before_single_read, nullptr)) first();
+  if (const auto hook = std::exchange(before_single_read, nullptr)) hook();
   const auto pair = pairs_.find(request.path.substr(kKeyPrefix.size()));
   if (pair == pairs_.end()) return Respond(respond, 404, {{"epoch", revision_}});
   Respond(respond, 200, pair->second);
@@ -118,12 +118,12 @@
 void FakeKeyValueStore::Apply(const std::string& key, const json* value, uint64_t lease) {
   if (value == nullptr) {
     pairs_.erase(key);
-    log_.push_back({{"delete", key}, {"mark", revision_}});
+    changes_.push_back({{"delete", key}, {"mark", revision_}});
     return;
   }
   pairs_[key] = {{"k", key}, {"v", *value}, {"mark", revision_}};
   if (lease != 0) pairs_[key]["berth"] = lease;
-  log_.push_back({{"put", key}, {"v", *value}, {"mark", revision_}});
+  changes_.push_back({{"put", key}, {"v", *value}, {"mark", revision_}});
 }
 
 void FakeKeyValueStore::HandleTransaction(const json& body, const Responder& respond) {
@@ -159,13 +159,13 @@
 
 // ---------------------------------------------------------------------------- watches
 
-json FakeKeyValueStore::LogOf(const std::string& prefix, uint64_t since) const {
-  json log = json::array();
-  for (const json& entry : log_) {
+json FakeKeyValueStore::ChangesUnder(const std::string& prefix, uint64_t since) const {
+  json changes = json::array();
+  for (const json& entry : changes_) {
     const std::string key = entry.contains("put") ? entry["put"] : entry["delete"];
-    if (entry["mark"].get<uint64_t>() > since && key.starts_with(prefix)) log.push_back(entry);
+    if (entry["mark"].get<uint64_t>() > since && key.starts_with(prefix)) changes.push_back(entry);
   }
-  return log;
+  return changes;
 }
 
 void FakeKeyValueStore::HandleWatch(size_t address_index, const net::HttpRequest& request,
@@ -173,9 +173,9 @@
   const std::string prefix = Parameter(request, "under");
   const uint64_t since = std::stoull(Parameter(request, "since"));
   const int wait_ms = std::stoi(Parameter(request, "wait_ms"));
-  const json log = LogOf(prefix, since);
-  if (!log.empty() || wait_ms == 0) {
-    return Respond(respond, 200, {{"epoch", revision_}, {"log", log}});
+  const json changes = ChangesUnder(prefix, since);
+  if (!changes.empty() || wait_ms == 0) {
+    return Respond(respond, 200, {{"epoch", revision_}, {"log", changes}});
   }
   auto watch = std::make_shared<Watch>(
       Watch{prefix, since, respond, std::make_unique<net::Timer>(io_), false, address_index});
@@ -189,11 +189,11 @@
 
 void FakeKeyValueStore::AnswerWatches() {
   for (auto& watch : watches_) {
-    const json log = LogOf(watch->prefix, watch->since);
-    if (watch->answered || log.empty() || Refuses(watch->address_index)) continue;
+    const json changes = ChangesUnder(watch->prefix, watch->since);
+    if (watch->answered || changes.empty() || Refuses(watch->address_index)) continue;
     watch->answered = true;
     watch->timer->Cancel();
-    Respond(watch->respond, 200, {{"epoch", revision_}, {"log", log}});
+    Respond(watch->respond, 200, {{"epoch", revision_}, {"log", changes}});
   }
   std::erase_if(watches_, [](const auto& watch) { return watch->answered; });
 }
--- a/tests/fakes/fake_key_value_store.h
+++ b/tests/fakes/fake_key_value_store.h
@@ -1,4 +1,5 @@
-// The key-value store as HTTP servers on loopback, for runs of the real program.
+// A fake of the state service's key-value store: HTTP servers on loopback, for tests that run the
+// real program.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,26 +17,27 @@
 
 namespace mosspath::fakes {
 
-// Speaks the protocol's JSON itself, and shares no message code with the project. All members run
-// on the io_context's thread.
+// Encodes and parses the protocol's JSON without the project's code. All members run on the
+// io_context's thread.
 class FakeKeyValueStore {
  public:
-  // Listens on that many addresses, so that each client can be refused alone.
+  // Listens on `addresses` addresses. With one address per client, a test can refuse the requests
+  // of a single client.
   explicit FakeKeyValueStore(asio::io_context& io, size_t addresses = 1);
 
   std::string address(size_t index = 0) const;
 
-  // Faults, from now on.
-  bool down = false;          // answers 503, and no lease expires
-  std::set<size_t> refused;   // who comes by the address of that index gets 503
-  bool lose_changes = false;  // changes are carried out but not answered
+  // Injected faults, in effect while set.
+  bool down = false;          // all requests are answered with 503, and no lease expires
+  std::set<size_t> refused;   // requests to the addresses with these indices are answered with 503
+  bool lose_changes = false;  // transactions are committed but not answered
 
-  size_t single_reads = 0;                   // how often one key was read
-  std::function<void()> before_single_read;  // called once, ahead of the next of them
+  size_t single_reads = 0;                   // number of reads of a single key
+  std::function<void()> before_single_read;  // called once, before the next read of a single key
 
-  // Writes the value as somebody else would. Returns the new revision.
+  // Writes the value as another client would. Returns the new revision.
   uint64_t Put(const std::string& key, const nlohmann::json& value);
-  // By key, in the form in which they are answered: {k, v, mark, berth}.
+  // Returns all pairs by key, in the JSON form of the responses: {k, v, mark, berth}.
   const std::map<std::string, nlohmann::json>& pairs() const { return pairs_; }
 
  private:
@@ -45,7 +47,7 @@
     double life_s = 0;
     std::unique_ptr<net::Timer> timer;
   };
-  // A request that waits for the next change under a prefix.
+  // A watch request that waits for the next change under a prefix.
   struct Watch {
     std::string prefix;
     uint64_t since = 0;
@@ -66,17 +68,18 @@
 
   void StartLeaseTimer(uint64_t lease);
   void ExpireLease(uint64_t lease);
-  // Without a value the key is removed. `lease`: with which it ends; 0: with none.
+  // Sets the key, or deletes it if `value` is null. `lease`: the lease that the pair is attached
+  // to; 0: none.
   void Apply(const std::string& key, const nlohmann::json* value, uint64_t lease);
   void AnswerWatches();
-  // All changes under the prefix that are newer than that revision.
-  nlohmann::json LogOf(const std::string& prefix, uint64_t since) const;
+  // Returns all changes under the prefix that are newer than the revision `since`.
+  nlohmann::json ChangesUnder(const std::string& prefix, uint64_t since) const;
 
   asio::io_context& io_;
   uint64_t revision_ = 0;
   uint64_t last_lease_ = 0;
   std::map<std::string, nlohmann::json> pairs_;
-  std::vector<nlohmann::json> log_;
+  std::vector<nlohmann::json> changes_;
   std::map<uint64_t, Lease> leases_;
   std::vector<std::shared_ptr<Watch>> watches_;
   std::vector<std::unique_ptr<net::HttpServer>> servers_;
--- a/tests/fakes/http_services.h
+++ b/tests/fakes/http_services.h
@@ -1,4 +1,4 @@
-// All servers of outside systems at once: the key-value store, the cloud and its agents.
+// Includes the fakes of all outside systems: the key-value store, the cloud and the agents.
 #pragma once
 
 #include "fakes/fake_agent.h"            // IWYU pragma: export
--- a/tests/fakes/loopback.h
+++ b/tests/fakes/loopback.h
@@ -1,4 +1,4 @@
-// Where a server of the tests listens.
+// Loopback addresses of the servers in tests.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace mosspath::fakes {
 
-// A free port of the loopback interface.
+// A listen address that lets the system choose a free port.
 inline const std::string kAnyLoopbackPort = "127.0.0.1:0";
 
-// The address under which the server is reached, once it listens.
+// Returns the address of a server that listens on loopback.
 inline std::string LoopbackAddress(const net::HttpServer& server) {
   return "127.0.0.1:" + std::to_string(server.port());
 }
--- a/tests/fakes/one_controller.h
+++ b/tests/fakes/one_controller.h
@@ -1,4 +1,5 @@
-// Settings and jobs for tests of a single controller's parts beside the fake key-value store.
+// Settings and jobs for tests that run components of one controller against the fake key-value
+// store.
 #pragma once
 
 #include <string>
@@ -8,7 +9,7 @@
 
 namespace mosspath::fakes {
 
-// A deployment of one controller whose key-value store is at that address.
+// Returns the settings of a deployment with a single controller.
 inline config::Settings OneControllerSettings(const std::string& store_address) {
   config::Settings settings;
   settings.name = "hut-0";
@@ -25,7 +26,7 @@
   return settings;
 }
 
-// A job of tasks of 1 CPU and 1 GB each.
+// Returns a job whose tasks each request 1 CPU and 1 GB of memory.
 inline wire::JobSpec SmallJob(const std::string& id, uint32_t tasks) {
   wire::JobSpec spec;
   spec.id = id;
--- a/tests/fakes/plain_agent.h
+++ b/tests/fakes/plain_agent.h
@@ -1,5 +1,5 @@
-// What an agent does with what reaches it, as the protocol says, for models that walk every order
-// of events.
+// A model of an agent's behavior as the protocol defines it, for tests that enumerate all orders of
+// events.
 #pragma once
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 
 namespace mosspath::fakes {
 
-// Has no timers and no network: the model calls it for each event. Its state is public, so that a
-// model can tell states apart and put an agent into one. No run ends by itself.
+// Has no timers and no network: the test calls a function for each event. The state is public, so
+// that a test can compare states and set them. No task ends by itself.
 struct PlainAgent {
   struct Attempt {
     wire::TaskState state = wire::TaskState::kRunning;
@@ -21,20 +21,20 @@
   };
 
   std::string id;
-  uint64_t session = 1;  // its epoch
-  uint64_t seq = 0;      // of its last heartbeat
-  uint64_t token = 0;    // the highest fencing token that it has seen
-  double lease_from = 0;
+  uint64_t session = 1;   // the agent epoch
+  uint64_t seq = 0;       // sequence number of the last heartbeat
+  uint64_t token = 0;     // the highest fencing token received
+  double lease_from = 0;  // when the lease was last renewed
   std::map<std::pair<wire::TaskId, uint64_t>, Attempt> attempts;  // by task and attempt
 
-  // Whether an attempt of the task has not exited.
+  // Returns whether an attempt of the task is present and has not exited.
   bool Has(const wire::TaskId& task) const {
     return std::any_of(attempts.begin(), attempts.end(), [&](const auto& entry) {
       return entry.first.first == task && entry.second.state != wire::TaskState::kExited;
     });
   }
 
-  // Its next heartbeat.
+  // Returns the next heartbeat.
   wire::Heartbeat Report() {
     wire::Heartbeat heartbeat;
     heartbeat.machine = id;
@@ -50,12 +50,12 @@
     return heartbeat;
   }
 
-  // The caller has checked the token and the epoch.
+  // Executes the commands. The caller has checked their fencing token and agent epoch.
   void Execute(const std::vector<wire::Command>& commands) {
     for (const auto& command : commands) Execute(command);
   }
 
-  // All running attempts of the task succeed. Returns whether there was one.
+  // Lets all running attempts of the task exit successfully. Returns whether there was one.
   bool Finish(const wire::TaskId& task) {
     bool any = false;
     for (auto& [key, attempt] : attempts) {
@@ -66,7 +66,7 @@
     return any;
   }
 
-  // Drops everything and begins the next epoch if the lease is over by then.
+  // If the lease has expired at `now`, ends all attempts and begins the next agent epoch.
   void LeaseAt(double now, double lease_s) {
     if (now - lease_from < lease_s) return;
     attempts.clear();
