--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -1,8 +1,8 @@
-// Golden values as two whole controllers write them: what only the service itself composes, namely
-// the leader key, the record formats that a controller supports, offers to hold a shard and shard
-// leases, and the keys and store leases under which all records stand. The controllers run in this
-// process against fakes of the state service and the cloud; the test waits for what must happen and
-// asserts nothing about how long it takes.
+// Golden values of the records that two complete controllers write to the state service. Covers the
+// records that only the running service composes (the leader key, the supported record formats,
+// offers to hold a shard, shard leases), and the key and store lease of every record. The
+// controllers run in this process against fakes of the state service and the cloud. The tests wait
+// for each expected record and assert nothing about how long it takes.
 #include <gtest/gtest.h>
 
 #include <asio/io_context.hpp>
@@ -26,8 +26,8 @@
 using nlohmann::json;
 
 constexpr int kControllers = 2;
-constexpr double kPatienceS = 60;
-constexpr double kReportS = 0.3;
+constexpr double kTimeoutS = 60;
+constexpr double kHeartbeatIntervalS = 0.3;
 constexpr double kTaskRunS = 0.2;
 
 class GoldenCluster : public ::testing::Test {
@@ -36,7 +36,7 @@
       : public_{FreeAddress(), FreeAddress()},
         peer_{FreeAddress(), FreeAddress()},
         state_(io_),
-        cloud_(io_, {public_[0], public_[1]}, kReportS, kTaskRunS) {
+        cloud_(io_, {public_[0], public_[1]}, kHeartbeatIntervalS, kTaskRunS) {
     for (int i = 0; i < kControllers; ++i) {
       settings_.push_back(SettingsOf(i));
       nodes_.push_back(std::make_unique<service::Controller>(io_, settings_.back()));
@@ -45,7 +45,7 @@
       peer_clients_.push_back(Client(peer_[i]));
     }
     for (auto& client : public_clients_) {
-      EXPECT_TRUE(Until([&] { return Ask(*client, "GET", "/healthz").status == 200; }));
+      EXPECT_TRUE(WaitUntil([&] { return SendRequest(*client, "GET", "/healthz").status == 200; }));
     }
   }
 
@@ -71,7 +71,7 @@
     s.zones = {"a"};
     s.clock_error_ms = 5;
     s.teams = {{"t", 0, 20, 0, 0}};
-    s.heartbeat_s = kReportS;
+    s.heartbeat_s = kHeartbeatIntervalS;
     s.agent_lease_s = 6;
     s.cancel_within_s = 10;
     s.store_requests_per_s = 400;
@@ -87,8 +87,8 @@
     return s;
   }
 
-  net::HttpResult Ask(net::HttpClient& client, const std::string& method, const std::string& path,
-                      const std::string& body = {}) {
+  net::HttpResult SendRequest(net::HttpClient& client, const std::string& method,
+                              const std::string& path, const std::string& body = {}) {
     bool done = false;
     net::HttpResult result;
     client.Send(method, path, body, 5, [&](net::HttpResult r) {
@@ -99,9 +99,9 @@
     return result;
   }
 
-  bool Until(const std::function<bool()>& condition) {
-    const double end = net::Now() + kPatienceS;
-    while (net::Now() < end) {
+  bool WaitUntil(const std::function<bool()>& condition) {
+    const double deadline = net::Now() + kTimeoutS;
+    while (net::Now() < deadline) {
       if (condition()) return true;
       io_.run_for(std::chrono::milliseconds(20));
     }
@@ -109,17 +109,17 @@
   }
 
   bool Has(const std::string& key) const { return state_.pairs().contains(key); }
-  // The stored text; empty: there is none.
+  // Returns the stored value as JSON text; empty if the key does not exist.
   std::string Stored(const std::string& key) const {
     const auto it = state_.pairs().find(key);
     return it == state_.pairs().end() ? "" : it->second.at("v").dump();
   }
-  // The store lease that the value is attached to; 0: none.
+  // Returns the store lease that the key is attached to; 0 if there is none.
   uint64_t StoreLeaseOf(const std::string& key) const {
     const auto it = state_.pairs().find(key);
     return it == state_.pairs().end() ? 0 : it->second.value("berth", uint64_t{0});
   }
-  // The first key that starts so and whose text contains this; empty: none.
+  // Returns the first key under the prefix whose value contains `part`; empty if there is none.
   std::string FirstUnder(const std::string& prefix, const std::string& part) const {
     for (const auto& [key, pair] : state_.pairs()) {
       if (key.starts_with(prefix) && Stored(key).find(part) != std::string::npos) return key;
@@ -135,14 +135,15 @@
            R"("size_gb":1.0,"stow_s":0.0,"tally_s":0.0,"together":false,"vcpus":1.0})";
   }
   net::HttpResult Submit(const std::string& id, const std::string& kind) {
-    return Ask(*public_clients_[0], "POST", "/api/jobs", SpecText(id, kind));
+    return SendRequest(*public_clients_[0], "POST", "/api/jobs", SpecText(id, kind));
   }
   std::string NextId() { return "req-" + std::to_string(++jobs_); }
-  // Submits one after the other until one stands in a record under the prefix; the record's key.
-  // What the controller has read of the others and of the settings decides which form it writes.
-  std::string SubmitUntilUnder(const std::string& prefix) {
+  // Submits jobs one at a time until one is stored in a record under the prefix. Returns the
+  // record's key. Which record format the controller writes depends on the settings and on the
+  // record formats of the other controllers that it has read by then.
+  std::string SubmitUntilStoredUnder(const std::string& prefix) {
     std::string key;
-    EXPECT_TRUE(Until([&] {
+    EXPECT_TRUE(WaitUntil([&] {
       last_id_ = NextId();
       const net::HttpResult answer = Submit(last_id_, "daemon");
       EXPECT_EQ(answer.status, 201);
@@ -152,7 +153,8 @@
     }));
     return key;
   }
-  // The entry of the job last submitted, with the time that the controller noted.
+  // Returns the entry of the last submitted job. `at`: the submission time that the controller
+  // recorded.
   std::string LastEntry(const json& at) const {
     return R"({"at":)" + at.dump() + R"(,"spec":)" + SpecText(last_id_, "daemon") + "}";
   }
@@ -172,7 +174,7 @@
 
 TEST_F(GoldenCluster, LeaderRecordFormatsAndShards) {
   const std::string leader_key = "mosspath/live/leader";
-  ASSERT_TRUE(Until([&] { return Has(leader_key); }));
+  ASSERT_TRUE(WaitUntil([&] { return Has(leader_key); }));
   const bool first_leads = Stored(leader_key) == R"({"grant":)" +
                                                      std::to_string(StoreLeaseOf(leader_key)) +
                                                      R"(,"node":"hut-0"})";
@@ -182,14 +184,14 @@
   EXPECT_EQ(Stored(leader_key), R"({"grant":)" + std::to_string(StoreLeaseOf(leader_key)) +
                                     R"(,"node":")" + leader + R"("})");
   for (const std::string node : {"hut-0", "hut-1"}) {
-    const std::string speaks = "mosspath/live/speaks/" + node;
-    ASSERT_TRUE(Until([&] { return Has(speaks); }));
-    EXPECT_EQ(Stored(speaks), R"({"batches":1,"marks":1})");
-    EXPECT_EQ(StoreLeaseOf(speaks), 0u);
+    const std::string record_formats = "mosspath/live/speaks/" + node;
+    ASSERT_TRUE(WaitUntil([&] { return Has(record_formats); }));
+    EXPECT_EQ(Stored(record_formats), R"({"batches":1,"marks":1})");
+    EXPECT_EQ(StoreLeaseOf(record_formats), 0u);
   }
   const std::string offer = "mosspath/live/holders/" + holder;
   const std::string shard_lease = "mosspath/live/blocks/" + holder;
-  ASSERT_TRUE(Until([&] { return Has(shard_lease); }));
+  ASSERT_TRUE(WaitUntil([&] { return Has(shard_lease); }));
   ASSERT_TRUE(Has(offer));
   EXPECT_NE(StoreLeaseOf(offer), 0u);
   EXPECT_NE(StoreLeaseOf(offer), StoreLeaseOf(leader_key));
@@ -199,7 +201,7 @@
 }
 
 TEST_F(GoldenCluster, Types) {
-  ASSERT_TRUE(Until([&] { return Has("mosspath/live/types"); }));
+  ASSERT_TRUE(WaitUntil([&] { return Has("mosspath/live/types"); }));
   EXPECT_EQ(Stored("mosspath/live/types"),
             R"({"builds":[{"cards":0.0,"hourly":1.0,"local_gb":20.0,"low_price":0.0,"mem_gb":32.0,)"
             R"("name":"box","pull_gb_per_s":1.0,"shores":["a"],"startup_s":1.0,"vcpus":8.0}]})");
@@ -207,10 +209,10 @@
 }
 
 TEST_F(GoldenCluster, JobsInBothFormsAndTheOperatorsSettings) {
-  const std::string batch = SubmitUntilUnder("mosspath/live/batch/");
+  const std::string batch = SubmitUntilStoredUnder("mosspath/live/batch/");
   EXPECT_TRUE(std::regex_match(batch, std::regex(R"(mosspath/live/batch/hut-0\.\d+\.1)"))) << batch;
-  const json shared = state_.pairs().at(batch).at("v");
-  EXPECT_EQ(shared.dump(), R"({"jobs":[)" + LastEntry(shared["jobs"][0]["at"]) + "]}");
+  const json batch_record = state_.pairs().at(batch).at("v");
+  EXPECT_EQ(batch_record.dump(), R"({"jobs":[)" + LastEntry(batch_record["jobs"][0]["at"]) + "]}");
   EXPECT_EQ(StoreLeaseOf(batch), 0u);
 
   const std::string settings =
@@ -219,17 +221,17 @@
       R"("preemption":true,"reserve":0.1,"share_acceptances":false,"turn_share":0.15,)"
       R"("weights":{}})";
   const net::HttpResult changed =
-      Ask(*peer_clients_[0], "PUT", "/admin/v1/settings",
-          R"({"version":0,"settings":{"gamma":2.5,"share_acceptances":false}})");
+      SendRequest(*peer_clients_[0], "PUT", "/admin/v1/settings",
+                  R"({"version":0,"settings":{"gamma":2.5,"share_acceptances":false}})");
   EXPECT_EQ(changed.status, 200);
   EXPECT_EQ(Stored("mosspath/live/settings"), settings);
   EXPECT_EQ(StoreLeaseOf("mosspath/live/settings"), 0u);
   const uint64_t version = state_.pairs().at("mosspath/live/settings").at("mark").get<uint64_t>();
   EXPECT_EQ(changed.body,
             R"({"settings":)" + settings + R"(,"version":)" + std::to_string(version) + "}");
-  EXPECT_EQ(Ask(*peer_clients_[0], "GET", "/admin/v1/settings").body, changed.body);
+  EXPECT_EQ(SendRequest(*peer_clients_[0], "GET", "/admin/v1/settings").body, changed.body);
 
-  const std::string job = SubmitUntilUnder("mosspath/live/job/");
+  const std::string job = SubmitUntilStoredUnder("mosspath/live/job/");
   EXPECT_EQ(job, "mosspath/live/job/" + last_id_);
   const json entry = state_.pairs().at(job).at("v");
   EXPECT_EQ(entry.dump(), LastEntry(entry["at"]));
@@ -238,28 +240,30 @@
 
 TEST_F(GoldenCluster, PacksAndFinalRecords) {
   ASSERT_EQ(Submit("req-1", "array").status, 201);
-  ASSERT_TRUE(Until([&] { return Has("mosspath/final/req-1"); }));
+  ASSERT_TRUE(WaitUntil([&] { return Has("mosspath/final/req-1"); }));
   EXPECT_EQ(Stored("mosspath/final/req-1"), R"({"stage":"done"})");
   EXPECT_EQ(StoreLeaseOf("mosspath/final/req-1"), 0u);
-  EXPECT_EQ(Ask(*public_clients_[0], "GET", "/api/jobs/req-1").body,
+  EXPECT_EQ(SendRequest(*public_clients_[0], "GET", "/api/jobs/req-1").body,
             R"({"id":"req-1","stage":"done"})");
   EXPECT_TRUE(Has("mosspath/live/machines/0"));
   EXPECT_EQ(StoreLeaseOf("mosspath/live/machines/0"), 0u);
 
   ASSERT_EQ(Submit("req-2", "daemon").status, 201);
-  const net::HttpResult cancelled = Ask(*public_clients_[0], "POST", "/api/jobs/req-2/cancel");
+  const net::HttpResult cancelled =
+      SendRequest(*public_clients_[0], "POST", "/api/jobs/req-2/cancel");
   EXPECT_EQ(cancelled.body, R"({"id":"req-2","stage":"aborted"})");
   EXPECT_EQ(Stored("mosspath/final/req-2"), R"({"stage":"aborted"})");
 }
 
 TEST_F(GoldenCluster, ErrorsToUsers) {
   net::HttpClient& user = *public_clients_[0];
-  EXPECT_EQ(Ask(user, "GET", "/api/jobs/req-9").body, R"({"error":"no such job"})");
-  EXPECT_EQ(Ask(user, "GET", "/api/jobs/x").body, R"({"error":"no such job"})");
-  EXPECT_EQ(Ask(user, "GET", "/nowhere").body, R"({"error":"no such path"})");
-  EXPECT_EQ(Ask(user, "DELETE", "/api/jobs/req-9").body, R"({"error":"method not allowed"})");
-  EXPECT_EQ(Ask(user, "POST", "/api/jobs", "nonsense").body, R"({"error":"not JSON"})");
-  EXPECT_EQ(Ask(user, "POST", "/api/jobs", R"({"id":"req-9"})").body,
+  EXPECT_EQ(SendRequest(user, "GET", "/api/jobs/req-9").body, R"({"error":"no such job"})");
+  EXPECT_EQ(SendRequest(user, "GET", "/api/jobs/x").body, R"({"error":"no such job"})");
+  EXPECT_EQ(SendRequest(user, "GET", "/nowhere").body, R"({"error":"no such path"})");
+  EXPECT_EQ(SendRequest(user, "DELETE", "/api/jobs/req-9").body,
+            R"({"error":"method not allowed"})");
+  EXPECT_EQ(SendRequest(user, "POST", "/api/jobs", "nonsense").body, R"({"error":"not JSON"})");
+  EXPECT_EQ(SendRequest(user, "POST", "/api/jobs", R"({"id":"req-9"})").body,
             R"({"error":"lot is missing"})");
 }
 
--- a/tests/golden_frames_test.cc
+++ b/tests/golden_frames_test.cc
@@ -1,11 +1,11 @@
 // Golden bytes of every frame between controllers: the status snapshot, the peer heartbeat and the
-// admission plan that answers it, the promise request and its response, the shard frames and each
-// kind of message in them. Controllers of different versions talk to each other during an upgrade,
-// so the bytes must stay the same whatever the code's own names are.
+// admission plan that answers it, the promise request and its response, and the shard frames with
+// each kind of message. Controllers of different versions exchange frames during an upgrade, so the
+// encoding must not change.
 //
-// The expected bytes stand as hexadecimal digits, one field a line. Numbers are unsigned LEB128
-// varints, strings are preceded by their length, amounts travel in thousandths. Every field has a
-// distinct value, so that a field dropped or swapped shows.
+// The expected bytes are written in hexadecimal, one field per line. Numbers are unsigned LEB128
+// varints, strings are preceded by their length, and amounts are in thousandths. Every field has a
+// distinct value, so that a missing or swapped field fails the test.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -27,27 +27,27 @@
     "02"                            // version of the layout
     "056875742d31"                  // leader
     "cb89ec8ff723"                  // token
-    "01"                            // settled
-    "d461"                          // leading_s
+    "01"                            // recovery_complete
+    "d461"                          // leader_for_s
     "01"                            // one queue:
-    "05747261696e"                  // class or team
+    "05747261696e"                  // job class or team
     "ac02"                          // jobs
     "ad02"                          // waiting
     "ae02"                          // running
     "8cc312"                        // started_ago_s
     "f4ca12"                        // finished_ago_s
     "dcd212"                        // oldest_s
-    "076e6f20726f6f6d"              // why
+    "076e6f20726f6f6d"              // waiting_reason
     "01"                            // one team:
-    "06766973696f6e"                // class or team
+    "06766973696f6e"                // job class or team
     "9003"                          // jobs
     "9103"                          // waiting
     "9203"                          // running
     "acd018"                        // started_ago_s
     "94d818"                        // finished_ago_s
     "fcdf18"                        // oldest_s
-    "09697473206c696d6974"          // why
-    "01"                            // one kind of machines:
+    "09697473206c696d6974"          // waiting_reason
+    "01"                            // one group of machines:
     "026738"                        // type
     "067a6f6e652d61"                // zone
     "01"                            // spot
@@ -66,7 +66,7 @@
     "0f"                            // of
     "01"                            // one incident:
     "b219"                          // ago_s
-    "0d766d2d3120776173206c6f7374"  // what
+    "0d766d2d3120776173206c6f7374"  // description
     "02"                            // two jobs:
     "0a7265712d303030343132"        // id
     "10"                            // done
@@ -80,15 +80,15 @@
     "02"             // version of the layout
     "00"             // leader
     "00"             // token
-    "00"             // settled
-    "00"             // leading_s
+    "00"             // recovery_complete
+    "00"             // leader_for_s
     "000000000000";  // no queues, teams, machines, progress, incidents, jobs
 
 constexpr const char* kPeerHeartbeat =
     "82e0b503"       // frame kind 0x6d7002
     "01"             // version
     "056875742d31"   // node
-    "01"             // leads
+    "01"             // is_leader
     "fa01"           // state_ago_s
     "80a094a58d1d"   // cloud_ago_s: never
     "dc0b"           // workers_ago_s
@@ -102,7 +102,7 @@
     "82e0b503"      // frame kind 0x6d7002
     "02"            // version
     "056875742d31"  // node
-    "01"            // leads
+    "01"            // is_leader
     "fa01"          // state_ago_s
     "80a094a58d1d"  // cloud_ago_s: never
     "dc0b"          // workers_ago_s
@@ -117,7 +117,7 @@
     "82e0b503"  // frame kind
     "01"        // version
     "00"        // node
-    "00"        // leads
+    "00"        // is_leader
     "000000"    // ages
     "00";       // no peers
 
@@ -127,25 +127,25 @@
     "29"           // token
     "2a"           // version of the plan
     "c413"         // life_s
-    "c097e8b201";  // part: 0.375 in units of 1e-9
+    "c097e8b201";  // share: 0.375 in units of 1e-9
 
 constexpr const char* kEmptyAdmissionPlan =
     "84e0b503"   // frame kind
     "01"         // version
-    "00000000";  // token, version, life_s, part
+    "00000000";  // token, version, life_s, share
 
 constexpr const char* kPromiseRequest =
     "02"            // version
     "056875742d31"  // node
     "29"            // token
-    "ac02";         // seen
+    "ac02";         // read_revision
 
 constexpr const char* kPromiseResponse =
     "02"                      // version
     "01"                      // promised
     "b102"                    // newest
-    "ac02"                    // from
-    "b002"                    // upto
+    "ac02"                    // from_revision
+    "b002"                    // to_revision
     "02"                      // two cancellations:
     "0a7265712d303030343132"  // id
     "ae02"                    // revision
@@ -155,11 +155,11 @@
 constexpr const char* kPromiseRefusal =
     "02"      // version
     "00"      // promised
-    "000000"  // newest, from, upto
+    "000000"  // newest, from_revision, to_revision
     "00";     // no cancellations
 
 constexpr const char* kFullMessage =
-    "18"                            // kind: kMachine
+    "18"                            // kind: kMachineStatus
     "04766d2d31"                    // name
     "0a7265712d303030343132"        // job
     "0203030401"                    // tasks 3-5 and 10, as runs
@@ -169,36 +169,36 @@
     "0d31302e302e302e313a39303031"  // address
     "026738"                        // type
     "067a6f6e652d61"                // zone
-    "1f"                            // spot, usable, idle, needed, silent
+    "1f"                            // spot, schedulable, idle, has_on_demand_work, unresponsive
     "dc0b"                          // idle_s
-    "c413"                          // work_s
-    "ac1b"                          // cpus
-    "9423"                          // gpus
-    "fc2a";                         // memory_gb
+    "c413"                          // remaining_cpu_s
+    "ac1b"                          // used_cpus
+    "9423"                          // used_gpus
+    "fc2a";                         // used_memory_gb
 
 constexpr const char* kFrame =
     "83e0b503"                        // frame kind 0x6d7003
     "01"                              // version
     "056875742d31"                    // node
-    "29"                              // leader
+    "29"                              // leader_token
     "4d"                              // lease
     "01"                              // from_leader
-    "ad02"                            // heard
-    "80c003"                          // room
+    "ad02"                            // acknowledged
+    "80c003"                          // receive_window_bytes
     "e209"                            // view_age_s
-    "ae02"                            // cancelled
-    "af02"                            // first
+    "ae02"                            // newest_cancellation
+    "af02"                            // first_sequence
     "02"                              // two messages:
-    "0e01057265712d3700010001000000"  // kGive of task 0 of req-7
-    "0715000000000000";               // kSynced, empty
+    "0e01057265712d3700010001000000"  // kDelegateTasks, task 0 of req-7
+    "0715000000000000";               // kSyncComplete, empty
 
 constexpr const char* kEmptyFrame =
     "83e0b503"      // frame kind
     "01"            // version
     "00"            // node
-    "0000000000"    // leader, lease, from_leader, heard, room
+    "0000000000"    // leader_token, lease, from_leader, acknowledged, receive_window_bytes
     "80a094a58d1d"  // view_age_s: never
-    "0000"          // cancelled, first
+    "0000"          // newest_cancellation, first_sequence
     "00";           // no messages
 
 std::string ToHex(std::string_view bytes) {
@@ -348,7 +348,7 @@
   EXPECT_EQ(decoded.share, 0.375);
 }
 
-// What a controller that does not lead answers.
+// The response of a controller that is not the leader.
 TEST(GoldenFrames, EmptyAdmissionPlan) {
   EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan())), kEmptyAdmissionPlan);
   EXPECT_EQ(DecodeAdmissionPlan(FromHex(kEmptyAdmissionPlan)), admission::AdmissionPlan());
@@ -434,7 +434,7 @@
   EXPECT_EQ(read.machine->used_memory_gb, 5.5);
 }
 
-// Each kind's number, in a message that has nothing else.
+// The number of each kind, in a message with no other content.
 TEST(GoldenFrames, KindsOfShardMessages) {
   using Kind = ShardMessage::Kind;
   const std::vector<std::pair<Kind, const char*>> kinds{
@@ -457,7 +457,7 @@
   }
 }
 
-// Each flag of a machine has a bit of its own.
+// Each flag of a machine status is a separate bit.
 TEST(GoldenFrames, FlagsOfMachineStatus) {
   using Machine = ShardMessage::MachineStatus;
   const std::vector<std::pair<bool Machine::*, const char*>> flags{
@@ -466,7 +466,8 @@
       {&Machine::idle, "04"},
       {&Machine::has_on_demand_work, "08"},
       {&Machine::unresponsive, "10"}};
-  // kMachine; no name, job, tasks, seconds or count; a machine without address, type and zone.
+  // kMachineStatus; no name, job, tasks, seconds or count; a machine without address, type and
+  // zone.
   const std::string before = "18000000000001000000";
   const std::string after = "0000000000";  // no amounts
   for (const auto& [flag, bits] : flags) {
@@ -482,12 +483,12 @@
 
 TEST(GoldenFrames, ShardFrame) {
   EXPECT_STREQ(service::kShardFramePath, "/peer/v1/block");
-  ShardMessage give;
-  give.kind = ShardMessage::Kind::kDelegateTasks;
-  give.name = "req-7";
-  give.tasks = {0};
-  ShardMessage synced;
-  synced.kind = ShardMessage::Kind::kSyncComplete;
+  ShardMessage delegation;
+  delegation.kind = ShardMessage::Kind::kDelegateTasks;
+  delegation.name = "req-7";
+  delegation.tasks = {0};
+  ShardMessage sync_complete;
+  sync_complete.kind = ShardMessage::Kind::kSyncComplete;
   wire::ShardFrame frame;
   frame.node = "hut-1";
   frame.leader_token = 41;
@@ -498,7 +499,7 @@
   frame.view_age_s = 1.25;
   frame.newest_cancellation = 302;
   frame.first_sequence = 303;
-  frame.messages = {Encode(give), Encode(synced)};
+  frame.messages = {Encode(delegation), Encode(sync_complete)};
   EXPECT_EQ(ToHex(Encode(frame)), kFrame);
   const wire::ShardFrame read = DecodeShardFrame(FromHex(kFrame));
   EXPECT_EQ(read.node, "hut-1");
@@ -511,8 +512,8 @@
   EXPECT_EQ(read.newest_cancellation, 302u);
   EXPECT_EQ(read.first_sequence, 303u);
   ASSERT_EQ(read.messages.size(), 2u);
-  EXPECT_EQ(DecodeShardMessage(read.messages[0]), give);
-  EXPECT_EQ(DecodeShardMessage(read.messages[1]), synced);
+  EXPECT_EQ(DecodeShardMessage(read.messages[0]), delegation);
+  EXPECT_EQ(DecodeShardMessage(read.messages[1]), sync_complete);
 }
 
 TEST(GoldenFrames, EmptyShardFrame) {
--- a/tests/golden_json_test.cc
+++ b/tests/golden_json_test.cc
@@ -1,7 +1,7 @@
-// Golden JSON of the public interfaces: answers to users, heartbeats of agents and commands to
-// them, requests to the cloud, and the status document. Users, agents and the cloud know these
-// texts; they must stay the same whatever the code's own names are. Every field is given a distinct
-// value that is not its default, so that a field dropped, swapped or renamed shows.
+// Golden JSON of the public interfaces: responses to users, heartbeats of agents and commands to
+// agents, requests to the cloud, and the status document. Users, agents and the cloud depend on
+// these texts, so they must not change. Every field has a distinct value other than its default, so
+// that a missing, swapped or renamed field fails the test.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/golden_paths_test.cc
+++ b/tests/golden_paths_test.cc
@@ -1,6 +1,5 @@
-// Golden paths of the HTTP interfaces: users, agents, operators, the cloud and
-// controllers of other versions know these texts; they must stay the same
-// whatever the constants are called.
+// Golden paths of the HTTP interfaces. Users, agents, operators, the cloud and controllers of other
+// versions depend on these paths, so they must not change.
 #include <gtest/gtest.h>
 
 #include "mosspath/service/http_paths.h"
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -1,8 +1,7 @@
-// Golden values of the state service: the keys and the exact JSON text of every value that is
-// stored under mosspath/. A running cluster holds such values, written by earlier versions, so the
-// text must stay the same whatever the code's own names are. Each test encodes a value whose fields
-// are all distinct and not at their defaults, compares the text, then decodes the text and checks
-// each field.
+// Golden values of the state service: the keys and the exact JSON text of every value stored under
+// mosspath/. A running cluster holds values that earlier versions wrote, so the keys and the text
+// must not change. Each test encodes a value in which every field has a distinct value other than
+// its default, compares the text, then decodes the text and checks each field.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -30,7 +29,7 @@
     R"("dawn_s":900.5,"guess_s":240.5,"house":"vision","id":"req-000412","kit":"img-07",)"
     R"("loaners":true,"lot":"train","mem_gb":64.5,"rank":"critical","shore":"zone-a",)"
     R"("size_gb":6.25,"stow_s":4.5,"tally_s":30.5,"together":true,"vcpus":8.5})";
-// A job that leaves out all that is optional.
+// A job without any optional field.
 constexpr const char* kSmallSpec =
     R"({"apart":false,"cards":0.0,"catch":"daemon","crates":3,"guess_s":0.0,"house":"desk",)"
     R"("id":"req-7","kit":"img-01","loaners":false,"lot":"serve","mem_gb":2.0,"rank":"low",)"
@@ -181,7 +180,7 @@
   }
 }
 
-// The older form: one job in a record, under job/.
+// The older record format: one job per record, under job/.
 TEST(GoldenRecords, Job) {
   constexpr uint64_t kVersion = 17;
   EXPECT_EQ(jobs::JobRecords::EncodeEntry(FullSpec(), kFullSubmitted).dump(), FullEntry());
@@ -196,7 +195,8 @@
   EXPECT_EQ(accepted->submitted_wall_s, kFullSubmitted);
 }
 
-// Several jobs in a record, under batch/; first as accepted, then with one of them ended.
+// The batch format: several jobs per record, under batch/. First the record as accepted, then the
+// record after one of its jobs has ended.
 TEST(GoldenRecords, Batch) {
   constexpr uint64_t kAcceptedVersion = 17;
   constexpr uint64_t kEndedVersion = 23;
@@ -216,26 +216,26 @@
   EXPECT_EQ(full->version, kAcceptedVersion);
   EXPECT_EQ(full->submitted_wall_s, kFullSubmitted);
 
-  const std::string one_over =
+  const std::string one_ended =
       R"({"born":17,"jobs":[)" + SmallEntry() + R"(],"over":["req-000412"]})";
   const auto changes = records.PlanEnd({"req-000412"}, kAcceptedVersion);
   ASSERT_EQ(changes.size(), 1u);
   EXPECT_EQ(changes[0].key, key);
   EXPECT_EQ(changes[0].version, kAcceptedVersion);
   ASSERT_TRUE(changes[0].value);
-  EXPECT_EQ(changes[0].value->dump(), one_over);
+  EXPECT_EQ(changes[0].value->dump(), one_ended);
 
   jobs::JobRecords reader(service::keys::kJobs, service::keys::kBatches);
-  value = Json::parse(one_over);
+  value = Json::parse(one_ended);
   reader.OnRecord(key, &value, kEndedVersion);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
   const jobs::AcceptedJob* small = reader.Find("req-7");
   ASSERT_NE(small, nullptr);
   ExpectSmallSpec(small->spec);
-  EXPECT_EQ(small->version, kAcceptedVersion);  // `born`, not the version that the record has now
+  EXPECT_EQ(small->version, kAcceptedVersion);  // from `born`, not the record's current version
   EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
-  // `over` was read: another record of that job does not make it live again.
+  // `over` marks the job as ended, so another record of the same job does not make it live again.
   value = Json::parse(FullEntry());
   reader.OnRecord("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
@@ -255,15 +255,15 @@
   EXPECT_EQ(index.cancellations().newest(), 32u);
 }
 
-// Progress and machines packs, as the leader writes them and as the next leader reads them.
+// Packs of progress and machine entries, as a leader writes them and the next leader reads them.
 class GoldenPacks : public ::testing::Test {
  protected:
   static constexpr uint64_t kToken = 41;
-  static constexpr uint32_t kTries = 7;
+  static constexpr uint32_t kRetries = 7;
   static constexpr uint64_t kLease = 77;
   static constexpr int kMarksPack = 1'000'000;
-  static constexpr size_t kMostPacks = 10;
-  static constexpr size_t kMostBytes = 48u << 10;
+  static constexpr size_t kMaxPacks = 10;
+  static constexpr size_t kMaxBytes = 48u << 10;
 
   // Tasks 0, 3 and 9 of the first segment, and 513 and 599 (the last) of the second.
   static constexpr const char* kProgress =
@@ -298,14 +298,14 @@
     job.MarkDone(index);
     records.OnTaskDone(job, index);
   }
-  records.RecordCrashLoop("req-000412", kTries);
+  records.RecordCrashLoop("req-000412", kRetries);
   records.RequestStartMarker(job);
   records.AddMachine("vm-1", "10.0.0.1:9001");
   cluster::Machine leased;
   leased.id = "vm-2";
   records.AssignMachine(leased, "10.0.0.2:9002", kLease);
 
-  const auto batch = records.TakeBatch(kMostPacks, kMostBytes, state);
+  const auto batch = records.TakeBatch(kMaxPacks, kMaxBytes, state);
   ASSERT_EQ(batch.machines.size(), 1u);
   EXPECT_EQ(batch.machines[0].pack, 0);
   EXPECT_EQ(batch.machines[0].value.dump(), kMachines);
@@ -321,7 +321,7 @@
   records.LoadProgressPack(0, Json::parse(kProgress), 51);
   records.LoadProgressPack(kMarksPack, Json::parse(kMarks), 52);
   const auto job = NewJob();
-  EXPECT_EQ(records.RestoreJob(*job), kTries);
+  EXPECT_EQ(records.RestoreJob(*job), kRetries);
   EXPECT_EQ(job->start_marker, jobs::Job::StartMarker::kDurable);
   EXPECT_TRUE(job->inherited_start_marker);
   EXPECT_EQ(job->done, std::size(kDoneTasks));
@@ -343,7 +343,7 @@
   EXPECT_EQ(leased.lease, kLease);
   EXPECT_EQ(leased.handover_revision, kToken);
   EXPECT_EQ(scheduler::EncodeMachineRecord(leased), "10.0.0.2:9002/77/41");
-  // Of a version that did not record the revision of the handover.
+  // An entry written by an earlier version, without the revision of the handover.
   const scheduler::MachineRecord older = scheduler::DecodeMachineRecord("10.0.0.3:9003/78");
   EXPECT_EQ(older.address, "10.0.0.3:9003");
   EXPECT_EQ(older.lease, 78u);
--- a/tests/heartbeat_json_test.cc
+++ b/tests/heartbeat_json_test.cc
@@ -1,4 +1,5 @@
-// Agents' heartbeats as JSON: the fast reader against the plain one.
+// Agent heartbeats as JSON: the fast parser (ReadHeartbeat) against the reference parser
+// (ParseHeartbeat).
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,7 +11,8 @@
 namespace mosspath::wire {
 namespace {
 
-// The fast reader accepts and refuses what the reference reader does.
+// Both parsers accept the same texts with the same result, and reject the same texts. Inputs
+// include wrong types and random damage.
 TEST(HeartbeatJsonTest, TheFastReaderAgreesWithTheReferenceReader) {
   Heartbeat heartbeat;
   heartbeat.machine = "vm-1";
@@ -57,7 +59,7 @@
       texts.push_back(json.dump());
     }
   }
-  for (int i = 0; i < 400; ++i) {  // damaged at any place
+  for (int i = 0; i < 400; ++i) {  // one random byte changed; one text in three also truncated
     std::string text = good;
     text[random() % text.size()] = static_cast<char>(random() % 128);
     if (i % 3 == 0) text.resize(random() % text.size());
--- a/tests/job_json_test.cc
+++ b/tests/job_json_test.cc
@@ -1,4 +1,4 @@
-// Job specifications and task names as JSON: hostile and incomplete input.
+// Job specifications and task names as JSON, with hostile and incomplete input.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -63,7 +63,7 @@
   }
 }
 
-// The error names the field, so that the user knows which one.
+// The error names the missing field, so that a user can correct the submission.
 TEST(JobJsonTest, EachFieldMustBeThere) {
   JobSpec spec;
   spec.id = "req-1";
@@ -74,7 +74,7 @@
   spec.deadline_s = 10;
   const Json good = ToJson(spec);
   const std::set<std::string> optional_fields{"builds", "shore", "dawn_s"};
-  EXPECT_EQ(good.size(), 20u);  // PROTOCOL's table
+  EXPECT_EQ(good.size(), 20u);  // the number of fields in PROTOCOL's table
   for (const auto& [key, value] : good.items()) {
     for (const bool null : {false, true}) {
       Json json = good;
--- a/tests/promise_frame_test.cc
+++ b/tests/promise_frame_test.cc
@@ -1,4 +1,4 @@
-// Frames that ask a peer for a promise not to lead, and answer it.
+// Frames of promise requests and responses: encoding, decoding, hostile input.
 #include "mosspath/wire/promise_frame.h"
 
 #include <gtest/gtest.h>
--- a/tests/shard_frame_test.cc
+++ b/tests/shard_frame_test.cc
@@ -32,8 +32,8 @@
   frame.messages = {encoded, encoded};
   const std::string encoded_frame = wire::Encode(frame);
   EXPECT_EQ(wire::DecodeShardFrame(encoded_frame).messages, frame.messages);
-  // Truncated anywhere, or with any byte changed, it is refused or decodes to other values;
-  // decoding never crashes.
+  // A truncated frame or message is rejected. A message with a changed byte is rejected or decodes
+  // to other values; decoding never crashes.
   for (size_t size = 0; size < encoded_frame.size(); ++size) {
     EXPECT_THROW(wire::DecodeShardFrame(encoded_frame.substr(0, size)), wire::BadMessage);
   }
--- a/tests/status_page_test.cc
+++ b/tests/status_page_test.cc
@@ -9,7 +9,8 @@
 namespace mosspath::wire {
 namespace {
 
-// The page shows when each controller was last heard from, by whom, and what it cannot reach.
+// The page shows, for each controller, when and by which controller its last heartbeat was
+// received, and what it cannot reach.
 TEST(StatusPageTest, ShowsWhichControllersAreUpAndTheAgeOfTheFigures) {
   Status status;
   status.snapshot = test::SampleStatusSnapshot();
--- a/tests/status_snapshot_test.cc
+++ b/tests/status_snapshot_test.cc
@@ -26,7 +26,7 @@
   std::string other_version = good;
   other_version[4] = 3;  // after the four bytes of the kind
   EXPECT_THROW(DecodeStatusSnapshot(other_version), BadMessage);
-  // Random damage may go unnoticed but never does harm.
+  // A randomly damaged frame may decode without an error, but decoding never crashes.
   std::mt19937_64 random(3);
   for (int i = 0; i < 20000; ++i) {
     std::string damaged = good;
--- a/tests/varint_test.cc
+++ b/tests/varint_test.cc
@@ -1,4 +1,4 @@
-// Variable-length integers of the binary frames.
+// The variable-length integers of the binary frames: boundary values and malformed input.
 #include "mosspath/wire/varint.h"
 
 #include <gtest/gtest.h>
