--- a/tests/fakes/plain_agent.h
+++ b/tests/fakes/plain_agent.h
@@ -17,14 +17,14 @@
 struct PlainAgent {
   struct Attempt {
     wire::TaskState state = wire::TaskState::kRunning;
-    wire::ExitReason why = wire::ExitReason::kNone;
+    wire::ExitReason exit_reason = wire::ExitReason::kNone;
   };
 
   std::string id;
-  uint64_t session = 1;   // the agent epoch
-  uint64_t seq = 0;       // sequence number of the last heartbeat
-  uint64_t token = 0;     // the highest fencing token received
-  double lease_from = 0;  // when the lease was last renewed
+  uint64_t epoch = 1;           // the agent epoch
+  uint64_t sequence = 0;        // sequence number of the last heartbeat
+  uint64_t token = 0;           // the highest fencing token received
+  double lease_renewed_at = 0;  // when the lease was last renewed
   std::map<std::pair<wire::TaskId, uint64_t>, Attempt> attempts;  // by task and attempt
 
   // Returns whether an attempt of the task is present and has not exited.
@@ -35,17 +35,17 @@
   }
 
   // Returns the next heartbeat.
-  wire::Heartbeat Report() {
+  wire::Heartbeat MakeHeartbeat() {
     wire::Heartbeat heartbeat;
     heartbeat.machine = id;
     heartbeat.address = id + ":1";
     heartbeat.type = "box";
     heartbeat.zone = "east";
-    heartbeat.agent_epoch = session;
-    heartbeat.sequence = ++seq;
+    heartbeat.agent_epoch = epoch;
+    heartbeat.sequence = ++sequence;
     heartbeat.fencing_token = token;
     for (const auto& [key, attempt] : attempts) {
-      heartbeat.tasks.push_back({key.first, key.second, attempt.state, attempt.why, false});
+      heartbeat.tasks.push_back({key.first, key.second, attempt.state, attempt.exit_reason, false});
     }
     return heartbeat;
   }
@@ -67,11 +67,11 @@
   }
 
   // If the lease has expired at `now`, ends all attempts and begins the next agent epoch.
-  void LeaseAt(double now, double lease_s) {
-    if (now - lease_from < lease_s) return;
+  void ExpireLeaseIfDue(double now, double lease_s) {
+    if (now - lease_renewed_at < lease_s) return;
     attempts.clear();
-    ++session;
-    lease_from = now;
+    ++epoch;
+    lease_renewed_at = now;
   }
 
  private:
--- a/tests/heartbeat_model_test.cc
+++ b/tests/heartbeat_model_test.cc
@@ -59,10 +59,10 @@
   bool Step(Event event) {
     now_ += 0.6;
     for (PlainAgent* agent : {&partitioned_, &healthy_})
-      agent->LeaseAt(now_, settings_.agent_lease_s);
+      agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
     const bool happens = Happens(event);
     for (PlainAgent* agent : {&partitioned_, &healthy_})
-      agent->LeaseAt(now_, settings_.agent_lease_s);
+      agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
     leader_->Tick(now_);
     MakeRecordsDurable();
     return happens;
@@ -75,8 +75,8 @@
     std::string out = fmt::format("{} {} {}", elections_, delayed_commands_.size(),
                                   first_heartbeat_ ? first_heartbeat_->sequence : 0);
     for (const PlainAgent* agent : {&partitioned_, &healthy_}) {
-      out += fmt::format("|{} {} {} {:.0f}", agent->session, agent->seq, agent->token,
-                         now_ - agent->lease_from);
+      out += fmt::format("|{} {} {} {:.0f}", agent->epoch, agent->sequence, agent->token,
+                         now_ - agent->lease_renewed_at);
       for (const auto& [key, a] : agent->attempts) {
         out += fmt::format(" {}:{}", key.second, static_cast<int>(a.state));
       }
@@ -108,20 +108,20 @@
     }
   }
   void SendHeartbeat(PlainAgent& agent, bool arrives) {
-    const wire::Heartbeat heartbeat = agent.Report();
+    const wire::Heartbeat heartbeat = agent.MakeHeartbeat();
     if (&agent == &partitioned_) {
       if (!first_heartbeat_) first_heartbeat_ = heartbeat;
       last_heartbeat_ = heartbeat;
     }
     const HeartbeatAnswer answer = leader_->OnHeartbeat(heartbeat, now_);
     if (!arrives || !answer.accepted || answer.token < agent.token) return;
-    agent.lease_from = now_;
+    agent.lease_renewed_at = now_;
     agent.token = answer.token;
     agent.Execute(answer.commands);
   }
   // Executes the commands if the agent accepts them.
   static bool ExecuteIfAccepted(PlainAgent& agent, const CommandBatch& batch) {
-    if (batch.fencing_token < agent.token || batch.agent_epoch != agent.session) return false;
+    if (batch.fencing_token < agent.token || batch.agent_epoch != agent.epoch) return false;
     agent.token = batch.fencing_token;
     agent.Execute(batch.commands);
     return true;
@@ -138,7 +138,7 @@
         continue;
       }
       const bool accepted = ExecuteIfAccepted(agent, batch);
-      const wire::Heartbeat heartbeat = agent.Report();
+      const wire::Heartbeat heartbeat = agent.MakeHeartbeat();
       const bool lost = for_this_machine && event == Event::kCommandOutcomeLost;
       leader_->OnCommandOutcome(batch,
                                 lost       ? CommandOutcome::kUndetermined
@@ -182,7 +182,7 @@
         for (int i = 0; i < 3; ++i) {
           now_ += settings_.agent_lease_s / 9;
           for (PlainAgent* agent : {&partitioned_, &healthy_})
-            agent->LeaseAt(now_, settings_.agent_lease_s);
+            agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
           leader_->Tick(now_);
           MakeRecordsDurable();
           SendHeartbeat(healthy_, true);
@@ -208,8 +208,8 @@
   uint64_t revision_ = 20;
   int elections_ = 0;
   wire::JobSpec job_;
-  PlainAgent partitioned_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainAgent healthy_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  PlainAgent partitioned_{.id = "vm-1", .lease_renewed_at = 1, .attempts = {}};
+  PlainAgent healthy_{.id = "vm-2", .lease_renewed_at = 1, .attempts = {}};
   std::unique_ptr<Scheduler> leader_;
   std::map<int, wire::Json> records_;
   std::vector<CommandBatch> delayed_commands_;
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -64,7 +64,8 @@
 
   bool Step(Event event) {
     now_ += 0.6;
-    for (PlainAgent* agent : {&first_, &second_}) agent->LeaseAt(now_, settings_.agent_lease_s);
+    for (PlainAgent* agent : {&first_, &second_})
+      agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
     const bool applied = Apply(event);
     leader_->Tick(now_);
     return applied;
@@ -94,10 +95,10 @@
       }
     }
     for (const PlainAgent* agent : {&first_, &second_}) {
-      out += fmt::format("|{} {:.0f}", agent->session, now_ - agent->lease_from);
+      out += fmt::format("|{} {:.0f}", agent->epoch, now_ - agent->lease_renewed_at);
       for (const auto& [key, a] : agent->attempts) {
         out += fmt::format(" {}:{}{}", key.first.index, static_cast<int>(a.state),
-                           static_cast<int>(a.why));
+                           static_cast<int>(a.exit_reason));
       }
     }
     for (const auto& [id, machine] : leader_->machines()) {
@@ -161,9 +162,9 @@
     return job.tasks[index].phase == jobs::TaskPhase::kDone;
   }
   void SendHeartbeat(PlainAgent& agent) {
-    const HeartbeatAnswer answer = leader_->OnHeartbeat(agent.Report(), now_);
+    const HeartbeatAnswer answer = leader_->OnHeartbeat(agent.MakeHeartbeat(), now_);
     if (!answer.accepted || answer.token < agent.token) return;
-    agent.lease_from = now_;
+    agent.lease_renewed_at = now_;
     agent.token = answer.token;
     agent.Execute(answer.commands);
     for (const auto& command : answer.commands) {
@@ -180,12 +181,12 @@
         continue;
       }
       const bool accepted =
-          batch.fencing_token >= target.token && batch.agent_epoch == target.session;
+          batch.fencing_token >= target.token && batch.agent_epoch == target.epoch;
       if (accepted) {
         target.token = batch.fencing_token;
         target.Execute(batch.commands);
       }
-      const wire::Heartbeat heartbeat = target.Report();
+      const wire::Heartbeat heartbeat = target.MakeHeartbeat();
       leader_->OnCommandOutcome(
           batch, accepted ? CommandOutcome::kExecuted : CommandOutcome::kRefused, &heartbeat, now_);
     }
@@ -330,8 +331,8 @@
   int elections_ = 0;
   // The machines.
   bool first_alive_ = true;  // of the first machine
-  PlainAgent first_{.id = "vm-1", .lease_from = 1, .attempts = {}};
-  PlainAgent second_{.id = "vm-2", .lease_from = 1, .attempts = {}};
+  PlainAgent first_{.id = "vm-1", .lease_renewed_at = 1, .attempts = {}};
+  PlainAgent second_{.id = "vm-2", .lease_renewed_at = 1, .attempts = {}};
   std::set<std::pair<uint32_t, uint64_t>> ended_;  // task, attempt
   std::set<uint32_t> ended_tasks_;
   std::string lost_result_;
