--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -25,11 +25,11 @@
 };
 
 struct Objective {
-  std::string kind;
+  std::string kind;  // "wait" (until a task starts), "finished" or "deadline"; others are ignored
   std::string job_class;
-  double within_s = 0;
-  double share = 0;
-  double times = 1;
+  double within_s = 0;  // target time since submission, for "wait" and "finished"
+  double share = 0;     // the share that should meet the target
+  double times = 1;     // target as a multiple of the job's deadline, for "deadline"
 };
 
 struct Settings {
