--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -7,9 +7,9 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kCheckEveryS = 0.5;
-constexpr uint64_t kRoomEveryChecks = 4;
-constexpr double kRounding = 1e-6;  // for sums of CPUs
+constexpr double kCheckIntervalS = 0.5;
+constexpr uint64_t kChecksPerRoomCheck = 4;
+constexpr double kCpuTolerance = 1e-6;  // for sums of CPUs
 
 // Whether the machine could run one more task of the job, by all that the job asks for.
 bool HasRoom(const SimulatedAgent& agent, const RuleChecker::WaitingJob& waiting) {
@@ -25,7 +25,7 @@
   const size_t in_zone = found == by_zone.end() ? 0 : found->second;
   if (spec.single_zone && !by_zone.empty() && in_zone == 0) return false;
   if (spec.spread_over_zones && in_zone + 1 > (spec.tasks + 1) / 2) return false;
-  return agent.used_cpus() + spec.cpus <= agent.cpus() + kRounding;
+  return agent.used_cpus() + spec.cpus <= agent.cpus() + kCpuTolerance;
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
     : world(settings, types, seed) {
   AddControllers(controller_count);
   world.network.on_sent = [this](const std::string& from) { OnMessageSent(from); };
-  world.clock.After(kCheckEveryS, [this] { CheckLoop(); });
+  world.clock.After(kCheckIntervalS, [this] { CheckLoop(); });
 }
 
 void SimulatedCluster::AddControllers(size_t count) {
@@ -116,13 +116,13 @@
 
 void SimulatedCluster::CheckLoop() {
   Check();
-  world.clock.After(kCheckEveryS, [this] { CheckLoop(); });
+  world.clock.After(kCheckIntervalS, [this] { CheckLoop(); });
 }
 
 void SimulatedCluster::Check() {
   const double now = world.clock.now();
   world.rule_checker.CheckNow(now);
-  if (now > world.rule_checker.faults_until() && ++checks_ % kRoomEveryChecks == 0) CheckRoom();
+  if (now > world.rule_checker.faults_until() && ++checks_ % kChecksPerRoomCheck == 0) CheckRoom();
   CheckRecovery();
 }
 
@@ -131,7 +131,7 @@
 void SimulatedCluster::CheckRecovery() {
   const double now = world.clock.now();
   const config::DerivedSettings derived(world.settings);
-  const double most =
+  const double max_recovery_s =
       derived.agents_try_all_s + 2 * derived.agent_lease_over_s + world.settings.heartbeat_s;
   for (auto& controller : controllers) {
     if (!controller->up() || !controller->leading() ||
@@ -143,10 +143,10 @@
     Recovery& recovery =
         recoveries_.try_emplace(controller->name(), Recovery{token, now}).first->second;
     if (recovery.token != token) recovery = Recovery{token, now};
-    if (recovery.reported || now - recovery.since <= most) continue;
+    if (recovery.reported || now - recovery.since <= max_recovery_s) continue;
     recovery.reported = true;
     world.rule_checker.AddBreach(
-        fmt::format("unsettled: {} for {:.0f} s", controller->name(), most));
+        fmt::format("unsettled: {} for {:.0f} s", controller->name(), max_recovery_s));
   }
 }
 
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -9,8 +9,8 @@
 
 // As of a process that has not reached the store yet.
 constexpr double kNeverContacted = -1e18;
-constexpr double kResumeWithinS = 0.02;  // after a freeze
-constexpr jobs::JobIndex::Limits kRemembered{.finals = 100'000, .cancellations = 600};
+constexpr double kMaxResumeDelayS = 0.02;  // after a freeze
+constexpr jobs::JobIndex::Limits kJobIndexLimits{.finals = 100'000, .cancellations = 600};
 
 }  // namespace
 
@@ -70,7 +70,7 @@
   newest_read_ = 0;
   revision_ = 0;
   jobs_revision_ = 0;
-  job_index_ = std::make_unique<jobs::JobIndex>(kJobPrefix, kBatchPrefix, kRemembered);
+  job_index_ = std::make_unique<jobs::JobIndex>(kJobPrefix, kBatchPrefix, kJobIndexLimits);
   job_record_versions_.clear();
   final_records_.clear();
 
@@ -80,8 +80,8 @@
   holder_.reset();
   routing_table_.Clear();
   machine_pack_versions_.clear();
-  offer_under_way_ = false;
-  frames_under_way_.clear();
+  offer_in_flight_ = false;
+  frames_in_flight_.clear();
 
   admission_ = std::make_unique<service::AdmissionService>(settings_);
   acceptance_queue_ = {};
@@ -106,7 +106,7 @@
 void SimulatedController::RunUnlessFrozen(std::function<void()> action) {
   if (frozen()) {
     // Whatever came or fell due meanwhile comes at once when it runs again, in any order.
-    const double resumes_at = frozen_until_ + environment_.random.Uniform(0, kResumeWithinS);
+    const double resumes_at = frozen_until_ + environment_.random.Uniform(0, kMaxResumeDelayS);
     environment_.clock.At(resumes_at, [this, process = process_, action = std::move(action)] {
       if (IsProcess(process)) RunUnlessFrozen(action);
     });
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -184,7 +184,7 @@
   void FindStatusInFinalRecord(const std::string& id, const OnStatus& done);
   void AnswerStatus(const std::string& id, jobs::JobStatus status, const StatusResponder& respond);
   // What a user is told of a job with this status.
-  wire::JobState StateToTell(const std::string& id, jobs::JobStatus status);
+  wire::JobState ReportState(const std::string& id, jobs::JobStatus status);
   void StopTasksOf(const std::string& id);
   void TryCancel(const std::string& id, double deadline, OnStatus done);
   // Runs at the store. `end` is written only if the job has no end yet.
@@ -211,11 +211,11 @@
   void SendCommands();
   // `shard_lease`: under which the commands are given; 0: they are the leader's.
   void SendCommandsOf(scheduler::Scheduler& source, uint64_t shard_lease);
-  void SendOrder(const scheduler::CommandBatch& order, uint64_t shard_lease);
+  void SendBatch(const scheduler::CommandBatch& batch, uint64_t shard_lease);
   using OnOutcome = std::function<void(scheduler::CommandOutcome, const wire::Heartbeat*)>;
-  OnOutcome MakeOutcomeHandler(const scheduler::CommandBatch& order, uint64_t shard_lease);
+  OnOutcome MakeOutcomeHandler(const scheduler::CommandBatch& batch, uint64_t shard_lease);
   // Runs at the machine.
-  void DeliverOrder(SimulatedAgent& agent, const scheduler::CommandBatch& order, double sent_at,
+  void DeliverBatch(SimulatedAgent& agent, const scheduler::CommandBatch& batch, double sent_at,
                     const OnOutcome& on_outcome);
   void WriteCompletions();
   void WriteCompletion(const std::string& id, const std::vector<jobs::RecordChange>& records);
@@ -285,8 +285,8 @@
   std::unique_ptr<shard::ShardHolder> holder_;
   shard::RoutingTable routing_table_;
   std::map<std::string, uint64_t> machine_pack_versions_;
-  bool offer_under_way_ = false;
-  std::set<std::string> frames_under_way_;  // by the peer that they were sent to
+  bool offer_in_flight_ = false;
+  std::set<std::string> frames_in_flight_;  // by the peer that they were sent to
 
   // Jobs.
   std::unique_ptr<service::AdmissionService> admission_;
@@ -317,13 +317,13 @@
 template <typename Result>
 void SimulatedController::CallStoreForChange(std::function<Result()> at_store,
                                              std::function<void(Result)> on_result) {
-  constexpr double kLeastLatenessS = 2;
-  constexpr double kMostLatenessS = 12;
+  constexpr double kMinLatenessS = 2;
+  constexpr double kMaxLatenessS = 12;
   Random& random = environment_.random;
   const bool late = environment_.clock.now() < environment_.late_writes_until &&
                     random.Uniform(0, 1) < environment_.late_writes_share;
   if (!late) return CallStore(std::move(at_store), std::move(on_result));
-  environment_.clock.After(random.Uniform(kLeastLatenessS, kMostLatenessS),
+  environment_.clock.After(random.Uniform(kMinLatenessS, kMaxLatenessS),
                            [this, at_store = std::move(at_store)] {
                              if (!environment_.store.up()) return;
                              at_store();
--- a/simulation/controller_commands.cc
+++ b/simulation/controller_commands.cc
@@ -10,9 +10,9 @@
 
 constexpr double kWriteTimeoutS = 1;
 constexpr double kLateCommandS = 2;  // counted as late from then on
-constexpr double kMostAnswerDelayHeartbeats = 1.2;
-constexpr size_t kMostRecords = 100;  // in one change
-constexpr size_t kMostRecordBytes = 48u << 10;
+constexpr double kMaxAnswerDelayHeartbeats = 1.2;
+constexpr size_t kMaxRecords = 100;  // in one change
+constexpr size_t kMaxRecordBytes = 48u << 10;
 
 uint64_t CountStarts(const std::vector<wire::Command>& commands) {
   return static_cast<uint64_t>(std::count_if(
@@ -77,60 +77,60 @@
 }
 
 void SimulatedController::SendCommandsOf(scheduler::Scheduler& source, uint64_t shard_lease) {
-  for (const auto& order : source.TakeCommands(Now())) {
-    if (shard_lease != 0) holder_starts_ += CountStarts(order.commands);
-    SendOrder(order, shard_lease);
+  for (const auto& batch : source.TakeCommands(Now())) {
+    if (shard_lease != 0) holder_starts_ += CountStarts(batch.commands);
+    SendBatch(batch, shard_lease);
   }
 }
 
-void SimulatedController::SendOrder(const scheduler::CommandBatch& order, uint64_t shard_lease) {
+void SimulatedController::SendBatch(const scheduler::CommandBatch& batch, uint64_t shard_lease) {
   const double sent_at = environment_.clock.now();
-  environment_.decisions.Ordered(sent_at, order.machine, order.address, order.fencing_token,
-                                 order.agent_epoch, order.commands);
-  const OnOutcome on_outcome = MakeOutcomeHandler(order, shard_lease);
+  environment_.decisions.OnCommandsSent(sent_at, batch.machine, batch.address, batch.fencing_token,
+                                        batch.agent_epoch, batch.commands);
+  const OnOutcome on_outcome = MakeOutcomeHandler(batch, shard_lease);
   AfterInAnyProcess(environment_.settings.heartbeat_s, [on_outcome] {
     on_outcome(scheduler::CommandOutcome::kUndetermined, nullptr);
   });
   // A connection is to whoever is there, which need not be the machine that is meant; what is
   // held back on it is never for another one that is up under the address later.
-  SimulatedAgent* const agent = environment_.FindByAddress(order.address);
+  SimulatedAgent* const agent = environment_.FindByAddress(batch.address);
   if (agent == nullptr) return;
   const auto incarnation = agent->incarnation();
-  const std::function<void()> arrive = [this, agent, incarnation, order, sent_at, on_outcome] {
+  const std::function<void()> arrive = [this, agent, incarnation, batch, sent_at, on_outcome] {
     if (!agent->alive() || agent->incarnation() != incarnation) return;
-    DeliverOrder(*agent, order, sent_at, on_outcome);
+    DeliverBatch(*agent, batch, sent_at, on_outcome);
   };
   environment_.network.Send(name_, agent->id(), [agent, arrive] { agent->RunUnlessHung(arrive); });
 }
 
 // Only the first outcome counts, and only as long as this process leads or holds as it did.
 SimulatedController::OnOutcome SimulatedController::MakeOutcomeHandler(
-    const scheduler::CommandBatch& order, uint64_t shard_lease) {
+    const scheduler::CommandBatch& batch, uint64_t shard_lease) {
   const auto answered = std::make_shared<bool>(false);
-  return [this, process = process_, token = token(), shard_lease, answered, order](
+  return [this, process = process_, token = token(), shard_lease, answered, batch](
              scheduler::CommandOutcome outcome, const wire::Heartbeat* heartbeat) {
     if (process != process_ || std::exchange(*answered, true)) return;
     if (shard_lease != 0) {
       if (!holder_ || holder_->lease() != shard_lease) return;
-      holder_->OnCommandOutcome(order, outcome, heartbeat, Now());
+      holder_->OnCommandOutcome(batch, outcome, heartbeat, Now());
     } else if (token == leadership_->token() && scheduler_) {
-      scheduler_->OnCommandOutcome(order, outcome, heartbeat, Now());
+      scheduler_->OnCommandOutcome(batch, outcome, heartbeat, Now());
     }
   };
 }
 
-void SimulatedController::DeliverOrder(SimulatedAgent& agent, const scheduler::CommandBatch& order,
+void SimulatedController::DeliverBatch(SimulatedAgent& agent, const scheduler::CommandBatch& batch,
                                        double sent_at, const OnOutcome& on_outcome) {
   const double now = environment_.clock.now();
   environment_.observed.late_commands += now - sent_at > kLateCommandS ? 1 : 0;
-  const int http_status = agent.OnCommands(order.fencing_token, order.agent_epoch, order.commands);
+  const int http_status = agent.OnCommands(batch.fencing_token, batch.agent_epoch, batch.commands);
   const wire::Heartbeat answer = agent.MakeHeartbeat();
   const auto outcome = http_status == 200 ? scheduler::CommandOutcome::kExecuted
                                           : scheduler::CommandOutcome::kRefused;
   double delay_s = 0;
   if (now < environment_.delayed_answers_until) {
-    const double most = kMostAnswerDelayHeartbeats * environment_.settings.heartbeat_s;
-    delay_s = environment_.random.Uniform(0, most);
+    const double max_delay_s = kMaxAnswerDelayHeartbeats * environment_.settings.heartbeat_s;
+    delay_s = environment_.random.Uniform(0, max_delay_s);
   }
   const std::function<void()> arrive = [this, &agent, answer, outcome, on_outcome] {
     const bool outdated = agent.acknowledged_sequence() > answer.sequence;
@@ -177,7 +177,7 @@
 }
 
 void SimulatedController::WriteRecords() {
-  const auto records = scheduler_->TakeRecords(kMostRecords, kMostRecordBytes);
+  const auto records = scheduler_->TakeRecords(kMaxRecords, kMaxRecordBytes);
   if (records.empty()) return;
   std::vector<Condition> conditions{{kLeaderKey, token()}};
   std::vector<Change> changes;
--- a/simulation/controller_jobs.cc
+++ b/simulation/controller_jobs.cc
@@ -44,7 +44,7 @@
 void SimulatedController::AnswerKnownSubmission(const std::string& id,
                                                 const SubmitResponder& respond) {
   FindStatus(id, [this, id, respond](jobs::JobStatus status) {
-    if (IsKnown(status)) StateToTell(id, status);
+    if (IsKnown(status)) ReportState(id, status);
     respond(IsKnown(status) ? 200 : 503, kRetryAfterS);
   });
 }
@@ -76,9 +76,10 @@
   After(1 / acceptance_rate_, [this] { AcceptanceLoop(); });
   DropOverdue();
   // As many as may share a change.
-  const auto most = static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
+  const auto max_batch_size =
+      static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
   std::vector<PendingJob> batch;
-  while (!acceptance_queue_.empty() && batch.size() < most) {
+  while (!acceptance_queue_.empty() && batch.size() < max_batch_size) {
     batch.push_back(acceptance_queue_.Pop());
   }
   if (!batch.empty()) AcceptBatch(std::move(batch));
@@ -174,12 +175,12 @@
 void SimulatedController::AnswerStatus(const std::string& id, jobs::JobStatus status,
                                        const StatusResponder& respond) {
   const int http_status = HttpStatusOf(status);
-  const auto state = http_status == 200 ? StateToTell(id, status) : wire::JobState::kQueued;
+  const auto state = http_status == 200 ? ReportState(id, status) : wire::JobState::kQueued;
   environment_.network.Send(name_, kUsersHost,
                             [respond, http_status, state] { respond(http_status, state); });
 }
 
-wire::JobState SimulatedController::StateToTell(const std::string& id, jobs::JobStatus status) {
+wire::JobState SimulatedController::ReportState(const std::string& id, jobs::JobStatus status) {
   if (status == jobs::JobStatus::kCancelled) {
     environment_.observed.last_confirmer = name_;
     return wire::JobState::kCancelled;
--- a/simulation/controller_peers.cc
+++ b/simulation/controller_peers.cc
@@ -6,13 +6,13 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kLeastIntervalS = 0.5;
+constexpr double kMinIntervalS = 0.5;
 
 }  // namespace
 
 void SimulatedController::PeerHeartbeatLoop() {
   if (!alive_) return;
-  After(std::max(kLeastIntervalS, settings_.heartbeat_s / 4), [this] { PeerHeartbeatLoop(); });
+  After(std::max(kMinIntervalS, settings_.heartbeat_s / 4), [this] { PeerHeartbeatLoop(); });
   wire::PeerHeartbeat heartbeat;
   heartbeat.node = name_;
   heartbeat.demand = admission_->Demand(Now());
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -77,11 +77,11 @@
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
   const uint64_t store_lease = leadership_->store_lease();
-  if (store_lease == 0 || offer_under_way_) return;
+  if (store_lease == 0 || offer_in_flight_) return;
   if (offer != entries.end() && offer->second.lease == store_lease) return;
-  offer_under_way_ = true;
+  offer_in_flight_ = true;
   environment_.clock.After(kOfferTimeoutS, [this, process = process_] {
-    if (process == process_) offer_under_way_ = false;
+    if (process == process_) offer_in_flight_ = false;
   });
   const uint64_t version = offer == entries.end() ? 0 : offer->second.version;
   CallStoreForChange<uint64_t>(
@@ -183,7 +183,7 @@
     }
   }
   const std::string& leader = leadership_->leader();
-  if (!holder_ || !MayHold() || leader.empty() || frames_under_way_.contains(leader)) return;
+  if (!holder_ || !MayHold() || leader.empty() || frames_in_flight_.contains(leader)) return;
   if (auto frame = holder_->NextFrame(revision_, Now())) {
     SendShardFrame(leader, std::move(*frame), false);
   }
@@ -191,7 +191,7 @@
 
 void SimulatedController::SendShardFrame(const std::string& peer, wire::ShardFrame frame,
                                          bool as_leader) {
-  if (!frames_under_way_.insert(peer).second) return;
+  if (!frames_in_flight_.insert(peer).second) return;
   frame.node = name_;
   const double sent_at = Now();
   const auto answered = std::make_shared<bool>(false);
@@ -212,7 +212,7 @@
 void SimulatedController::OnShardFrameAnswered(const std::string& peer, bool as_leader,
                                                double sent_at,
                                                const std::optional<wire::ShardFrame>& answer) {
-  frames_under_way_.erase(peer);
+  frames_in_flight_.erase(peer);
   if (as_leader) {
     if (!answer) {
       if (shard_leases_) shard_leases_->OnFrameLost(peer);
--- a/simulation/decisions.cc
+++ b/simulation/decisions.cc
@@ -5,54 +5,55 @@
 
 namespace mosspath::simulation {
 
-void Decisions::Answered(double now, const std::string& machine, int http_status,
-                         uint64_t fencing_token, const std::vector<wire::Command>& commands,
-                         const std::string& redirect_to) {
-  Begin(Kind::kAnswered, now);
+void Decisions::OnHeartbeatAnswered(double now, const std::string& machine, int http_status,
+                                    uint64_t fencing_token,
+                                    const std::vector<wire::Command>& commands,
+                                    const std::string& redirect_to) {
+  Begin(Kind::kHeartbeatAnswered, now);
   Add(machine);
   Add(static_cast<uint64_t>(http_status));
   Add(wire::HeartbeatAnswer(fencing_token, commands).dump());
   Add(redirect_to);
 }
 
-void Decisions::Ordered(double now, const std::string& machine, const std::string& address,
-                        uint64_t fencing_token, uint64_t agent_epoch,
-                        const std::vector<wire::Command>& commands) {
-  Begin(Kind::kOrdered, now);
+void Decisions::OnCommandsSent(double now, const std::string& machine, const std::string& address,
+                               uint64_t fencing_token, uint64_t agent_epoch,
+                               const std::vector<wire::Command>& commands) {
+  Begin(Kind::kCommandsSent, now);
   Add(machine);
   Add(address);
   Add(wire::DirectCommands(fencing_token, agent_epoch, commands).dump());
 }
 
-void Decisions::Reached(double now, const std::string& machine, uint64_t fencing_token,
-                        uint64_t agent_epoch, const std::vector<wire::Command>& commands,
-                        int http_status) {
-  Begin(Kind::kReached, now);
+void Decisions::OnCommandsReceived(double now, const std::string& machine, uint64_t fencing_token,
+                                   uint64_t agent_epoch, const std::vector<wire::Command>& commands,
+                                   int http_status) {
+  Begin(Kind::kCommandsReceived, now);
   Add(machine);
   Add(wire::DirectCommands(fencing_token, agent_epoch, commands).dump());
   Add(static_cast<uint64_t>(http_status));
 }
 
-void Decisions::Written(double now, const std::string& key, const std::optional<wire::Json>& value,
-                        uint64_t lease) {
-  Begin(Kind::kWritten, now);
+void Decisions::OnStoreChange(double now, const std::string& key,
+                              const std::optional<wire::Json>& value, uint64_t lease) {
+  Begin(Kind::kStoreChange, now);
   Add(key);
   Add(uint64_t{value.has_value()});
   if (value) Add(value->dump());
   Add(lease);
 }
 
-void Decisions::Rented(double now, const std::string& type, const std::string& zone, bool spot,
-                       const std::string& machine) {
-  Begin(Kind::kRented, now);
+void Decisions::OnMachineRequested(double now, const std::string& type, const std::string& zone,
+                                   bool spot, const std::string& machine) {
+  Begin(Kind::kMachineRequested, now);
   Add(type);
   Add(zone);
   Add(uint64_t{spot});
   Add(machine);
 }
 
-void Decisions::Returned(double now, const std::string& machine) {
-  Begin(Kind::kReturned, now);
+void Decisions::OnMachineReturned(double now, const std::string& machine) {
+  Begin(Kind::kMachineReturned, now);
   Add(machine);
 }
 
--- a/simulation/decisions.h
+++ b/simulation/decisions.h
@@ -1,5 +1,5 @@
-// What the controllers of a simulated day decided, folded into one number: two builds that decide
-// the same on a day have the same number.
+// A hash of all decisions that the controllers make on a simulated day. Two builds whose
+// controllers decide the same on a day compute the same hash.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,49 @@
 
 namespace mosspath::simulation {
 
-// Folds decisions in the order in which they happen, with their simulated time and in the
-// protocol's own words, so that no name inside the code counts. The number is the same in every
-// build with the same Boost.
+// Hashes decisions in the order in which they happen, together with their simulated time. Commands
+// are hashed in their wire encoding, so renaming identifiers in the code does not change the hash.
+// The hash is the same in every build with the same version of Boost.
 class Decisions {
  public:
-  // A machine's heartbeat was answered. `redirect_to`: the controller that it is sent to, or empty.
-  void Answered(double now, const std::string& machine, int http_status, uint64_t fencing_token,
-                const std::vector<wire::Command>& commands, const std::string& redirect_to);
-  // Direct commands left for a machine, to whoever is at the address.
-  void Ordered(double now, const std::string& machine, const std::string& address,
-               uint64_t fencing_token, uint64_t agent_epoch,
-               const std::vector<wire::Command>& commands);
-  // Direct commands came to a machine, which took them or not.
-  void Reached(double now, const std::string& machine, uint64_t fencing_token, uint64_t agent_epoch,
-               const std::vector<wire::Command>& commands, int http_status);
-  // The store carried a change out; without a value it removed the key. `lease`: with which the key
-  // ends; 0: with none.
-  void Written(double now, const std::string& key, const std::optional<wire::Json>& value,
-               uint64_t lease);
-  // The cloud was asked for a machine. `machine`: its answer, empty if it has none to give.
-  void Rented(double now, const std::string& type, const std::string& zone, bool spot,
-              const std::string& machine);
-  // The cloud was told to take the machine back.
-  void Returned(double now, const std::string& machine);
+  // A controller answered a heartbeat. `redirect_to`: the controller to which the answer redirects
+  // the machine, or empty.
+  void OnHeartbeatAnswered(double now, const std::string& machine, int http_status,
+                           uint64_t fencing_token, const std::vector<wire::Command>& commands,
+                           const std::string& redirect_to);
+  // A controller sent direct commands for a machine to an address, which may belong to another
+  // machine by now.
+  void OnCommandsSent(double now, const std::string& machine, const std::string& address,
+                      uint64_t fencing_token, uint64_t agent_epoch,
+                      const std::vector<wire::Command>& commands);
+  // Direct commands arrived at a machine, which accepted or rejected them.
+  void OnCommandsReceived(double now, const std::string& machine, uint64_t fencing_token,
+                          uint64_t agent_epoch, const std::vector<wire::Command>& commands,
+                          int http_status);
+  // The store applied a change; without a value the change removed the key. `lease`: the lease that
+  // the key is attached to; 0: none.
+  void OnStoreChange(double now, const std::string& key, const std::optional<wire::Json>& value,
+                     uint64_t lease);
+  // A controller requested a machine from the cloud. `machine`: the name of the new machine; empty
+  // if the cloud has no capacity.
+  void OnMachineRequested(double now, const std::string& type, const std::string& zone, bool spot,
+                          const std::string& machine);
+  // A controller requested the deletion of the machine from the cloud.
+  void OnMachineReturned(double now, const std::string& machine);
 
+  // The hash of all decisions so far.
   size_t number() const { return number_; }
 
  private:
-  // The order counts: each decision begins with its kind's number and its time.
-  enum class Kind { kAnswered, kOrdered, kReached, kWritten, kRented, kReturned };
+  // The values are part of the hash: each decision begins with its kind and its time.
+  enum class Kind {
+    kHeartbeatAnswered,
+    kCommandsSent,
+    kCommandsReceived,
+    kStoreChange,
+    kMachineRequested,
+    kMachineReturned
+  };
 
   void Begin(Kind kind, double now);
   void Add(uint64_t value);
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -30,8 +30,8 @@
 
 // The first figures tell the days apart; they are not summed up.
 constexpr size_t kIdentifyingFigures = 3;
-constexpr int kMostSeeds = 1'000'000;
-constexpr int kMostJobs = 256;
+constexpr int kMaxSeeds = 1'000'000;
+constexpr int kMaxJobs = 256;
 
 struct Options {
   uint64_t seeds = 20;
@@ -46,7 +46,7 @@
 // How to play the days of one kind.
 struct Scenario {
   std::function<std::vector<Fault>(uint64_t seed)> faults;
-  std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> play;
+  std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> run;
 };
 
 template <typename Day>
@@ -57,12 +57,13 @@
           }};
 }
 
-// Leaves faults out as long as the day is still broken; each of those that are left is needed.
-std::vector<Fault> Shorten(const Scenario& scenario, uint64_t seed, std::vector<Fault> faults) {
+// Leaves faults out as long as the day is still broken; each of those that are left is minimal.
+std::vector<Fault> MinimizeFaults(const Scenario& scenario, uint64_t seed,
+                                  std::vector<Fault> faults) {
   for (size_t i = 0; i < faults.size();) {
     std::vector<Fault> fewer = faults;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
-    if (scenario.play(seed, fewer).breaches.empty()) {
+    if (scenario.run(seed, fewer).breaches.empty()) {
       ++i;
     } else {
       faults = std::move(fewer);
@@ -72,7 +73,7 @@
   return faults;
 }
 
-void PrintBroken(uint64_t seed, const Outcome& outcome, const std::vector<Fault>& faults) {
+void PrintFailedDay(uint64_t seed, const Outcome& outcome, const std::vector<Fault>& faults) {
   std::cout << "broken seed " << seed << '\n';
   for (const auto& breach : outcome.breaches) std::cout << "  " << breach << '\n';
   for (const Fault& fault : faults) std::cout << "  with " << ToText(fault) << '\n';
@@ -80,23 +81,23 @@
 
 // Plays all days and prints the broken ones as they end. Returns the outcomes in the order of the
 // seeds.
-std::vector<Outcome> PlayDays(const Scenario& scenario, const Options& options) {
+std::vector<Outcome> RunDays(const Scenario& scenario, const Options& options) {
   std::vector<Outcome> outcomes(options.seeds);
   std::atomic<uint64_t> next{0};
   std::mutex printing;
-  const auto work = [&] {
+  const auto run_days = [&] {
     for (uint64_t i = next++; i < options.seeds; i = next++) {
       const uint64_t seed = options.first_seed + i;
       const std::vector<Fault> faults = scenario.faults(seed);
-      outcomes[i] = scenario.play(seed, faults);
+      outcomes[i] = scenario.run(seed, faults);
       if (outcomes[i].breaches.empty()) continue;
-      const std::vector<Fault> needed = Shorten(scenario, seed, faults);
+      const std::vector<Fault> minimal = MinimizeFaults(scenario, seed, faults);
       const std::lock_guard lock(printing);
-      PrintBroken(seed, outcomes[i], needed);
+      PrintFailedDay(seed, outcomes[i], minimal);
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(work);
+  for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(run_days);
   for (auto& thread : threads) thread.join();
   return outcomes;
 }
@@ -128,19 +129,19 @@
   std::cout << "days " << outcomes.size() << "\nbroken " << broken << '\n';
   const auto& columns = outcomes.front().figures;
   for (size_t i = kIdentifyingFigures; i < columns.size(); ++i) {
-    double least = columns[i].value;
-    double most = columns[i].value;
+    double minimum = columns[i].value;
+    double maximum = columns[i].value;
     double sum = 0;
     for (const auto& outcome : outcomes) {
       const double value = outcome.figures[i].value;
-      least = std::min(least, value);
-      most = std::max(most, value);
+      minimum = std::min(minimum, value);
+      maximum = std::max(maximum, value);
       sum += value;
     }
     const std::string& name = columns[i].name;
-    std::cout << name << "_least " << least << '\n'
+    std::cout << name << "_least " << minimum << '\n'
               << name << "_mean " << sum / static_cast<double>(outcomes.size()) << '\n'
-              << name << "_most " << most << '\n';
+              << name << "_most " << maximum << '\n';
   }
 }
 
@@ -152,7 +153,7 @@
 
 // Prints how often each compound fault came about; false if one was played and never did.
 bool PrintCompoundFaults(const std::vector<Outcome>& outcomes) {
-  bool all_came_about = true;
+  bool all_occurred = true;
   for (uint64_t kind = 0; kind < kCompoundFaultKinds; ++kind) {
     size_t days = 0;
     size_t reached = 0;
@@ -167,15 +168,15 @@
     if (days == 0) continue;
     std::cout << "meeting " << CompoundFaultName(static_cast<CompoundFault>(kind)) << " days "
               << days << " reached " << reached << " times " << times << '\n';
-    all_came_about = all_came_about && reached > 0;
+    all_occurred = all_occurred && reached > 0;
   }
-  return all_came_about;
+  return all_occurred;
 }
 
 void AddOptions(CLI::App& scenario, Options& options) {
-  scenario.add_option("--seeds", options.seeds, "days to play")->check(CLI::Range(1, kMostSeeds));
+  scenario.add_option("--seeds", options.seeds, "days to play")->check(CLI::Range(1, kMaxSeeds));
   scenario.add_option("--first-seed", options.first_seed, "of the first day");
-  scenario.add_option("--jobs", options.jobs, "days at once")->check(CLI::Range(1, kMostJobs));
+  scenario.add_option("--jobs", options.jobs, "days at once")->check(CLI::Range(1, kMaxJobs));
   scenario.add_option("--csv", options.csv, "writes each day's figures there");
   scenario.add_flag("--blocks", options.lease_shards, "controllers hold blocks");
   scenario.add_flag("--decisions", options.decisions, "prints each day's decisions as one number");
@@ -199,13 +200,13 @@
                                                    : ScenarioOf<OverloadScenario>(options);
   spdlog::set_level(options.log ? spdlog::level::debug : spdlog::level::off);
 
-  const std::vector<Outcome> outcomes = PlayDays(scenario, options);
+  const std::vector<Outcome> outcomes = RunDays(scenario, options);
   if (options.decisions) PrintDecisions(options.first_seed, outcomes);
   WriteCsv(options.csv, outcomes);
   const auto broken = static_cast<size_t>(
       std::count_if(outcomes.begin(), outcomes.end(),
                     [](const Outcome& outcome) { return !outcome.breaches.empty(); }));
   PrintSummary(outcomes, broken);
-  const bool all_came_about = !compound->parsed() || PrintCompoundFaults(outcomes);
-  return broken == 0 && all_came_about ? 0 : 1;
+  const bool all_occurred = !compound->parsed() || PrintCompoundFaults(outcomes);
+  return broken == 0 && all_occurred ? 0 : 1;
 }
--- a/simulation/outcome.h
+++ b/simulation/outcome.h
@@ -1,4 +1,4 @@
-// What a simulated day came to.
+// The result of a simulated day.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,16 @@
 
 namespace mosspath::simulation {
 
-// One column of the CSV file and of the summary.
+// A named metric: one column of the CSV file and of the summary.
 struct Figure {
   std::string name;
   double value = 0;
 };
 
 struct Outcome {
-  std::vector<std::string> breaches;  // of rules; empty on a good day
+  std::vector<std::string> breaches;  // violated rules; empty if the day passed
   std::vector<Figure> figures;
-  size_t decisions = 0;  // of all controllers, folded into one number
+  size_t decisions = 0;  // a hash of all controllers' decisions
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/random.h
+++ b/simulation/random.h
@@ -1,4 +1,4 @@
-// The source of all random draws of a simulated day.
+// The random number generator of a simulated day.
 #pragma once
 
 #include <cstdint>
@@ -6,18 +6,18 @@
 
 namespace mosspath::simulation {
 
-// Draws the same sequence for a seed on every platform. The order of the draws is part of what a
-// seed stands for: an additional draw changes the whole day.
+// Produces the same sequence for a seed on every platform. All parts of the simulation draw from
+// one sequence, so an additional draw changes everything that follows on that day.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
 
-  // A number in [least, most), evenly distributed.
-  double Uniform(double least, double most) {
-    return least + (most - least) * static_cast<double>(engine_() >> 11) * 0x1.0p-53;
+  // Returns a uniformly distributed number in [min, max).
+  double Uniform(double min, double max) {
+    return min + (max - min) * static_cast<double>(engine_() >> 11) * 0x1.0p-53;
   }
 
-  // An integer in [0, bound); `bound` must not be 0.
+  // Returns an integer in [0, bound). `bound` must not be 0.
   uint64_t Below(uint64_t bound) { return engine_() % bound; }
 
  private:
--- a/simulation/simulated_agent.cc
+++ b/simulation/simulated_agent.cc
@@ -11,20 +11,20 @@
 using wire::ExitReason;
 using wire::TaskState;
 
-constexpr double kFirstHeartbeatWithinS = 0.5;
-constexpr double kHeartbeatSpread = 0.25;  // of the interval, to both sides
-constexpr double kLeastBetweenHeartbeatsS = 0.5;
-constexpr double kJustSentS = 0.499;  // a heartbeat so long ago makes another one needless
-constexpr double kLeastLeaseCheckS = 0.001;
+constexpr double kMaxFirstHeartbeatDelayS = 0.5;
+constexpr double kHeartbeatSpread = 0.25;  // relative deviation of the interval
+constexpr double kMinHeartbeatGapS = 0.5;
+constexpr double kJustSentS = 0.499;  // no other heartbeat is sent within this time after one
+constexpr double kMinLeaseCheckS = 0.001;
 constexpr double kAnswerTimeoutS = 4;
-constexpr double kNextControllerAfterS = 1;
-constexpr double kRedirectAfterS = 0.1;
-constexpr double kLeastDuplicateDelayS = 0.5;
-constexpr double kMostDuplicateDelayLeases = 3;
-constexpr double kResumeWithinS = 0.01;  // after a hang
+constexpr double kNextControllerDelayS = 1;
+constexpr double kRedirectDelayS = 0.1;
+constexpr double kMinDuplicateDelayS = 0.5;
+constexpr double kMaxDuplicateDelayLeases = 3;
+constexpr double kMaxResumeDelayS = 0.01;  // after a hang
 constexpr double kFailedRunS = 0.2;
-constexpr double kRunTimeSpread = 0.5;  // of the estimate, to both sides
-constexpr double kRounding = 1e-6;      // for sums of CPUs
+constexpr double kRunTimeSpread = 0.5;  // relative deviation from the estimate
+constexpr double kCpuTolerance = 1e-6;  // rounding tolerance for sums of CPUs
 
 }  // namespace
 
@@ -39,7 +39,7 @@
       created_at_(environment.clock.now()),
       lease_from_(environment.clock.now()) {
   controller_index_ = environment_.random.Below(environment_.nodes.size());
-  environment_.clock.After(environment_.random.Uniform(0, kFirstHeartbeatWithinS),
+  environment_.clock.After(environment_.random.Uniform(0, kMaxFirstHeartbeatDelayS),
                            [this] { HeartbeatLoop(); });
   CheckLease();
 }
@@ -56,7 +56,7 @@
 
 void SimulatedAgent::SendHeartbeatSoon() {
   const double now = environment_.clock.now();
-  const double due = last_heartbeat_at_ ? *last_heartbeat_at_ + kLeastBetweenHeartbeatsS : now;
+  const double due = last_heartbeat_at_ ? *last_heartbeat_at_ + kMinHeartbeatGapS : now;
   environment_.clock.After(std::max(0.0, due - now), [this] {
     const bool just_sent =
         last_heartbeat_at_ && environment_.clock.now() - *last_heartbeat_at_ < kJustSentS;
@@ -99,8 +99,8 @@
 }
 
 void SimulatedAgent::SendDuplicateLater(const wire::Heartbeat& heartbeat) {
-  const double most = kMostDuplicateDelayLeases * environment_.settings.agent_lease_s;
-  const double delay = environment_.random.Uniform(kLeastDuplicateDelayS, most);
+  const double max_delay_s = kMaxDuplicateDelayLeases * environment_.settings.agent_lease_s;
+  const double delay = environment_.random.Uniform(kMinDuplicateDelayS, max_delay_s);
   environment_.clock.After(delay, [this, heartbeat] {
     const bool outdated =
         heartbeat.agent_epoch < agent_epoch_ || heartbeat.fencing_token < fencing_token_;
@@ -108,8 +108,9 @@
     const size_t receiver = environment_.random.Below(environment_.nodes.size());
     environment_.on_heartbeat(
         environment_.nodes[receiver], heartbeat, [this](const HeartbeatReply& reply) {
-          environment_.decisions.Answered(environment_.clock.now(), id_, reply.http_status,
-                                          reply.fencing_token, reply.commands, reply.redirect_to);
+          environment_.decisions.OnHeartbeatAnswered(environment_.clock.now(), id_,
+                                                     reply.http_status, reply.fencing_token,
+                                                     reply.commands, reply.redirect_to);
         });
   });
 }
@@ -119,8 +120,9 @@
                                       const wire::Heartbeat& heartbeat) {
   environment_.on_heartbeat(
       attempt.controller, heartbeat, [this, attempt](const HeartbeatReply& reply) {
-        environment_.decisions.Answered(environment_.clock.now(), id_, reply.http_status,
-                                        reply.fencing_token, reply.commands, reply.redirect_to);
+        environment_.decisions.OnHeartbeatAnswered(environment_.clock.now(), id_, reply.http_status,
+                                                   reply.fencing_token, reply.commands,
+                                                   reply.redirect_to);
         environment_.network.Send(attempt.controller, id_,
                                   [this, attempt, reply] { OnHeartbeatReply(attempt, reply); });
       });
@@ -128,7 +130,7 @@
 
 void SimulatedAgent::OnHeartbeatReply(const HeartbeatAttempt& attempt,
                                       const HeartbeatReply& reply) {
-  // A reply that comes after the agent gave up is dropped.
+  // A reply that arrives after the request timed out is dropped.
   if (!alive_ || !awaiting_answer_ || !IsCurrent(attempt)) return;
   if (reply.http_status == 200) return OnHeartbeatAccepted(attempt, reply);
   if (reply.http_status == 421 && FollowRedirect(reply.redirect_to)) return;
@@ -147,14 +149,15 @@
   if (new_leader) SendHeartbeatSoon();
 }
 
-// Returns whether it turns to that controller, which it must know and not have asked just now.
+// Returns false if the controller is unknown or is the one that has just answered. Otherwise the
+// next heartbeat goes to that controller.
 bool SimulatedAgent::FollowRedirect(const std::string& controller) {
   const auto& nodes = environment_.nodes;
   const auto found = std::find(nodes.begin(), nodes.end(), controller);
   if (found == nodes.end() || controller == nodes[controller_index_]) return false;
   awaiting_answer_ = false;
   controller_index_ = static_cast<size_t>(found - nodes.begin());
-  environment_.clock.After(kRedirectAfterS, [this] { SendHeartbeat(); });
+  environment_.clock.After(kRedirectDelayS, [this] { SendHeartbeat(); });
   return true;
 }
 
@@ -162,7 +165,7 @@
   if (!alive_) return;
   awaiting_answer_ = false;
   controller_index_ = (controller_index_ + 1) % environment_.nodes.size();
-  environment_.clock.After(kNextControllerAfterS, [this] { SendHeartbeat(); });
+  environment_.clock.After(kNextControllerDelayS, [this] { SendHeartbeat(); });
 }
 
 // ---------------------------------------------------------------------------- commands
@@ -171,8 +174,8 @@
                                const std::vector<wire::Command>& commands) {
   const bool outdated = fencing_token < fencing_token_ || agent_epoch != agent_epoch_;
   const int http_status = outdated ? 409 : 200;
-  environment_.decisions.Reached(environment_.clock.now(), id_, fencing_token, agent_epoch,
-                                 commands, http_status);
+  environment_.decisions.OnCommandsReceived(environment_.clock.now(), id_, fencing_token,
+                                            agent_epoch, commands, http_status);
   if (outdated) return http_status;
   fencing_token_ = fencing_token;
   if (outbound_cut() && !commands.empty()) ++environment_.observed.outbound_cut_commands;
@@ -233,7 +236,7 @@
     if (other.task == id.task) return ExitReason::kOtherAttemptPresent;
     cpus += environment_.specs.at(other.task.job).cpus;
   }
-  if (cpus > type_.cpus + kRounding) return ExitReason::kInsufficientResources;
+  if (cpus > type_.cpus + kCpuTolerance) return ExitReason::kInsufficientResources;
   return std::nullopt;
 }
 
@@ -256,11 +259,11 @@
   });
 }
 
-// A task that has completed once finds its results and ends at once.
+// A task that has completed before finds its results and ends immediately.
 double SimulatedAgent::DrawRunTime(const wire::TaskId& task, const wire::JobSpec& spec) {
   if (environment_.completed_at.contains(task)) return 0;
-  const auto set = environment_.run_times_s.find(task);
-  if (set != environment_.run_times_s.end()) return set->second;
+  const auto fixed = environment_.run_times_s.find(task);
+  if (fixed != environment_.run_times_s.end()) return fixed->second;
   return spec.estimated_run_s * environment_.random.Uniform(1 - kRunTimeSpread, 1 + kRunTimeSpread);
 }
 
@@ -268,8 +271,8 @@
                                                       TaskState state) {
   const auto found = attempts_.find(id);
   if (!alive_ || found == attempts_.end()) return nullptr;
-  const bool counts = found->second.timer == timer && found->second.state == state;
-  return counts ? &found->second : nullptr;
+  const bool current = found->second.timer == timer && found->second.state == state;
+  return current ? &found->second : nullptr;
 }
 
 void SimulatedAgent::EndRun(const AttemptId& id, bool failed) {
@@ -306,7 +309,7 @@
     lease_from_ = now;
     SendHeartbeatSoon();
   }
-  environment_.clock.At(std::max(lease_from_ + lease_s, now + kLeastLeaseCheckS),
+  environment_.clock.At(std::max(lease_from_ + lease_s, now + kMinLeaseCheckS),
                         [this] { CheckLease(); });
 }
 
@@ -339,7 +342,7 @@
   ++incarnation_;
   lease_from_ = environment_.clock.now();
   hung_until_ = 0;
-  // The answer to a heartbeat that is under way is nobody's.
+  // Discards the answer to a heartbeat that was sent before the restart.
   ++heartbeat_attempts_;
   awaiting_answer_ = false;
   SendHeartbeatSoon();
@@ -349,7 +352,7 @@
 
 void SimulatedAgent::RunUnlessHung(std::function<void()> action) {
   if (!hung()) return action();
-  environment_.clock.At(hung_until_ + environment_.random.Uniform(0, kResumeWithinS),
+  environment_.clock.At(hung_until_ + environment_.random.Uniform(0, kMaxResumeDelayS),
                         [this, action = std::move(action)] { RunUnlessHung(action); });
 }
 
--- a/simulation/simulated_agent.h
+++ b/simulation/simulated_agent.h
@@ -1,5 +1,5 @@
-// A machine's agent in simulated time, as the protocol describes it, with the faults that can
-// befall its machine.
+// A simulated agent: implements the agent's side of the protocol in simulated time, and the faults
+// of its machine.
 #pragma once
 
 #include <compare>
@@ -17,17 +17,17 @@
 
 class SimulatedEnvironment;
 
-// What a controller answers to a heartbeat.
+// A controller's answer to a heartbeat.
 struct HeartbeatReply {
   int http_status = 0;
-  uint64_t fencing_token = 0;  // these two count with status 200
-  std::vector<wire::Command> commands = {};
-  std::string redirect_to = {};  // with status 421: the controller to turn to; empty: unknown
+  uint64_t fencing_token = 0;                // valid with status 200
+  std::vector<wire::Command> commands = {};  // valid with status 200
+  std::string redirect_to = {};  // with status 421: the responsible controller; empty: unknown
 };
 
-// Sends heartbeats to one controller after the other until one answers, executes commands, and
-// stops all tasks when its lease is over. A terminated agent stays as an object, since events that
-// refer to it may still be queued.
+// Sends heartbeats, trying the controllers in turn until one of them accepts, executes commands,
+// and stops all tasks when its lease expires. The object of a terminated agent must be kept, since
+// queued events may still refer to it.
 class SimulatedAgent {
  public:
   // The environment must outlive the agent.
@@ -42,43 +42,45 @@
   const std::string& address() const { return address_; }
   void set_address(const std::string& address) { address_ = address; }
   bool alive() const { return alive_; }
-  // One more with each restart of the machine.
+  // Increases by one with each restart of the machine.
   uint64_t incarnation() const { return incarnation_; }
-  // The sequence number of its last heartbeat that was answered with status 200.
+  // The sequence number of the last heartbeat that was answered with status 200.
   uint64_t acknowledged_sequence() const { return acknowledged_sequence_; }
 
   // --- Protocol ---
 
-  // What it reports now, with the next sequence number.
+  // Returns a heartbeat with the current state of all attempts and the next sequence number.
   wire::Heartbeat MakeHeartbeat();
-  // Takes direct commands; returns the HTTP status, 409 when the token or the epoch is outdated.
+  // Executes direct commands and returns HTTP status 200. Returns 409, executing nothing, if the
+  // fencing token is outdated or the epoch is not the current one.
   int OnCommands(uint64_t fencing_token, uint64_t agent_epoch,
                  const std::vector<wire::Command>& commands);
 
   // --- Faults ---
 
-  // The machine ends for good, with all that runs on it.
+  // Terminates the machine and all its tasks permanently.
   void Terminate();
-  // It runs nothing and answers nothing for that long; what arrives meanwhile is done afterwards.
+  // Suspends the machine for the given time. Messages that arrive meanwhile and completions of
+  // tasks are processed afterwards.
   void Hang(double duration_s);
   bool hung() const;
-  // A one-way partition: its heartbeats reach no controller for that long, nor any answer to them.
-  // Direct commands reach it, and their answers come back.
+  // A one-way partition: heartbeats are lost for the given time and so get no answer. Direct
+  // commands still arrive, and so do their answers.
   void CutOutbound(double duration_s);
   bool outbound_cut() const;
-  // The machine comes back under its name with nothing on it: in its next epoch, or in its first
-  // one as if it had never been.
+  // Restarts the machine under its name, without tasks and cached images. The agent continues with
+  // its next epoch, or starts over with the first epoch, as a new machine does.
   void Restart(bool next_epoch);
-  // Every task that starts here fails.
+  // Every task of a batch job that runs on this machine fails.
   bool fails_all_tasks = false;
 
   // --- State ---
 
   // Runs the action now, or shortly after the end of the hang.
   void RunUnlessHung(std::function<void()> action);
-  // Whether the cloud had the machine at that time.
+  // Returns whether the machine existed at that time.
   bool ExistedAt(double then) const;
-  // Of the tasks that have not exited.
+  // The CPUs of all tasks that have not exited.
   double used_cpus() const;
   size_t running_tasks() const;
   bool RunsJob(const std::string& job) const;
@@ -93,9 +95,9 @@
     wire::TaskState state = wire::TaskState::kFetching;
     wire::ExitReason exit_reason = wire::ExitReason::kNone;
     bool reported_running = false;  // to the rule checker
-    uint64_t timer = 0;             // the one that counts; earlier ones do nothing
+    uint64_t timer = 0;             // the current timer; earlier timers are ignored
   };
-  // One try to have a heartbeat answered.
+  // One request that sends a heartbeat to a controller.
   struct HeartbeatAttempt {
     uint64_t number = 0;
     double sent_at = 0;
@@ -119,12 +121,12 @@
 
   void Execute(const std::vector<wire::Command>& commands);
   void Start(const AttemptId& id);
-  // Why the attempt can't start; none if it can.
+  // Returns why the attempt can't start; nothing if it can.
   std::optional<wire::ExitReason> FindRefusal(const AttemptId& id) const;
   void BeginRun(const AttemptId& id);
   void EndRun(const AttemptId& id, bool failed);
   double DrawRunTime(const wire::TaskId& task, const wire::JobSpec& spec);
-  // The attempt if it is still in that state and no later timer was set; else null.
+  // Returns the attempt if it is still in that state and `timer` is its current timer; else null.
   Attempt* FindForTimer(const AttemptId& id, uint64_t timer, wire::TaskState state);
   void Exit(const AttemptId& id, wire::ExitReason reason);
   void CheckLease();
@@ -139,7 +141,7 @@
   bool alive_ = true;
   const double created_at_;
   double terminated_at_ = 0;
-  // Times of the day, which begins at 0: with that value the fault has not been.
+  // Simulated times; 0: the fault has not occurred.
   double hung_until_ = 0;
   double outbound_cut_until_ = 0;
 
@@ -155,7 +157,7 @@
   uint64_t heartbeat_attempts_ = 0;
   std::optional<double> last_heartbeat_at_;
 
-  uint64_t timers_ = 0;  // of its tasks
+  uint64_t timers_ = 0;  // number of timers set for tasks so far
   std::map<AttemptId, Attempt> attempts_;
   std::set<std::string> cached_images_;
 };
--- a/simulation/simulated_clock.h
+++ b/simulation/simulated_clock.h
@@ -1,4 +1,4 @@
-// Simulated time and the queue of events that are due in it.
+// Simulated time and its event queue.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,14 @@
 
 namespace mosspath::simulation {
 
-// Runs events in the order of their times; events of equal times run in the order in which they
+// Runs events in the order of their times. Events with equal times run in the order in which they
 // were added. Times are seconds since the start of the simulated day, which is 0.
 class SimulatedClock {
  public:
   double now() const { return now_; }
 
-  // Runs the action at that time, or at once when the time has passed already.
+  // Schedules the action for the given time. An action whose time has already passed runs next, at
+  // the current time.
   void At(double when, std::function<void()> action) {
     queue_.push({when, next_order_++, std::move(action)});
   }
@@ -22,7 +23,8 @@
     At(now_ + delay_s, std::move(action));
   }
 
-  // Runs all events up to `end`, those included that are added meanwhile; then it is `end`.
+  // Runs all events due up to `end`, including events that are added during the call, and advances
+  // the time to `end`.
   void RunUntil(double end);
 
  private:
@@ -31,7 +33,7 @@
     uint64_t order;
     std::function<void()> action;
 
-    // The priority queue has its greatest element on top, so the earliest event is the greatest.
+    // std::priority_queue keeps the greatest element on top, so an earlier event compares greater.
     bool operator<(const Event& other) const {
       return when != other.when ? when > other.when : order > other.order;
     }
--- a/simulation/simulated_environment.cc
+++ b/simulation/simulated_environment.cc
@@ -11,8 +11,8 @@
 
 constexpr size_t kNameDigits = 6;
 // A machine boots in so much of its type's boot time.
-constexpr double kFastestBoot = 0.6;
-constexpr double kSlowestBoot = 1.5;
+constexpr double kMinBootFactor = 0.6;
+constexpr double kMaxBootFactor = 1.5;
 
 }  // namespace
 
@@ -73,10 +73,10 @@
   const auto up = static_cast<size_t>(std::count_if(
       agents.begin(), agents.end(), [](const auto& entry) { return entry.second->alive(); }));
   const std::string id = up + booting_ < capacity ? NextMachineName() : "";
-  decisions.Rented(clock.now(), type, zone, spot, id);
+  decisions.OnMachineRequested(clock.now(), type, zone, spot, id);
   if (id.empty()) return id;
   ++booting_;
-  const double boot_s = types.front().boot_s * random.Uniform(kFastestBoot, kSlowestBoot);
+  const double boot_s = types.front().boot_s * random.Uniform(kMinBootFactor, kMaxBootFactor);
   clock.After(boot_s, [this, id, type, zone, spot] {
     --booting_;
     Add(id, type, zone, spot);
@@ -116,7 +116,7 @@
 }
 
 void SimulatedEnvironment::DeleteMachine(const std::string& id) {
-  decisions.Returned(clock.now(), id);
+  decisions.OnMachineReturned(clock.now(), id);
   if (const auto found = agents.find(id); found != agents.end()) found->second->Terminate();
 }
 
--- a/simulation/simulated_key_value_store.cc
+++ b/simulation/simulated_key_value_store.cc
@@ -61,7 +61,7 @@
   }
   ++revision_;
   for (const Change& change : changes) {
-    decisions_.Written(clock_.now(), change.key, change.value, lease);
+    decisions_.OnStoreChange(clock_.now(), change.key, change.value, lease);
     if (change.value) {
       entries_[change.key] = {*change.value, revision_, lease};
     } else {
--- a/simulation/simulated_key_value_store.h
+++ b/simulation/simulated_key_value_store.h
@@ -1,5 +1,5 @@
-// The key-value store of the deployment in simulated time: versions, conditional transactions,
-// leases that keys hang on, and outages.
+// The key-value store of the deployment in simulated time: versioned entries, conditional
+// transactions, leases with attached keys, and outages.
 #pragma once
 
 #include <cstdint>
@@ -15,21 +15,22 @@
 
 namespace mosspath::simulation {
 
-// All members run at the store itself: who calls them over the network sends the messages and must
-// look at up() first. Revisions grow by one with each change and are never 0.
+// All members run at the store itself. A remote caller sends its own network messages and must
+// check up() before it calls any other member. The revision increases by one with each commit and
+// each entry that expires; the revision of a commit is never 0.
 class SimulatedKeyValueStore {
  public:
   struct Entry {
     wire::Json value;
     uint64_t version = 0;  // the revision of the change that wrote it
-    uint64_t lease = 0;    // the entry ends with that lease; 0: with none
+    uint64_t lease = 0;    // the entry is removed with this lease; 0: no lease
   };
-  // The key must have this version; 0: it must be absent.
+  // Requires that the key has this version; 0: that the key is absent.
   struct Condition {
     std::string key;
     uint64_t version = 0;
   };
-  // Writes the value, or removes the key if there is none.
+  // Writes the value, or removes the key if there is no value.
   struct Change {
     std::string key;
     std::optional<wire::Json> value;
@@ -40,30 +41,31 @@
     uint64_t revision = 0;
   };
 
-  // Changes that are carried out are recorded in the decisions. Both arguments must outlive the
-  // store.
+  // Records every applied change in `decisions`. Both arguments must outlive the store.
   SimulatedKeyValueStore(SimulatedClock& clock, Decisions& decisions)
       : clock_(clock), decisions_(decisions) {}
 
   bool up() const { return clock_.now() >= down_until_; }
-  // No lease expires during an outage: each has its whole life again once the store is back.
+  // Makes the store unavailable. No lease expires during an outage, and the full lifetime of each
+  // lease begins anew at its end.
   void Outage(double duration_s);
 
   uint64_t GrantLease(double life_s);
-  // False if the lease has expired.
+  // Returns false if the lease has expired.
   bool RenewLease(uint64_t lease);
-  // Removes the lease with all its entries; an unknown lease is ignored.
+  // Removes the lease and its entries. An unknown lease is ignored. During an outage the lease is
+  // removed later, once it has expired.
   void RevokeLease(uint64_t lease);
 
-  // Carries out all changes if all conditions hold and the lease, if one is named, exists. Returns
-  // the new revision, or nothing changed and 0.
+  // Applies all changes atomically if all conditions hold and the lease, unless it is 0, exists.
+  // Returns the new revision, or 0 if nothing was changed.
   uint64_t Commit(const std::vector<Condition>& conditions, const std::vector<Change>& changes,
                   uint64_t lease = 0);
 
   const std::map<std::string, Entry>& entries();
-  // What is there now, shared by all who read it before the next change.
+  // Returns all current entries. Calls between two changes share one copy.
   std::shared_ptr<const View> Snapshot();
-  // 0 if the key is absent.
+  // Returns the version of the key; 0 if the key is absent.
   uint64_t VersionOf(const std::string& key);
 
  private:
--- a/simulation/simulated_network.cc
+++ b/simulation/simulated_network.cc
@@ -5,13 +5,13 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kLeastDelayS = 0.001;
-constexpr double kMostDelayS = 0.02;
-// One message in so many is lost and sent again, which takes so much longer.
+constexpr double kMinDelayS = 0.001;
+constexpr double kMaxDelayS = 0.02;
+// One message in this many is lost and retransmitted, which adds a delay within these bounds.
 constexpr uint64_t kRetransmittedOneIn = 200;
-constexpr double kLeastRetransmissionS = 0.2;
-constexpr double kMostRetransmissionS = 3;
-constexpr double kSlowestMessageS = 30;  // over a slow link
+constexpr double kMinRetransmissionS = 0.2;
+constexpr double kMaxRetransmissionS = 3;
+constexpr double kMaxSlowDelayS = 30;  // to or from a slow host
 
 }  // namespace
 
@@ -26,14 +26,14 @@
 }
 
 double SimulatedNetwork::DrawDelay(const std::string& from, const std::string& to) {
-  double delay = random_.Uniform(kLeastDelayS, kMostDelayS);
+  double delay = random_.Uniform(kMinDelayS, kMaxDelayS);
   if (random_.Below(kRetransmittedOneIn) == 0) {
-    delay += random_.Uniform(kLeastRetransmissionS, kMostRetransmissionS);
+    delay += random_.Uniform(kMinRetransmissionS, kMaxRetransmissionS);
   }
   for (const auto& host : {from, to}) {
     const auto slow = slowdowns_.find(host);
     if (slow == slowdowns_.end() || slow->second.until <= clock_.now()) continue;
-    delay = std::min(delay * slow->second.factor, kSlowestMessageS);
+    delay = std::min(delay * slow->second.factor, kMaxSlowDelayS);
   }
   return delay;
 }
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -11,29 +11,30 @@
 
 namespace mosspath::simulation {
 
-// Delivers messages between hosts, which are known by their names. A cut either drops the messages
-// that are sent while it lasts, or holds them back and delivers them when it ends.
+// Delivers messages between hosts, which are identified by name. While a cut lasts, messages are
+// either dropped, or held and delivered shortly after its end.
 class SimulatedNetwork {
  public:
   // Both arguments must outlive the network.
   SimulatedNetwork(SimulatedClock& clock, Random& random) : clock_(clock), random_(random) {}
 
-  // Calls `deliver` when the message arrives; never, if a cut drops it.
+  // Calls `deliver` when the message arrives. A dropped message never arrives.
   void Send(const std::string& from, const std::string& to, std::function<void()> deliver);
 
-  // Cuts two hosts from each other, in both directions; replaces an earlier cut of the two.
+  // Partitions two hosts in both directions. `hold`: messages are held instead of dropped. Replaces
+  // an earlier cut between the same hosts.
   void Cut(const std::string& host, const std::string& other, double duration_s, bool hold);
 
-  // Cuts only the messages of this direction; the other direction stays as it is.
+  // Cuts only messages from `from` to `to`; the opposite direction is unaffected.
   void CutOneWay(const std::string& from, const std::string& to, double duration_s, bool hold);
 
-  // Whether messages pass between the two hosts in both directions.
+  // Returns whether no cut affects the two hosts in either direction now.
   bool PassesBothWays(const std::string& host, const std::string& other) const;
 
-  // Messages to and from the host take `factor` times as long.
+  // Multiplies the delay of messages to and from the host by `factor`, up to a maximum delay.
   void Slow(const std::string& host, double factor, double duration_s);
 
-  // Called with the sender's name once a message has been sent.
+  // Called with the sender's name for each message, also for one that a cut drops.
   std::function<void(const std::string& from)> on_sent;
 
  private:
@@ -55,7 +56,7 @@
   using Cuts = std::map<Link, CutState>;
 
   static Link Undirected(const std::string& host, const std::string& other);
-  // The cut of the link that lasts now; null if there is none.
+  // Returns the active cut of the link; null if there is none.
   const CutState* FindActive(const Cuts& cuts, const Link& link) const;
   double DrawDelay(const std::string& from, const std::string& to);
 
