--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -9,9 +9,9 @@
 
 constexpr double kCheckIntervalS = 0.5;
 constexpr uint64_t kChecksPerRoomCheck = 4;
-constexpr double kCpuTolerance = 1e-6;  // for sums of CPUs
+constexpr double kCpuTolerance = 1e-6;  // rounding tolerance for sums of CPUs
 
-// Whether the machine could run one more task of the job, by all that the job asks for.
+// Returns whether the machine could run one more task of the job, by all of the job's requirements.
 bool HasRoom(const SimulatedAgent& agent, const RuleChecker::WaitingJob& waiting) {
   const wire::JobSpec& spec = *waiting.spec;
   if (!agent.alive() || agent.fails_all_tasks || (agent.spot() && !spec.spot_allowed)) return false;
@@ -79,7 +79,7 @@
     }
   };
   for (size_t i = 0; i < count; ++i) {
-    // A slow clock, a right one and a fast one in turn.
+    // A slow, an accurate and a fast clock in turn.
     const double drift = 1.0 + config::kMaxClockDrift * (static_cast<double>(i % 3) - 1);
     controllers.push_back(std::make_unique<SimulatedController>(world, world.nodes[i], drift));
   }
@@ -109,7 +109,8 @@
   for (auto& controller : controllers) {
     if (controller->name() != from || !controller->electing()) continue;
     if (--messages_until_restart_ > 0) continue;
-    // After the message, so that it is the last of what the process did.
+    // Crashes after the message is sent, so that the message is among the last actions of the
+    // process.
     world.clock.After(0, [this, &controller] { controller->Crash(restart_downtime_s_); });
   }
 }
@@ -126,8 +127,9 @@
   CheckRecovery();
 }
 
-// Whatever can't be reached, a leader knows where all tasks are after the time that agents take to
-// find it, a lease for those that it can't ask, and a lease for those that don't receive it.
+// Even if machines are unreachable, recovery completes within the sum of: the time in which agents
+// try all controllers, one lease for machines that the leader can't query, and one lease for
+// machines that don't receive the leader's messages, plus a heartbeat interval.
 void SimulatedCluster::CheckRecovery() {
   const double now = world.clock.now();
   const config::DerivedSettings derived(world.settings);
--- a/simulation/cluster.h
+++ b/simulation/cluster.h
@@ -1,4 +1,4 @@
-// Several controllers and their machines in simulated time.
+// A cluster of several controllers and their machines in simulated time.
 #pragma once
 
 #include <cstdint>
@@ -13,54 +13,57 @@
 
 namespace mosspath::simulation {
 
-// The deployment that scenarios start from: three controllers in two zones, a team without and one
-// with a quota, short heartbeat intervals.
+// The default deployment of scenarios: three controllers, two zones, one team without a quota and
+// one with a quota, and short heartbeat intervals.
 config::Settings SmallSettings();
 wire::MachineType SmallType();
 
-// Owns the controllers and the world around them, plays faults, and checks the rules every half
+// Owns the controllers and their environment, injects faults, and checks the rules every half
 // second of simulated time.
 class SimulatedCluster {
  public:
-  // The controllers are named hut-0, hut-1, ...; their clocks drift apart as far as the protocol
-  // allows.
+  // The controllers are named hut-0, hut-1, and so on. Their clocks drift apart as far as the
+  // protocol allows.
   SimulatedCluster(const config::Settings& settings, const std::vector<wire::MachineType>& types,
                    size_t controller_count, uint64_t seed);
   virtual ~SimulatedCluster() = default;
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  // Schedules the faults; called before the day begins.
+  // Schedules the faults. Must be called before the simulated day begins.
   void ScheduleFaults(const std::vector<Fault>& faults);
-  // Called for the faults that consist in what users do.
+  // Called for faults that consist of user requests.
   std::function<void(const Fault&)> on_user_fault;
-  // Whoever campaigns or leads when that many more messages were sent by such controllers crashes
-  // right after the last of them, for that long.
+  // Counts the messages that controllers send while they campaign or lead. The sender of the
+  // `messages`-th message from now crashes right after it, for `downtime_s`.
   void RestartAfterMessages(uint64_t messages, double downtime_s);
 
-  // The first controller that leads; if none does, the one of that number, modulo their count.
+  // Returns the first controller that leads; if none leads, the controller with the index
+  // `fallback` modulo the number of controllers.
   SimulatedController& Leader(uint64_t fallback = 0);
 
   SimulatedEnvironment world;
   std::vector<std::unique_ptr<SimulatedController>> controllers;
 
  protected:
-  // Called every half second; an override calls this one too.
+  // Called every half second. An override must call the base implementation.
   virtual void Check();
 
  private:
-  // Since when, without a pause, a new leader has been finding out what runs where.
+  // The current recovery of a leader, in which it determines which tasks run on which machines.
   struct Recovery {
     uint64_t token = 0;
     double since = 0;
-    bool reported = false;  // as a breach
+    bool reported = false;  // as a rule violation
   };
 
   void AddControllers(size_t count);
   void CheckLoop();
-  // Checks that leaders know where all tasks are after a bounded time.
+  // Checks that the recovery of each leader completes within a bounded time.
   void CheckRecovery();
-  // Checks the users' rule on tasks that wait beside room, by the state of the machines themselves.
+  // Reports to the rule checker which machines could run each waiting job, by the machines' own
+  // state rather than the controllers' view. No task may wait for long while a machine has room for
+  // it.
   void CheckRoom();
   std::vector<std::string> MachinesWithRoom(const RuleChecker::WaitingJob& waiting) const;
   void OnMessageSent(const std::string& from);
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -1,5 +1,6 @@
-// simulate SCENARIO: plays many simulated days of several controllers, one for each seed, several
-// at a time. The exit code is 0 if no rule was broken and every compound fault really came about.
+// simulate SCENARIO: runs many simulated days of a cluster with several controllers, one day for
+// each seed and several days in parallel. The exit code is 0 if no rule was violated and every
+// compound fault that was played occurred at least once.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -28,7 +29,7 @@
 using mosspath::simulation::Outcome;
 using mosspath::simulation::OverloadScenario;
 
-// The first figures tell the days apart; they are not summed up.
+// The first figures identify the day and are left out of the summary.
 constexpr size_t kIdentifyingFigures = 3;
 constexpr int kMaxSeeds = 1'000'000;
 constexpr int kMaxJobs = 256;
@@ -43,7 +44,7 @@
   bool log = false;
 };
 
-// How to play the days of one kind.
+// Draws the faults of a day and runs the day with them.
 struct Scenario {
   std::function<std::vector<Fault>(uint64_t seed)> faults;
   std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> run;
@@ -57,7 +58,8 @@
           }};
 }
 
-// Leaves faults out as long as the day is still broken; each of those that are left is minimal.
+// Removes faults one by one as long as the day still violates a rule. Returns a list in which every
+// fault is needed for a violation.
 std::vector<Fault> MinimizeFaults(const Scenario& scenario, uint64_t seed,
                                   std::vector<Fault> faults) {
   for (size_t i = 0; i < faults.size();) {
@@ -79,8 +81,8 @@
   for (const Fault& fault : faults) std::cout << "  with " << ToText(fault) << '\n';
 }
 
-// Plays all days and prints the broken ones as they end. Returns the outcomes in the order of the
-// seeds.
+// Runs all days in parallel and prints the failed days as they end. Returns the outcomes in the
+// order of the seeds.
 std::vector<Outcome> RunDays(const Scenario& scenario, const Options& options) {
   std::vector<Outcome> outcomes(options.seeds);
   std::atomic<uint64_t> next{0};
@@ -102,15 +104,14 @@
   return outcomes;
 }
 
-// Prints what the controllers decided on each day as one number, which is the same as long as every
-// decision is.
+// Prints the hash of the controllers' decisions for each day. Equal decisions have equal hashes.
 void PrintDecisions(uint64_t first_seed, const std::vector<Outcome>& outcomes) {
   for (size_t i = 0; i < outcomes.size(); ++i) {
     std::cout << fmt::format("seed {}: decisions {:016x}\n", first_seed + i, outcomes[i].decisions);
   }
 }
 
-// Without a path nothing is written.
+// Writes the figures of each day, one row for each day. Does nothing if the path is empty.
 void WriteCsv(const std::string& path, const std::vector<Outcome>& outcomes) {
   if (path.empty()) return;
   std::ofstream file(path);
@@ -124,7 +125,7 @@
   file << '\n';
 }
 
-// Prints the least, mean and most of each figure.
+// Prints the minimum, mean and maximum of each figure.
 void PrintSummary(const std::vector<Outcome>& outcomes, size_t broken) {
   std::cout << "days " << outcomes.size() << "\nbroken " << broken << '\n';
   const auto& columns = outcomes.front().figures;
@@ -151,7 +152,8 @@
   return found == outcome.figures.end() ? 0 : found->value;
 }
 
-// Prints how often each compound fault came about; false if one was played and never did.
+// Prints how often each compound fault occurred. Returns false if a compound fault was played but
+// never occurred.
 bool PrintCompoundFaults(const std::vector<Outcome>& outcomes) {
   bool all_occurred = true;
   for (uint64_t kind = 0; kind < kCompoundFaultKinds; ++kind) {
@@ -174,25 +176,30 @@
 }
 
 void AddOptions(CLI::App& scenario, Options& options) {
-  scenario.add_option("--seeds", options.seeds, "days to play")->check(CLI::Range(1, kMaxSeeds));
-  scenario.add_option("--first-seed", options.first_seed, "of the first day");
-  scenario.add_option("--jobs", options.jobs, "days at once")->check(CLI::Range(1, kMaxJobs));
-  scenario.add_option("--csv", options.csv, "writes each day's figures there");
-  scenario.add_flag("--blocks", options.lease_shards, "controllers hold blocks");
-  scenario.add_flag("--decisions", options.decisions, "prints each day's decisions as one number");
-  scenario.add_flag("--log", options.log, "prints what the controllers log; for one day");
+  scenario.add_option("--seeds", options.seeds, "number of days to simulate")
+      ->check(CLI::Range(1, kMaxSeeds));
+  scenario.add_option("--first-seed", options.first_seed, "seed of the first day");
+  scenario.add_option("--jobs", options.jobs, "days to simulate in parallel")
+      ->check(CLI::Range(1, kMaxJobs));
+  scenario.add_option("--csv", options.csv, "write the figures of each day to this CSV file");
+  scenario.add_flag("--blocks", options.lease_shards,
+                    "lease shards of the machines to controllers");
+  scenario.add_flag("--decisions", options.decisions, "print a hash of each day's decisions");
+  scenario.add_flag("--log", options.log, "print the controllers' log; use with a single day");
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Rehearses failures of several controllers in simulated time."};
+  CLI::App app{"Simulates failures of a cluster with several controllers in simulated time."};
   app.require_subcommand(1);
   Options options;
-  auto* overload = app.add_subcommand("overload", "Floods beside what others ask for");
-  auto* availability =
-      app.add_subcommand("addition", "Troubles of every kind: who is forgotten, starved, late");
-  auto* compound = app.add_subcommand("meetings", "Two or three troubles that meet");
+  auto* overload =
+      app.add_subcommand("overload", "Floods of jobs beside the regular load of other teams");
+  auto* availability = app.add_subcommand(
+      "addition", "Faults of every kind; checks for lost, starved and late jobs");
+  auto* compound =
+      app.add_subcommand("meetings", "Compound faults: two or three faults at the same time");
   for (auto* scenario : {overload, availability, compound}) AddOptions(*scenario, options);
   CLI11_PARSE(app, argc, argv);
   const Scenario scenario = availability->parsed() ? ScenarioOf<AvailabilityScenario>(options)
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -1,5 +1,5 @@
-// The world around the controllers in simulated time: the clock, the network, the key-value store,
-// the cloud with its machines, and the checker of the rules.
+// The environment of the controllers in simulated time: the clock, the network, the key-value
+// store, the cloud with its machines, and the rule checker.
 #pragma once
 
 #include <cstdint>
@@ -24,83 +24,85 @@
 
 namespace mosspath::simulation {
 
-// Names of hosts on the network that are neither controllers nor machines.
+// Names of network hosts that are neither controllers nor machines.
 inline constexpr const char* kStoreHost = "state";
 inline constexpr const char* kCloudHost = "cloud";
 inline constexpr const char* kUsersHost = "users";
 
-// Owns everything outside the controllers. Its members are public, as in a test fixture: scenarios
-// set faults directly, and controllers register how they take messages.
+// Owns everything outside the controllers. Members are public, as in a test fixture: scenarios set
+// faults directly, and controllers register their message handlers. Times are simulated seconds.
 class SimulatedEnvironment {
  public:
   SimulatedEnvironment(config::Settings settings, std::vector<wire::MachineType> types,
                        uint64_t seed);
 
   using HeartbeatResponder = std::function<void(const HeartbeatReply&)>;
-  // Takes an encoded message at a controller and returns the encoded answer; none while it is down.
+  // Handles an encoded message at a controller. Returns the encoded answer; nothing if the
+  // controller does not answer, as while it is down.
   using MessageHandler = std::function<std::optional<std::string>(const std::string&)>;
   using ShardFrameHandler =
       std::function<std::optional<wire::ShardFrame>(const std::string& encoded)>;
 
   // --- Jobs ---
 
-  // Makes the job known to agents and to the rule checker.
+  // Registers the job with the agents and the rule checker.
   void Submit(const wire::JobSpec& spec);
-  // Makes the job durable in the store, without a controller's doing.
+  // Registers the job and writes its record to the store directly, without a controller.
   void Accept(const wire::JobSpec& spec);
-  // Makes the cancellation durable in the store. Returns its revision; 0 if the job has ended.
+  // Writes the cancellation to the store directly. Returns its revision; 0 if the store has no
+  // record of a live job with this id.
   uint64_t Cancel(const std::string& id);
-  // Whether a task of the job runs on any machine.
+  // Returns whether a task of the job runs on any machine.
   bool RunsJob(const std::string& job) const;
 
   // --- The cloud ---
 
-  // Adds a machine that is up at once.
+  // Adds a machine that is up immediately.
   SimulatedAgent& AddMachine(const std::string& type, const std::string& zone, bool spot);
-  // Returns the name of a machine that will be up after its boot time; empty: no capacity.
+  // Returns the name of a new machine that is up after its boot time; empty: no capacity.
   std::string RentMachine(const std::string& type, const std::string& zone, bool spot);
   void DeleteMachine(const std::string& id);
-  // The list of machines, as it was the cloud's usual lag ago.
+  // Returns the list of machines with the cloud's lag: as of machine_list_lag_s ago.
   std::vector<wire::ListedMachine> ListMachines() const;
-  // The machine that is reached at the address now; null if there is none.
+  // Returns the machine that is up at the address now; null if there is none.
   SimulatedAgent* FindByAddress(const std::string& address);
-  // Terminates the machine; another one is up under its address at once.
+  // Terminates the machine and adds a new one that is up immediately at the same address.
   void ReplaceMachine(const std::string& id);
 
-  // The zone of a controller: they are spread over the zones in turn.
+  // Returns the zone of a controller. Controllers are assigned to the zones in turn.
   std::string ZoneOf(const std::string& node) const;
 
-  // --- Faults, each until a time of the day ---
+  // --- Faults, each active until a simulated time ---
 
-  // Each heartbeat is delivered again later, to any controller.
+  // Each heartbeat is delivered a second time later, to a random controller.
   double duplicate_heartbeats_until = 0;
-  // That share of the changes to the store gets no answer, and is carried out seconds later, after
-  // newer ones, whatever has become of the controller that sent them.
+  // This share of the store changes gets no answer and is applied seconds later, possibly after
+  // newer changes, and even if the controller that sent the change has crashed meanwhile.
   double late_writes_until = 0;
   double late_writes_share = 0;
-  // Answers to direct commands are held up for seconds.
+  // Answers to direct commands are delayed by seconds.
   double delayed_answers_until = 0;
 
-  // --- What has happened, for scenarios that count whether their condition came about ---
+  // --- Observations, with which a scenario checks that its fault condition occurred ---
 
   struct Observations {
-    size_t late_writes = 0;            // carried out late
-    size_t outdated_duplicates = 0;    // heartbeats of an earlier epoch or token
-    size_t late_commands = 0;          // executed seconds after they were sent
-    size_t outbound_cut_commands = 0;  // executed by machines whose heartbeats reach nobody
-    size_t late_answers = 0;           // to commands, with a newer heartbeat taken in meanwhile
-    std::vector<double> elections;     // when a controller was elected
+    size_t late_writes = 0;            // store changes applied late
+    size_t outdated_duplicates = 0;    // duplicates of heartbeats with an earlier epoch or token
+    size_t late_commands = 0;          // command batches that arrived seconds after they were sent
+    size_t outbound_cut_commands = 0;  // batches executed while heartbeats are cut off
+    size_t late_answers = 0;           // to commands, after a newer heartbeat was accepted
+    std::vector<double> elections;     // times at which a controller was elected
     std::string last_confirmer;        // the controller that last confirmed a cancellation
   };
   Observations observed;
-  // When each completed task last completed.
+  // The time of each task's last completion.
   std::map<wire::TaskId, double> completed_at;
   // Called when the last task of a job has completed.
   std::function<void(const std::string& job)> on_job_end;
 
-  // --- What there is ---
+  // --- Components and state ---
 
-  size_t capacity = 8;  // machines that can be up at once
+  size_t capacity = 8;  // maximum number of machines that are up or booting
   const config::Settings settings;
   const std::vector<wire::MachineType> types;
   SimulatedClock clock;
@@ -109,13 +111,13 @@
   Decisions decisions;
   SimulatedKeyValueStore store;
   RuleChecker rule_checker;
-  std::map<std::string, wire::JobSpec> specs;  // every job that was ever submitted
-  std::set<std::string> faulty_jobs;           // fail on every machine
-  std::map<wire::TaskId, double> run_times_s;  // in place of a draw around the job's estimate
-  std::map<std::string, std::unique_ptr<SimulatedAgent>> agents;  // terminated ones stay
+  std::map<std::string, wire::JobSpec> specs;  // all submitted jobs
+  std::set<std::string> faulty_jobs;           // jobs whose tasks fail on every machine
+  std::map<wire::TaskId, double> run_times_s;  // replaces the random run time
+  std::map<std::string, std::unique_ptr<SimulatedAgent>> agents;  // terminated agents are kept
   std::vector<std::string> nodes;                                 // names of the controllers
 
-  // --- How controllers take messages; called at the controller ---
+  // --- Message handlers of the controllers, called when a message arrives ---
 
   std::function<void(const std::string& node, const wire::Heartbeat&, const HeartbeatResponder&)>
       on_heartbeat;
