--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -7,7 +7,7 @@
 namespace mosspath::simulation {
 namespace {
 
-// As of a process that has not reached the store yet.
+// The last contact with the store, for a process that has not reached the store yet.
 constexpr double kNeverContacted = -1e18;
 constexpr double kMaxResumeDelayS = 0.02;  // after a freeze
 constexpr jobs::JobIndex::Limits kJobIndexLimits{.finals = 100'000, .cancellations = 600};
@@ -60,7 +60,7 @@
   PromiseLoop();
 }
 
-// Nothing that the process had read or been told outlives it.
+// A process keeps nothing in memory across a restart.
 void SimulatedController::ResetState() {
   leadership_ = std::make_unique<election::Leadership>(settings_, derived_, Now());
   failure_detector_ = std::make_unique<election::FailureDetector>(settings_);
@@ -105,7 +105,8 @@
 
 void SimulatedController::RunUnlessFrozen(std::function<void()> action) {
   if (frozen()) {
-    // Whatever came or fell due meanwhile comes at once when it runs again, in any order.
+    // Messages and timers of the frozen time are all handled right after the process resumes, in
+    // random order.
     const double resumes_at = frozen_until_ + environment_.random.Uniform(0, kMaxResumeDelayS);
     environment_.clock.At(resumes_at, [this, process = process_, action = std::move(action)] {
       if (IsProcess(process)) RunUnlessFrozen(action);
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -1,13 +1,13 @@
-// A controller in simulated time: the decision code of the real one, wired as in service/ but over
-// the simulated network and the simulated store.
+// A controller in simulated time: the production decision code, wired as in service/ but over the
+// simulated network and the simulated store.
 //
-// The class is implemented by duty:
+// The implementation is split by responsibility:
 //   controller.cc           the process: start, crash, freeze, loops
-//   controller_election.cc  store lease, campaigns, promises of peers, taking and giving up the
-//   lead controller_watch.cc     reading the store and telling each part what has changed
-//   controller_jobs.cc      submissions, status questions and cancellations of users
+//   controller_election.cc  store lease, campaigns, promises of peers, gaining and losing the lead
+//   controller_watch.cc     reading the store and applying what has changed
+//   controller_jobs.cc      submissions, status queries and cancellations of users
 //   controller_commands.cc  heartbeats, direct commands, records, completions and scaling
-//   controller_peers.cc     heartbeats among controllers, which carry the admission plan
+//   controller_peers.cc     heartbeats between controllers, which carry the admission plan
 //   controller_shards.cc    holding a shard of the machines, and leasing shards as the leader
 #pragma once
 
@@ -35,16 +35,17 @@
 
 namespace mosspath::simulation {
 
-// Runs from its construction to the end of the day, through crashes and restarts. Times inside are
-// those of its own clock, which drifts; delays of its timers are simulated time.
+// Exists for the whole simulated day; its process may crash and restart. Internal times, in
+// seconds, are read from the controller's own clock, which drifts. Timer delays are in simulated
+// time.
 class SimulatedController {
  public:
   using SubmitResponder = std::function<void(int http_status, double retry_after_s)>;
-  // The state counts with status 200.
+  // The state is valid only with HTTP status 200.
   using StatusResponder = std::function<void(int http_status, wire::JobState state)>;
 
-  // The environment must outlive the controller and know the names of all controllers. `drift`: how
-  // fast its clock runs, 1 for a right one.
+  // The environment must outlive the controller and already have the names of all controllers.
+  // `drift`: the rate of the controller's clock relative to simulated time; 1: accurate.
   SimulatedController(SimulatedEnvironment& environment, std::string name, double drift);
 
   // --- State ---
@@ -52,36 +53,40 @@
   const std::string& name() const { return name_; }
   bool up() const { return alive_ && !frozen(); }
   bool leading() const { return scheduler_ != nullptr && leadership_->MayAct(Now()); }
-  // Whether it leads or campaigns.
+  // Returns whether the controller campaigns or leads.
   bool electing() const { return alive_ && (leadership_->campaigning() || token() != 0); }
-  // Its fencing token; 0 unless it was elected and has not lost the lead.
+  // The fencing token of the current term; 0 unless the controller was elected and has not lost the
+  // lead.
   uint64_t token() const { return leadership_->token(); }
-  // As the leader; null if it does not lead.
+  // The scheduler of the leader; null unless the controller was elected and has not lost the lead.
   scheduler::Scheduler* leader_scheduler() { return scheduler_.get(); }
 
   // --- Counts over the whole day ---
 
-  // Starts of tasks that it commanded as the holder of a shard.
+  // Task starts that the controller commanded as the holder of a shard.
   uint64_t holder_starts() const { return holder_starts_; }
   int resignations() const { return resignations_; }
-  // Heartbeats that it answered when only its peers' promises allowed that.
+  // Heartbeats that the controller accepted as the leader after its store lease had expired, when
+  // only its peers' promises still allowed it to lead.
   int heartbeats_on_promise() const { return heartbeats_on_promise_; }
-  // Cancellations that it first learned from peers.
+  // Cancellations that the controller first received from peers.
   int cancellations_learned() const { return cancellations_learned_; }
-  // Submissions that its admission refused.
+  // Submissions that admission refused.
   uint64_t refused() const { return refused_; }
 
   // --- Faults and adjustments ---
 
-  // The process ends, and a new one starts after that time.
+  // Ends the process; a new process starts after the given time.
   void Crash(double downtime_s);
-  // The process does not run for that time, though the clock does.
+  // Suspends the process for the given time, while the controller's clock goes on.
   void Freeze(double duration_s);
-  // It renews its store lease but can't read, as when it has no socket left for that.
+  // Reads from the store fail, while the store lease is still renewed, as when no socket is left
+  // for reads.
   void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
-  // Never resigns, as one that has just done so in vain.
+  // The controller does not resign because of a stale view. This simulates the backoff that follows
+  // a resignation without success.
   bool never_resigns = false;
-  // How many changes a second it may make for acceptances.
+  // Sets how often per second the controller may write a batch of acceptances.
   void SetAcceptanceRate(double changes_per_s) { acceptance_rate_ = changes_per_s; }
 
   // --- Agents ---
@@ -94,22 +99,22 @@
   void OnSubmit(const wire::JobSpec& spec, const SubmitResponder& respond);
   void OnStatusQuery(const std::string& id, const StatusResponder& respond);
   void OnCancel(const std::string& id, const StatusResponder& respond);
-  // It confirms a cancellation to a user, or learns of it from a peer: the job is cancelled,
-  // durable since that revision of the store, whatever this controller has read.
+  // Called when this controller has written the cancellation or has received it from a peer. The
+  // cancellation is durable since `revision`, even if this controller has not read that far.
   void LearnCancelled(const std::string& id, uint64_t revision);
 
   // --- Admission ---
 
-  // The share of the budget that it may fill now; 0 before its first start.
+  // The share of the admission budget that the controller may use now; 0 before its first start.
   double budget_share() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
-  // Live tasks that all controllers together may accept.
+  // The number of live tasks that all controllers together may accept.
   double budget() const { return admission_->controller().budget(); }
 
  private:
   using Entries = std::map<std::string, SimulatedKeyValueStore::Entry>;
   using Condition = SimulatedKeyValueStore::Condition;
   using Change = SimulatedKeyValueStore::Change;
-  using OnRevision = std::function<void(uint64_t revision)>;  // 0: the change was not made
+  using OnRevision = std::function<void(uint64_t revision)>;  // 0: the change failed or timed out
   using OnStatus = std::function<void(jobs::JobStatus)>;
 
   // --- The process ---
@@ -120,23 +125,25 @@
   void RegisterHandlers();
   void Start();
   void ResetState();
-  // Runs the action now, or when the process runs again; not at all if the process ends before.
+  // Runs the action now or, if the process is frozen, when it resumes. Drops the action if the
+  // process ends before.
   void RunUnlessFrozen(std::function<void()> action);
-  // Runs the action after that time as a timer of this process does.
+  // Runs the action after the delay, as a timer of this process. The timer ends with the process.
   void After(double delay_s, std::function<void()> action);
-  // As After(), but once this process has ended the next one still wakes up for it. The action must
-  // look after that itself.
+  // Like After(), but the timer also fires after this process has ended, in the process that has
+  // replaced it. The action itself must check that its process still runs.
   void AfterInAnyProcess(double delay_s, std::function<void()> action);
   void ReportStall(double from);
   void TickLoop();
   void TickLeader();
 
-  // Runs `at_store` at the store, and then `on_result` here. Nothing is called when the store is
-  // down or a message is lost, nor once this process has ended.
+  // Runs `at_store` at the store, and then `on_result` at this controller. `at_store` is not called
+  // if the store is down or the request is lost. `on_result` is not called in these cases, nor if
+  // the answer is lost or this process has ended.
   template <typename Result>
   void CallStore(std::function<Result()> at_store, std::function<void(Result)> on_result);
-  // The same for a change. While writes are late, some get no answer and are carried out seconds
-  // later, whatever has become of this process.
+  // Like CallStore(), for changes. While the fault of late writes is active, some changes get no
+  // answer and are applied seconds later, even if this process has ended.
   template <typename Result>
   void CallStoreForChange(std::function<Result()> at_store, std::function<void(Result)> on_result);
 
@@ -157,8 +164,9 @@
   // --- Watch ---
 
   void WatchLoop();
-  // Reads all of the store. Calls back with whether this knows now what was written before the
-  // call.
+  // Reads the whole store. Calls `done` with true once this controller has read everything that was
+  // written before the call, and with false if the read failed at once. Without an answer from the
+  // store, `done` is not called.
   void ReadStore(std::function<void(bool read)> done);
   void ApplyView(const SimulatedKeyValueStore::View& view, double sent_at);
   void ApplyLeader(const Entries& entries);
@@ -169,13 +177,13 @@
 
   // --- Jobs ---
 
-  // An admitted job that waits to be made durable.
+  // An admitted job that is not durable yet.
   struct PendingJob {
     wire::JobSpec spec;
     double deadline = 0;
     SubmitResponder respond;
   };
-  using Revisions = std::vector<uint64_t>;  // of each job of a batch; 0: it was there already
+  using Revisions = std::vector<uint64_t>;  // of each job in a batch; 0: the job already existed
 
   void AnswerKnownSubmission(const std::string& id, const SubmitResponder& respond);
   void AnswerInvalidSubmission(const std::string& id, const SubmitResponder& respond);
@@ -183,11 +191,12 @@
   void FindStatus(const std::string& id, OnStatus done);
   void FindStatusInFinalRecord(const std::string& id, const OnStatus& done);
   void AnswerStatus(const std::string& id, jobs::JobStatus status, const StatusResponder& respond);
-  // What a user is told of a job with this status.
+  // Returns the state to report to a user for a job with this status, and records this controller
+  // if the answer confirms a cancellation.
   wire::JobState ReportState(const std::string& id, jobs::JobStatus status);
   void StopTasksOf(const std::string& id);
   void TryCancel(const std::string& id, double deadline, OnStatus done);
-  // Runs at the store. `end` is written only if the job has no end yet.
+  // Runs at the store. Writes the final record only if the job has no final record yet.
   uint64_t CommitEnd(const std::string& id, jobs::JobStatus end,
                      const std::vector<jobs::RecordChange>& records,
                      std::vector<Condition> conditions);
@@ -195,7 +204,7 @@
   void DropOverdue();
   void AcceptBatch(std::vector<PendingJob> batch);
   Revisions CommitAcceptances(const std::vector<PendingJob>& batch);
-  // Without revisions the store did not answer in time.
+  // `revisions`: nothing if the store did not answer in time.
   void OnBatchAnswered(const std::vector<PendingJob>& batch,
                        const std::optional<Revisions>& revisions);
 
@@ -205,11 +214,11 @@
                       const SimulatedEnvironment::HeartbeatResponder& respond);
   void AnswerAsLeader(const wire::Heartbeat& heartbeat,
                       const SimulatedEnvironment::HeartbeatResponder& respond);
-  // The other controller that holds the machine's shard, or may know who does; empty if there is
-  // none.
+  // Returns the other controller that holds the machine's shard. If the holder is unknown, returns
+  // the leader, which can redirect the machine. Empty if neither is another controller.
   std::string HolderOf(const std::string& machine) const;
   void SendCommands();
-  // `shard_lease`: under which the commands are given; 0: they are the leader's.
+  // `shard_lease`: the shard lease under which the commands are sent; 0: commands of the leader.
   void SendCommandsOf(scheduler::Scheduler& source, uint64_t shard_lease);
   void SendBatch(const scheduler::CommandBatch& batch, uint64_t shard_lease);
   using OnOutcome = std::function<void(scheduler::CommandOutcome, const wire::Heartbeat*)>;
@@ -233,6 +242,7 @@
 
   // --- Shards ---
 
+  // Returns whether the controller may act as the holder of a shard: its view of the jobs is fresh.
   bool MayHold() const { return leadership_->ViewIsFresh(Now()); }
   void ApplyShards(const Entries& entries);
   void ApplyOwnShard(const Entries& entries);
@@ -257,7 +267,7 @@
   config::Settings settings_;  // with this controller's name and its peers
 
   // The process.
-  uint64_t process_ = 0;  // one more with each start and each crash
+  uint64_t process_ = 0;  // increases by one with each start and each crash
   bool alive_ = false;
   double frozen_until_ = 0;
   net::LoopClock loop_clock_;
@@ -270,14 +280,14 @@
   // Watch.
   double reads_fail_until_ = 0;
   uint64_t reads_begun_ = 0;
-  uint64_t newest_read_ = 0;    // by the order of their beginnings; 0: none has ended
-  uint64_t revision_ = 0;       // of the store, as last read
-  uint64_t jobs_revision_ = 0;  // up to which the job index knows all records
+  uint64_t newest_read_ = 0;    // number of the latest-begun read that was applied; 0: none
+  uint64_t revision_ = 0;       // store revision that was last read
+  uint64_t jobs_revision_ = 0;  // revision up to which the job index has all records
   std::unique_ptr<jobs::JobIndex> job_index_;
-  std::map<std::string, uint64_t> job_record_versions_;  // of the records that it has read
-  std::set<std::string> final_records_;                  // that it has read
+  std::map<std::string, uint64_t> job_record_versions_;  // versions of the job records read so far
+  std::set<std::string> final_records_;                  // keys of the final records read so far
 
-  // The leader's; null unless it leads.
+  // State of the leader; null unless the controller was elected and has not lost the lead.
   std::unique_ptr<scheduler::Scheduler> scheduler_;
   std::unique_ptr<shard::ShardLeaseManager> shard_leases_;
 
@@ -286,7 +296,7 @@
   shard::RoutingTable routing_table_;
   std::map<std::string, uint64_t> machine_pack_versions_;
   bool offer_in_flight_ = false;
-  std::set<std::string> frames_in_flight_;  // by the peer that they were sent to
+  std::set<std::string> frames_in_flight_;  // receivers of the frames that are not answered yet
 
   // Jobs.
   std::unique_ptr<service::AdmissionService> admission_;
--- a/simulation/controller_commands.cc
+++ b/simulation/controller_commands.cc
@@ -1,4 +1,4 @@
-// Heartbeats of agents and commands to them, the leader's records, and the size of the fleet.
+// Heartbeats of agents, direct commands to agents, the leader's records, and scaling of the fleet.
 #include <algorithm>
 #include <memory>
 
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kWriteTimeoutS = 1;
-constexpr double kLateCommandS = 2;  // counted as late from then on
+constexpr double kLateCommandS = 2;  // a command that takes longer counts as late
 constexpr double kMaxAnswerDelayHeartbeats = 1.2;
-constexpr size_t kMaxRecords = 100;  // in one change
+constexpr size_t kMaxRecords = 100;  // in one transaction
 constexpr size_t kMaxRecordBytes = 48u << 10;
 
 uint64_t CountStarts(const std::vector<wire::Command>& commands) {
@@ -91,8 +91,9 @@
   AfterInAnyProcess(environment_.settings.heartbeat_s, [on_outcome] {
     on_outcome(scheduler::CommandOutcome::kUndetermined, nullptr);
   });
-  // A connection is to whoever is there, which need not be the machine that is meant; what is
-  // held back on it is never for another one that is up under the address later.
+  // A connection goes to the machine that is at the address now, which may not be the intended
+  // machine. Commands that are held on this connection must not reach a machine that takes over the
+  // address later, nor a later incarnation of this machine.
   SimulatedAgent* const agent = environment_.FindByAddress(batch.address);
   if (agent == nullptr) return;
   const auto incarnation = agent->incarnation();
@@ -103,7 +104,8 @@
   environment_.network.Send(name_, agent->id(), [agent, arrive] { agent->RunUnlessHung(arrive); });
 }
 
-// Only the first outcome counts, and only as long as this process leads or holds as it did.
+// The handler ignores all outcomes but the first. It also ignores outcomes that arrive after this
+// process has ended, or after the leader's term or the shard lease has changed.
 SimulatedController::OnOutcome SimulatedController::MakeOutcomeHandler(
     const scheduler::CommandBatch& batch, uint64_t shard_lease) {
   const auto answered = std::make_shared<bool>(false);
--- a/simulation/controller_election.cc
+++ b/simulation/controller_election.cc
@@ -1,4 +1,4 @@
-// The store lease, promises of peers, campaigns, and what taking and giving up the lead means.
+// The store lease, promises of peers, campaigns, and the effects of gaining and losing the lead.
 #include "simulation/controller.h"
 #include "simulation/store_keys.h"
 
@@ -48,7 +48,8 @@
 std::optional<std::string> SimulatedController::OnPromiseRequest(const std::string& text) {
   if (!alive_) return std::nullopt;
   if (!frozen()) return AnswerPromiseRequest(text);
-  // It promises when it runs again, and answers when nobody waits any more.
+  // The request is handled when the process resumes. The promise then takes effect, but the answer
+  // would come too late and is not sent.
   RunUnlessFrozen([this, text] { AnswerPromiseRequest(text); });
   return std::nullopt;
 }
@@ -94,7 +95,7 @@
   environment_.clock.After(kCampaignTimeoutS, [this, process = process_] {
     if (process == process_) leadership_->SetCampaigning(false);
   });
-  // Whether it was elected is seen when the leader key is read.
+  // The result is ignored: the controller sees whether it was elected when it reads the leader key.
   CallStoreForChange<uint64_t>(
       [this, version, lease = leadership_->store_lease()] {
         return environment_.store.Commit({{kLeaderKey, version}},
@@ -106,7 +107,8 @@
 void SimulatedController::OnElected(const Entries& entries) {
   environment_.observed.elections.push_back(environment_.clock.now());
   admission_->OnElected(token(), Now());
-  // A leader holds no shard: what it held is asked what it has, like all that is inherited.
+  // A leader holds no shard. It queries the machines of its former shard for their tasks, like all
+  // other inherited machines.
   holder_.reset();
   shard_leases_.reset();
   scheduler_ = std::make_unique<scheduler::Scheduler>(settings_, derived_, token(), Now());
--- a/simulation/controller_jobs.cc
+++ b/simulation/controller_jobs.cc
@@ -1,4 +1,4 @@
-// Submissions, status questions and cancellations of users, as in service/job_service.
+// Submissions, status queries and cancellations of users, as in service/job_service.
 #include <memory>
 
 #include "mosspath/admission/runnable.h"
@@ -32,7 +32,7 @@
       respond(http_status, retry_after_s);
     });
   };
-  // A known job is answered before anything else is checked.
+  // A repeated submission of a known job is answered before any other check.
   if (job_index_->Contains(spec.id)) return AnswerKnownSubmission(spec.id, send);
   if (newest_read_ == 0) return send(503, kRetryAfterS);
   if (!admission::ReasonNeverRunnable(spec, settings_.teams, environment_.types).empty()) {
@@ -49,7 +49,7 @@
   });
 }
 
-// It may have been accepted under other settings.
+// The job can't run under the current settings, but may have been accepted under earlier settings.
 void SimulatedController::AnswerInvalidSubmission(const std::string& id,
                                                   const SubmitResponder& respond) {
   FindStatus(id, [respond](jobs::JobStatus status) {
@@ -75,7 +75,7 @@
   if (!alive_) return;
   After(1 / acceptance_rate_, [this] { AcceptanceLoop(); });
   DropOverdue();
-  // As many as may share a change.
+  // The maximum number of jobs that may be accepted in one batch.
   const auto max_batch_size =
       static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
   std::vector<PendingJob> batch;
@@ -197,7 +197,7 @@
   if (frozen()) return RunUnlessFrozen([this, id, respond] { OnCancel(id, respond); });
   const double deadline = Now() + derived_.user_deadline_s;
   TryCancel(id, deadline, [this, id, respond](jobs::JobStatus status) {
-    // However it came to know of it.
+    // Applies to every confirmation, also if another controller wrote the cancellation.
     if (status == jobs::JobStatus::kCancelled) {
       environment_.rule_checker.OnCancellationConfirmed(id, environment_.clock.now());
     }
--- a/simulation/controller_peers.cc
+++ b/simulation/controller_peers.cc
@@ -1,4 +1,5 @@
-// Heartbeats among controllers: what each would accept, and the leader's admission plan in answer.
+// Heartbeats between controllers. A heartbeat carries the sender's admission demand; the leader's
+// answer carries the admission plan.
 #include <algorithm>
 
 #include "simulation/controller.h"
@@ -32,7 +33,7 @@
     const auto answer = environment_.on_peer_heartbeat[peer](text);
     if (!answer) return;
     environment_.network.Send(peer, name_, [this, answer, sent_at, process] {
-      // What another process has sent is never read, however late the answer comes.
+      // A restarted process must not read answers to requests of its predecessor.
       if (!IsProcess(process)) return;
       RunUnlessFrozen([this, answer, sent_at] {
         admission_->OnPlan(wire::DecodeAdmissionPlan(*answer), sent_at);
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -1,4 +1,5 @@
-// Shards of the machines: the leader leases them, and holders act for them under such a lease.
+// Shards of the machines: the leader leases shards, and a holder commands the machines of its shard
+// under such a lease.
 #include <memory>
 
 #include "simulation/controller.h"
@@ -10,11 +11,11 @@
 constexpr double kOfferTimeoutS = 0.5;
 constexpr double kWriteTimeoutS = 1;
 constexpr double kFrameTimeoutS = 1;
-const std::string kLeaseField = "grant";  // of offers and of shard leases
+const std::string kLeaseField = "grant";  // in the records of offers and shard leases
 
 }  // namespace
 
-// ---------------------------------------------------------------------------- what was read
+// ---------------------------------------------------------------------------- store records
 
 void SimulatedController::ApplyShards(const Entries& entries) {
   for (const auto& node : environment_.nodes) {
@@ -71,8 +72,8 @@
   holder_->dispatcher().SetMachineTypes(environment_.types);
 }
 
-// The record that offers to hold a shard hangs on the store lease, so it tells that the node is
-// there.
+// The record that offers to hold a shard is attached to the node's store lease, so the record
+// exists only while the node is alive.
 void SimulatedController::OfferToHold(const Entries& entries) {
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
@@ -92,8 +93,7 @@
       [](uint64_t) {});
 }
 
-// ---------------------------------------------------------------------------- leases, as the
-// leader
+// ---------------------------------------------------------------------------- leader: shard leases
 
 void SimulatedController::InheritShardLeases() {
   shard_leases_ =
@@ -227,7 +227,8 @@
   }
   if (!holder_ || !MayHold() || !holder_->OnFrame(*answer, Now())) return;
   if (answer->view_age_s >= wire::kNeverS || revision_ < answer->newest_cancellation) return;
-  // Whatever anybody had told when this was asked, less the leader's own lag, is known here.
+  // This controller has read everything that was confirmed to users before the frame was sent,
+  // minus the age of the leader's own view. The factor allows for the drift of both clocks.
   const double age = answer->view_age_s * (1 + 2 * config::kMaxClockDrift);
   leadership_->OnLeaderView(sent_at - age);
 }
--- a/simulation/controller_watch.cc
+++ b/simulation/controller_watch.cc
@@ -1,4 +1,4 @@
-// Reading the store, and telling each part of the controller what has changed.
+// Reads the store and applies changes to each part of the controller.
 #include <algorithm>
 
 #include "simulation/controller.h"
@@ -25,7 +25,8 @@
   CallStore<SharedView>([this] { return environment_.store.Snapshot(); },
                         [this, read, sent_at, done = std::move(done)](const SharedView& view) {
                           last_store_contact_ = std::max(last_store_contact_, sent_at);
-                          // A read that began later may have ended already, and shows as much.
+                          // A read that began later may have been applied already. Its view
+                          // includes all that this read shows.
                           if (read > newest_read_) {
                             newest_read_ = read;
                             ApplyView(*view, sent_at);
@@ -37,7 +38,7 @@
 void SimulatedController::ApplyView(const SimulatedKeyValueStore::View& view, double sent_at) {
   using Kind = election::Leadership::Step::Kind;
   const Entries& entries = view.entries;
-  // What the process before this one reported is not known.
+  // The previous process may have confirmed cancellations up to this revision to users.
   if (revision_ == 0) job_index_->AssumeReportedUpTo(view.revision);
   revision_ = std::max(revision_, view.revision);
   ApplyLeader(entries);
@@ -80,7 +81,7 @@
     ApplyJobChange(job_index_->OnRecord(key, &entry.value, entry.version));
   }
   job_index_->OnLoaded(jobs_revision_);
-  // Jobs may come and go between two reads.
+  // A job may be accepted and end between two reads. No read then shows the job as live.
   admission_->controller().OnLoaded(revision_);
 }
 
