--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -109,8 +109,7 @@
   for (auto& controller : controllers) {
     if (controller->name() != from || !controller->electing()) continue;
     if (--messages_until_restart_ > 0) continue;
-    // Crashes after the message is sent, so that the message is among the last actions of the
-    // process.
+    // The crash is a separate event, so that the event that sends the message completes first.
     world.clock.After(0, [this, &controller] { controller->Crash(restart_downtime_s_); });
   }
 }
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -130,8 +130,8 @@
   void RunUnlessFrozen(std::function<void()> action);
   // Runs the action after the delay, as a timer of this process. The timer ends with the process.
   void After(double delay_s, std::function<void()> action);
-  // Like After(), but the timer also fires after this process has ended, in the process that has
-  // replaced it. The action itself must check that its process still runs.
+  // Like After(), but the timer is not cancelled when this process ends: its action then runs in
+  // the next process. The action itself must check for that.
   void AfterInAnyProcess(double delay_s, std::function<void()> action);
   void ReportStall(double from);
   void TickLoop();
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -73,7 +73,7 @@
 }
 
 // The record that offers to hold a shard is attached to the node's store lease, so the record
-// exists only while the node is alive.
+// exists only while the node renews that lease.
 void SimulatedController::OfferToHold(const Entries& entries) {
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
