--- a/simulation/controller_jobs.cc
+++ b/simulation/controller_jobs.cc
@@ -1,4 +1,4 @@
-// Submissions, status questions and cancellations of users, as in service/job_service.
+// Submissions, status queries and cancellations of users, as in service/job_service.
 #include <memory>
 
 #include "mosspath/admission/runnable.h"
@@ -32,7 +32,7 @@
       respond(http_status, retry_after_s);
     });
   };
-  // A known job is answered before anything else is checked.
+  // A repeated submission of a known job is answered before any other check.
   if (job_index_->Contains(spec.id)) return AnswerKnownSubmission(spec.id, send);
   if (newest_read_ == 0) return send(503, kRetryAfterS);
   if (!admission::ReasonNeverRunnable(spec, settings_.teams, environment_.types).empty()) {
@@ -44,12 +44,12 @@
 void SimulatedController::AnswerKnownSubmission(const std::string& id,
                                                 const SubmitResponder& respond) {
   FindStatus(id, [this, id, respond](jobs::JobStatus status) {
-    if (IsKnown(status)) StateToTell(id, status);
+    if (IsKnown(status)) ReportState(id, status);
     respond(IsKnown(status) ? 200 : 503, kRetryAfterS);
   });
 }
 
-// It may have been accepted under other settings.
+// The job can't run under the current settings, but may have been accepted under earlier settings.
 void SimulatedController::AnswerInvalidSubmission(const std::string& id,
                                                   const SubmitResponder& respond) {
   FindStatus(id, [respond](jobs::JobStatus status) {
@@ -75,10 +75,12 @@
   if (!alive_) return;
   After(1 / acceptance_rate_, [this] { AcceptanceLoop(); });
   DropOverdue();
-  // As many as may share a change.
-  const auto most = static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
+  // The limit of service/job_submitter: a store transaction may have four times as many conditions
+  // as changes. Each job takes two conditions, and the batch record takes one.
+  const auto max_batch_size =
+      static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
   std::vector<PendingJob> batch;
-  while (!acceptance_queue_.empty() && batch.size() < most) {
+  while (!acceptance_queue_.empty() && batch.size() < max_batch_size) {
     batch.push_back(acceptance_queue_.Pop());
   }
   if (!batch.empty()) AcceptBatch(std::move(batch));
@@ -174,12 +176,12 @@
 void SimulatedController::AnswerStatus(const std::string& id, jobs::JobStatus status,
                                        const StatusResponder& respond) {
   const int http_status = HttpStatusOf(status);
-  const auto state = http_status == 200 ? StateToTell(id, status) : wire::JobState::kQueued;
+  const auto state = http_status == 200 ? ReportState(id, status) : wire::JobState::kQueued;
   environment_.network.Send(name_, kUsersHost,
                             [respond, http_status, state] { respond(http_status, state); });
 }
 
-wire::JobState SimulatedController::StateToTell(const std::string& id, jobs::JobStatus status) {
+wire::JobState SimulatedController::ReportState(const std::string& id, jobs::JobStatus status) {
   if (status == jobs::JobStatus::kCancelled) {
     environment_.observed.last_confirmer = name_;
     return wire::JobState::kCancelled;
@@ -196,7 +198,7 @@
   if (frozen()) return RunUnlessFrozen([this, id, respond] { OnCancel(id, respond); });
   const double deadline = Now() + derived_.user_deadline_s;
   TryCancel(id, deadline, [this, id, respond](jobs::JobStatus status) {
-    // However it came to know of it.
+    // Applies to every confirmation, also if another controller wrote the cancellation.
     if (status == jobs::JobStatus::kCancelled) {
       environment_.rule_checker.OnCancellationConfirmed(id, environment_.clock.now());
     }
--- a/simulation/controller_peers.cc
+++ b/simulation/controller_peers.cc
@@ -1,4 +1,5 @@
-// Heartbeats among controllers: what each would accept, and the leader's admission plan in answer.
+// Heartbeats between controllers. A heartbeat carries the sender's admission demand; the leader's
+// answer carries the admission plan.
 #include <algorithm>
 
 #include "simulation/controller.h"
@@ -6,13 +7,13 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kLeastIntervalS = 0.5;
+constexpr double kMinIntervalS = 0.5;
 
 }  // namespace
 
 void SimulatedController::PeerHeartbeatLoop() {
   if (!alive_) return;
-  After(std::max(kLeastIntervalS, settings_.heartbeat_s / 4), [this] { PeerHeartbeatLoop(); });
+  After(std::max(kMinIntervalS, settings_.heartbeat_s / 4), [this] { PeerHeartbeatLoop(); });
   wire::PeerHeartbeat heartbeat;
   heartbeat.node = name_;
   heartbeat.demand = admission_->Demand(Now());
@@ -32,7 +33,7 @@
     const auto answer = environment_.on_peer_heartbeat[peer](text);
     if (!answer) return;
     environment_.network.Send(peer, name_, [this, answer, sent_at, process] {
-      // What another process has sent is never read, however late the answer comes.
+      // A restarted process must not read answers to requests of its predecessor.
       if (!IsProcess(process)) return;
       RunUnlessFrozen([this, answer, sent_at] {
         admission_->OnPlan(wire::DecodeAdmissionPlan(*answer), sent_at);
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -1,4 +1,5 @@
-// Shards of the machines: the leader leases them, and holders act for them under such a lease.
+// Shards of the machines: the leader leases shards, and a holder commands the machines of its shard
+// under such a lease.
 #include <memory>
 
 #include "simulation/controller.h"
@@ -10,11 +11,11 @@
 constexpr double kOfferTimeoutS = 0.5;
 constexpr double kWriteTimeoutS = 1;
 constexpr double kFrameTimeoutS = 1;
-const std::string kLeaseField = "grant";  // of offers and of shard leases
+const std::string kLeaseField = "grant";  // in the records of offers and shard leases
 
 }  // namespace
 
-// ---------------------------------------------------------------------------- what was read
+// ---------------------------------------------------------------------------- store records
 
 void SimulatedController::ApplyShards(const Entries& entries) {
   for (const auto& node : environment_.nodes) {
@@ -71,17 +72,17 @@
   holder_->dispatcher().SetMachineTypes(environment_.types);
 }
 
-// The record that offers to hold a shard hangs on the store lease, so it tells that the node is
-// there.
+// The record that offers to hold a shard is attached to the node's store lease, so the record
+// exists only while the node renews that lease.
 void SimulatedController::OfferToHold(const Entries& entries) {
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
   const uint64_t store_lease = leadership_->store_lease();
-  if (store_lease == 0 || offer_under_way_) return;
+  if (store_lease == 0 || offer_in_flight_) return;
   if (offer != entries.end() && offer->second.lease == store_lease) return;
-  offer_under_way_ = true;
+  offer_in_flight_ = true;
   environment_.clock.After(kOfferTimeoutS, [this, process = process_] {
-    if (process == process_) offer_under_way_ = false;
+    if (process == process_) offer_in_flight_ = false;
   });
   const uint64_t version = offer == entries.end() ? 0 : offer->second.version;
   CallStoreForChange<uint64_t>(
@@ -92,8 +93,7 @@
       [](uint64_t) {});
 }
 
-// ---------------------------------------------------------------------------- leases, as the
-// leader
+// ---------------------------------------------------------------------------- leader: shard leases
 
 void SimulatedController::InheritShardLeases() {
   shard_leases_ =
@@ -183,7 +183,7 @@
     }
   }
   const std::string& leader = leadership_->leader();
-  if (!holder_ || !MayHold() || leader.empty() || frames_under_way_.contains(leader)) return;
+  if (!holder_ || !MayHold() || leader.empty() || frames_in_flight_.contains(leader)) return;
   if (auto frame = holder_->NextFrame(revision_, Now())) {
     SendShardFrame(leader, std::move(*frame), false);
   }
@@ -191,7 +191,7 @@
 
 void SimulatedController::SendShardFrame(const std::string& peer, wire::ShardFrame frame,
                                          bool as_leader) {
-  if (!frames_under_way_.insert(peer).second) return;
+  if (!frames_in_flight_.insert(peer).second) return;
   frame.node = name_;
   const double sent_at = Now();
   const auto answered = std::make_shared<bool>(false);
@@ -212,7 +212,7 @@
 void SimulatedController::OnShardFrameAnswered(const std::string& peer, bool as_leader,
                                                double sent_at,
                                                const std::optional<wire::ShardFrame>& answer) {
-  frames_under_way_.erase(peer);
+  frames_in_flight_.erase(peer);
   if (as_leader) {
     if (!answer) {
       if (shard_leases_) shard_leases_->OnFrameLost(peer);
@@ -227,7 +227,8 @@
   }
   if (!holder_ || !MayHold() || !holder_->OnFrame(*answer, Now())) return;
   if (answer->view_age_s >= wire::kNeverS || revision_ < answer->newest_cancellation) return;
-  // Whatever anybody had told when this was asked, less the leader's own lag, is known here.
+  // This controller has read everything that was confirmed to users before `sent_at`, less the age
+  // of the leader's own view. The factor allows for the drift of both clocks.
   const double age = answer->view_age_s * (1 + 2 * config::kMaxClockDrift);
   leadership_->OnLeaderView(sent_at - age);
 }
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -1,5 +1,6 @@
-// simulate SCENARIO: plays many simulated days of several controllers, one for each seed, several
-// at a time. The exit code is 0 if no rule was broken and every compound fault really came about.
+// simulate SCENARIO: runs many simulated days of a cluster with several controllers, one day for
+// each seed and several days in parallel. The exit code is 0 if no rule was violated and every
+// compound fault that was played occurred at least once.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -28,10 +29,10 @@
 using mosspath::simulation::Outcome;
 using mosspath::simulation::OverloadScenario;
 
-// The first figures tell the days apart; they are not summed up.
+// The first figures identify the day and are left out of the summary.
 constexpr size_t kIdentifyingFigures = 3;
-constexpr int kMostSeeds = 1'000'000;
-constexpr int kMostJobs = 256;
+constexpr int kMaxSeeds = 1'000'000;
+constexpr int kMaxJobs = 256;
 
 struct Options {
   uint64_t seeds = 20;
@@ -43,10 +44,10 @@
   bool log = false;
 };
 
-// How to play the days of one kind.
+// Draws the faults of a day and runs the day with them.
 struct Scenario {
   std::function<std::vector<Fault>(uint64_t seed)> faults;
-  std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> play;
+  std::function<Outcome(uint64_t seed, const std::vector<Fault>& faults)> run;
 };
 
 template <typename Day>
@@ -57,12 +58,14 @@
           }};
 }
 
-// Leaves faults out as long as the day is still broken; each of those that are left is needed.
-std::vector<Fault> Shorten(const Scenario& scenario, uint64_t seed, std::vector<Fault> faults) {
+// Removes faults one by one as long as the day still violates a rule. Returns a list in which every
+// fault is needed for a violation.
+std::vector<Fault> MinimizeFaults(const Scenario& scenario, uint64_t seed,
+                                  std::vector<Fault> faults) {
   for (size_t i = 0; i < faults.size();) {
     std::vector<Fault> fewer = faults;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
-    if (scenario.play(seed, fewer).breaches.empty()) {
+    if (scenario.run(seed, fewer).breaches.empty()) {
       ++i;
     } else {
       faults = std::move(fewer);
@@ -72,44 +75,43 @@
   return faults;
 }
 
-void PrintBroken(uint64_t seed, const Outcome& outcome, const std::vector<Fault>& faults) {
+void PrintFailedDay(uint64_t seed, const Outcome& outcome, const std::vector<Fault>& faults) {
   std::cout << "broken seed " << seed << '\n';
   for (const auto& breach : outcome.breaches) std::cout << "  " << breach << '\n';
   for (const Fault& fault : faults) std::cout << "  with " << ToText(fault) << '\n';
 }
 
-// Plays all days and prints the broken ones as they end. Returns the outcomes in the order of the
-// seeds.
-std::vector<Outcome> PlayDays(const Scenario& scenario, const Options& options) {
+// Runs all days in parallel and prints the failed days as they end. Returns the outcomes in the
+// order of the seeds.
+std::vector<Outcome> RunDays(const Scenario& scenario, const Options& options) {
   std::vector<Outcome> outcomes(options.seeds);
   std::atomic<uint64_t> next{0};
   std::mutex printing;
-  const auto work = [&] {
+  const auto run_days = [&] {
     for (uint64_t i = next++; i < options.seeds; i = next++) {
       const uint64_t seed = options.first_seed + i;
       const std::vector<Fault> faults = scenario.faults(seed);
-      outcomes[i] = scenario.play(seed, faults);
+      outcomes[i] = scenario.run(seed, faults);
       if (outcomes[i].breaches.empty()) continue;
-      const std::vector<Fault> needed = Shorten(scenario, seed, faults);
+      const std::vector<Fault> minimal = MinimizeFaults(scenario, seed, faults);
       const std::lock_guard lock(printing);
-      PrintBroken(seed, outcomes[i], needed);
+      PrintFailedDay(seed, outcomes[i], minimal);
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(work);
+  for (unsigned i = 0; i < options.jobs; ++i) threads.emplace_back(run_days);
   for (auto& thread : threads) thread.join();
   return outcomes;
 }
 
-// Prints what the controllers decided on each day as one number, which is the same as long as every
-// decision is.
+// Prints the hash of the controllers' decisions for each day. Equal decisions have equal hashes.
 void PrintDecisions(uint64_t first_seed, const std::vector<Outcome>& outcomes) {
   for (size_t i = 0; i < outcomes.size(); ++i) {
     std::cout << fmt::format("seed {}: decisions {:016x}\n", first_seed + i, outcomes[i].decisions);
   }
 }
 
-// Without a path nothing is written.
+// Writes the figures of each day, one row for each day. Does nothing if the path is empty.
 void WriteCsv(const std::string& path, const std::vector<Outcome>& outcomes) {
   if (path.empty()) return;
   std::ofstream file(path);
@@ -123,24 +125,24 @@
   file << '\n';
 }
 
-// Prints the least, mean and most of each figure.
+// Prints the minimum, mean and maximum of each figure.
 void PrintSummary(const std::vector<Outcome>& outcomes, size_t broken) {
   std::cout << "days " << outcomes.size() << "\nbroken " << broken << '\n';
   const auto& columns = outcomes.front().figures;
   for (size_t i = kIdentifyingFigures; i < columns.size(); ++i) {
-    double least = columns[i].value;
-    double most = columns[i].value;
+    double minimum = columns[i].value;
+    double maximum = columns[i].value;
     double sum = 0;
     for (const auto& outcome : outcomes) {
       const double value = outcome.figures[i].value;
-      least = std::min(least, value);
-      most = std::max(most, value);
+      minimum = std::min(minimum, value);
+      maximum = std::max(maximum, value);
       sum += value;
     }
     const std::string& name = columns[i].name;
-    std::cout << name << "_least " << least << '\n'
+    std::cout << name << "_least " << minimum << '\n'
               << name << "_mean " << sum / static_cast<double>(outcomes.size()) << '\n'
-              << name << "_most " << most << '\n';
+              << name << "_most " << maximum << '\n';
   }
 }
 
@@ -150,9 +152,10 @@
   return found == outcome.figures.end() ? 0 : found->value;
 }
 
-// Prints how often each compound fault came about; false if one was played and never did.
+// Prints how often each compound fault occurred. Returns false if a compound fault was played but
+// never occurred.
 bool PrintCompoundFaults(const std::vector<Outcome>& outcomes) {
-  bool all_came_about = true;
+  bool all_occurred = true;
   for (uint64_t kind = 0; kind < kCompoundFaultKinds; ++kind) {
     size_t days = 0;
     size_t reached = 0;
@@ -167,31 +170,36 @@
     if (days == 0) continue;
     std::cout << "meeting " << CompoundFaultName(static_cast<CompoundFault>(kind)) << " days "
               << days << " reached " << reached << " times " << times << '\n';
-    all_came_about = all_came_about && reached > 0;
+    all_occurred = all_occurred && reached > 0;
   }
-  return all_came_about;
+  return all_occurred;
 }
 
 void AddOptions(CLI::App& scenario, Options& options) {
-  scenario.add_option("--seeds", options.seeds, "days to play")->check(CLI::Range(1, kMostSeeds));
-  scenario.add_option("--first-seed", options.first_seed, "of the first day");
-  scenario.add_option("--jobs", options.jobs, "days at once")->check(CLI::Range(1, kMostJobs));
-  scenario.add_option("--csv", options.csv, "writes each day's figures there");
-  scenario.add_flag("--blocks", options.lease_shards, "controllers hold blocks");
-  scenario.add_flag("--decisions", options.decisions, "prints each day's decisions as one number");
-  scenario.add_flag("--log", options.log, "prints what the controllers log; for one day");
+  scenario.add_option("--seeds", options.seeds, "number of days to simulate")
+      ->check(CLI::Range(1, kMaxSeeds));
+  scenario.add_option("--first-seed", options.first_seed, "seed of the first day");
+  scenario.add_option("--jobs", options.jobs, "days to simulate in parallel")
+      ->check(CLI::Range(1, kMaxJobs));
+  scenario.add_option("--csv", options.csv, "write the figures of each day to this CSV file");
+  scenario.add_flag("--blocks", options.lease_shards,
+                    "lease shards of the machines to controllers");
+  scenario.add_flag("--decisions", options.decisions, "print a hash of each day's decisions");
+  scenario.add_flag("--log", options.log, "print the controllers' log; use with a single day");
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Rehearses failures of several controllers in simulated time."};
+  CLI::App app{"Simulates failures of a cluster with several controllers in simulated time."};
   app.require_subcommand(1);
   Options options;
-  auto* overload = app.add_subcommand("overload", "Floods beside what others ask for");
-  auto* availability =
-      app.add_subcommand("addition", "Troubles of every kind: who is forgotten, starved, late");
-  auto* compound = app.add_subcommand("meetings", "Two or three troubles that meet");
+  auto* overload =
+      app.add_subcommand("overload", "Floods of jobs beside the regular load of other teams");
+  auto* availability = app.add_subcommand(
+      "addition", "Faults of every kind; checks for lost, starved and late jobs");
+  auto* compound =
+      app.add_subcommand("meetings", "Compound faults: two or three faults at the same time");
   for (auto* scenario : {overload, availability, compound}) AddOptions(*scenario, options);
   CLI11_PARSE(app, argc, argv);
   const Scenario scenario = availability->parsed() ? ScenarioOf<AvailabilityScenario>(options)
@@ -199,13 +207,13 @@
                                                    : ScenarioOf<OverloadScenario>(options);
   spdlog::set_level(options.log ? spdlog::level::debug : spdlog::level::off);
 
-  const std::vector<Outcome> outcomes = PlayDays(scenario, options);
+  const std::vector<Outcome> outcomes = RunDays(scenario, options);
   if (options.decisions) PrintDecisions(options.first_seed, outcomes);
   WriteCsv(options.csv, outcomes);
   const auto broken = static_cast<size_t>(
       std::count_if(outcomes.begin(), outcomes.end(),
                     [](const Outcome& outcome) { return !outcome.breaches.empty(); }));
   PrintSummary(outcomes, broken);
-  const bool all_came_about = !compound->parsed() || PrintCompoundFaults(outcomes);
-  return broken == 0 && all_came_about ? 0 : 1;
+  const bool all_occurred = !compound->parsed() || PrintCompoundFaults(outcomes);
+  return broken == 0 && all_occurred ? 0 : 1;
 }
