--- a/include/mosspath/net/http_client.h
+++ b/include/mosspath/net/http_client.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 client for one server: a small pool of connections, a bounded queue, and a
+// An HTTP/1.1 client for one server, with a bounded pool of connections, a bounded queue and a
 // deadline for every request.
 #pragma once
 
@@ -15,23 +15,26 @@
 namespace mosspath::net {
 
 struct HttpResult {
-  int status = 0;          // 0: no answer; the request may have been executed
-  bool sent = true;        // false: the request certainly never left
-  bool too_large = false;  // the answer was given up for its size
+  int status = 0;          // 0: no response; a request that was sent may have been executed
+  bool sent = true;        // false: no part of the request was written
+  bool too_large = false;  // the response was discarded: its body exceeds max_answer
   std::string body;
 };
 
+// Sends requests to one server, one at a time over each connection. Runs on the thread of the
+// io_context, which outlives the client. The destructor closes the connections and drops unfinished
+// requests without calling their callbacks.
 class HttpClient {
  public:
   struct Options {
     size_t max_connections = 4;
-    size_t max_queue = 256;
-    size_t max_answer = 8u << 20;
-    std::shared_ptr<SocketBudget> sockets = {};  // none: not counted
+    size_t max_queue = 256;        // requests that wait for a connection; any further request fails
+    size_t max_answer = 8u << 20;  // bytes of a response's body
+    std::shared_ptr<SocketBudget> sockets = {};  // null: connections are not counted
     ConnectionClass connection_class = ConnectionClass::kOutbound;
   };
   using Callback = std::function<void(HttpResult)>;
-  // Asked right before a request leaves; false: it is not sent after all.
+  // Called right before a request is written. If it returns false, the request fails unsent.
   using StillWanted = std::function<bool()>;
 
   HttpClient(asio::io_context& io, const std::string& address, Options options);
@@ -39,13 +42,15 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // The callback is never called from within Send.
+  // Queues the request and sends it once a connection is free. `timeout_s` includes the time in the
+  // queue. The callback is never called from within Send.
   void Send(std::string method, std::string target, std::string body, double timeout_s,
             Callback done, StillWanted still_wanted = {});
-  // Nothing is under way or waits.
+  // No request is in flight or queued.
   bool idle() const { return busy_.empty() && queue_.empty(); }
+  // A connection is open, or a request is in flight.
   bool connected() const { return !idle_.empty() || !busy_.empty(); }
-  // Ends the connections that carry nothing.
+  // Closes the connections that carry no request.
   void CloseIdle();
 
  private:
@@ -69,6 +74,7 @@
   std::vector<std::shared_ptr<Connection>> busy_;
 };
 
+// Parses an address of the form ADDRESS:PORT; throws if it has another form.
 asio::ip::tcp::endpoint ParseAddress(const std::string& address);
 
 }  // namespace mosspath::net
--- a/include/mosspath/net/http_server.h
+++ b/include/mosspath/net/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server: one routine per connection, everything bounded and with deadlines.
+// An HTTP/1.1 server with limits on sizes and connections and a deadline for every request.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -25,24 +25,27 @@
   std::string body;
   double retry_after_s = 0;  // 0: none
   std::string content_type = "application/json";
-  ConnectionClass connection_class = ConnectionClass::kUnidentified;  // whom it is for
-  bool close = false;  // nothing more is expected over this connection
-  double idle_s = 0;   // closed when nothing comes for so long; 0: as the options say
+  ConnectionClass connection_class =
+      ConnectionClass::kUnidentified;  // the client's class; unidentified: unchanged
+  bool close = false;                  // close the connection after this response
+  double idle_s = 0;                   // the connection's keep-alive timeout; 0: Options::idle_s
 };
 
+// Accepts connections on one address and passes their requests to a handler. Runs on the thread of
+// the io_context, which outlives the server. The destructor closes all connections; a responder
+// that is called after that does nothing.
 class HttpServer {
  public:
   struct Options {
-    std::shared_ptr<SocketBudget> sockets;  // none: one of its own
-    ConnectionClass connection_class =
-        ConnectionClass::kUnidentified;  // who connects here, as far as the address tells
-    size_t max_body = 64u << 10;
-    size_t max_head = 8u << 10;
-    double idle_s = 90;     // between requests
-    double request_s = 10;  // for a request to arrive, and for an answer to leave
+    std::shared_ptr<SocketBudget> sockets;  // null: the server uses its own
+    ConnectionClass connection_class = ConnectionClass::kUnidentified;  // of a new connection
+    size_t max_body = 64u << 10;                                        // bytes
+    size_t max_head = 8u << 10;                                         // bytes
+    double idle_s = 90;     // keep-alive timeout between requests
+    double request_s = 10;  // to receive a request, and to write its response
   };
   using Responder = std::function<void(HttpResponse)>;
-  // Must call the responder once, at once or later.
+  // Must call the responder exactly once, either during the call or later.
   using Handler = std::function<void(HttpRequest, Responder)>;
 
   HttpServer(asio::io_context& io, const std::string& address, Options options, Handler handler);
--- a/include/mosspath/net/malformed_message.h
+++ b/include/mosspath/net/malformed_message.h
@@ -1,4 +1,4 @@
-// Answers and reports of outside systems that can't be understood are treated as none, and counted.
+// Malformed responses and reports of other processes: they are logged, counted and then ignored.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -8,23 +8,25 @@
 
 namespace mosspath::net {
 
-// Told of each, with whom it came from and what it answers.
-using OnMalformed = std::function<void(const char* from, const char* what)>;
+// Called for each malformed message, with the kind of its sender and the request or report it
+// belongs to.
+using OnMalformed = std::function<void(const char* sender, const char* kind)>;
 
-inline void ReportMalformed(const char* from, const char* what, const char* why,
-                            const OnMalformed& told) {
-  spdlog::error("{}: malformed {}: {}", from, what, why);
-  if (told) told(from, what);
+// Logs the malformed message with the parse error `reason`, and calls `on_malformed` if it is set.
+inline void ReportMalformed(const char* sender, const char* kind, const char* reason,
+                            const OnMalformed& on_malformed) {
+  spdlog::error("{}: malformed {}: {}", sender, kind, reason);
+  if (on_malformed) on_malformed(sender, kind);
 }
 
-// Runs what reads a message; false when it throws.
+// Calls `parse`, which reads a message. If it throws, reports the message and returns false.
 template <typename F>
-bool TryRead(const char* from, const char* what, const OnMalformed& told, F read) {
+bool TryRead(const char* sender, const char* kind, const OnMalformed& on_malformed, F parse) {
   try {
-    read();
+    parse();
     return true;
   } catch (const std::exception& e) {
-    ReportMalformed(from, what, e.what(), told);
+    ReportMalformed(sender, kind, e.what(), on_malformed);
     return false;
   }
 }
--- a/include/mosspath/net/socket_budget.h
+++ b/include/mosspath/net/socket_budget.h
@@ -1,9 +1,11 @@
-// A process's sockets as a budget with one owner: who may have how many, who may keep one between
-// requests, and who gives way. Pure counts; what opens and closes sockets asks here first.
+// Divides a process's sockets among classes of connections: how many sockets each class may have,
+// and which connections stay open between requests. Pure counts: the code that opens and closes
+// sockets calls the budget first.
 //
-// Sockets give out before anything else as the number of machines grows. Without shares, workers'
-// connections took them all, and users, probes and the state service's own requests found none: a
-// leader then kept its grant over the connection that it had, and learned of nothing.
+// Sockets are the first resource to run out as the number of machines grows. Without limits by
+// class, agents' connections took all sockets, and none were left for users, probes and the
+// requests to the state service. A leader then kept renewing its store lease over its open
+// connection, but received no updates.
 #pragma once
 
 #include <array>
@@ -13,50 +15,53 @@
 namespace mosspath::net {
 
 enum class ConnectionClass {
-  kUnidentified,  // accepted, and has not said yet who it is
-  kUser,          // users, probes, readers of the status page
-  kAgent,         // reports
-  kPeer,          // other controllers and operators
-  kCommand,       // straight to workers
+  kUnidentified,  // accepted; no request has identified the client yet
+  kUser,          // users, probes and readers of the status page
+  kAgent,         // agents' heartbeats
+  kPeer,          // from other controllers and operators
+  kCommand,       // to agents, with commands
   kOutbound,      // to the state service, the cloud and other controllers
 };
 inline constexpr size_t kConnectionClasses = 6;
-const char* Name(ConnectionClass p);
+// The name of the class in metrics and on the status page.
+const char* Name(ConnectionClass c);
 
 class SocketBudget {
  public:
-  // `sockets`: all that the process may have open.
+  // `sockets`: how many the process may have open in all.
   explicit SocketBudget(size_t sockets);
 
-  // One more for this party; false: it has its share, which is counted.
-  bool Acquire(ConnectionClass p);
-  void Release(ConnectionClass p);
-  // A connection that was accepted has said who it is.
+  // Counts one more socket of the class. If the class is at its limit, returns false and counts the
+  // refusal instead.
+  bool Acquire(ConnectionClass c);
+  void Release(ConnectionClass c);
+  // Moves an accepted connection to the class that its request identified.
   void Reclassify(ConnectionClass from, ConnectionClass to);
-  // Whether a connection of this party may stay open between requests. Asked once it was answered;
-  // if not, the other side is told so with the answer and comes back at its own pace.
-  bool MayKeepAlive(ConnectionClass p);
+  // Whether a connection of the class may stay open after the response that is about to be sent. If
+  // not, the caller closes it after the response, and the client reconnects for its next request.
+  bool MayKeepAlive(ConnectionClass c);
 
-  size_t used(ConnectionClass p) const { return used_[Index(p)]; }
-  // How many the party may have; those who are accepted on the public address share one limit.
-  size_t limit(ConnectionClass p) const;
-  uint64_t refused(ConnectionClass p) const { return refused_[Index(p)]; }
-  uint64_t closed_after_answer(ConnectionClass p) const { return closed_after_answer_[Index(p)]; }
+  size_t used(ConnectionClass c) const { return used_[Index(c)]; }
+  // Sockets that the class may have. The classes of the public address (unidentified, users and
+  // agents) share one limit.
+  size_t limit(ConnectionClass c) const;
+  uint64_t refused(ConnectionClass c) const { return refused_[Index(c)]; }
+  uint64_t closed_after_answer(ConnectionClass c) const { return closed_after_answer_[Index(c)]; }
 
  private:
-  static constexpr size_t Index(ConnectionClass p) { return static_cast<size_t>(p); }
-  static bool IsPublic(ConnectionClass p) {
-    return p == ConnectionClass::kUnidentified || p == ConnectionClass::kUser ||
-           p == ConnectionClass::kAgent;
+  static constexpr size_t Index(ConnectionClass c) { return static_cast<size_t>(c); }
+  static bool IsPublic(ConnectionClass c) {
+    return c == ConnectionClass::kUnidentified || c == ConnectionClass::kUser ||
+           c == ConnectionClass::kAgent;
   }
   size_t public_used() const;
 
-  const size_t outside_;
-  const size_t peers_;
-  const size_t orders_;
-  const size_t public_;
-  const size_t workers_stay_;
-  const size_t users_stay_;
+  const size_t outbound_limit_;
+  const size_t peer_limit_;
+  const size_t command_limit_;
+  const size_t public_limit_;
+  const size_t agent_keep_alive_limit_;
+  const size_t user_keep_alive_limit_;
   std::array<size_t, kConnectionClasses> used_{};
   std::array<uint64_t, kConnectionClasses> refused_{};
   std::array<uint64_t, kConnectionClasses> closed_after_answer_{};
--- a/include/mosspath/net/stall_detector.h
+++ b/include/mosspath/net/stall_detector.h
@@ -1,6 +1,6 @@
-// Notices that this process did not run for a while though the clocks did, as when it is stopped or
-// gets no processor time: then timers are due and sockets full at once, and time that went by tells
-// nothing about others.
+// Detects that this process did not run for a while, as when it was stopped or got no processor
+// time. Afterwards many timers are due and sockets readable at once, and the elapsed time proves
+// nothing about other processes.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,24 @@
 
 namespace mosspath::net {
 
-// Pure: compares the turns of the loop with the clock.
+// Compares the times of the event loop's periodic turns with their period, `turn_s`. Pure.
 class LoopClock {
  public:
-  LoopClock(double turn_s, double now) : most_s_(kTurns * turn_s), last_(now) {}
-  // When the process stopped running, if it just did for long.
+  LoopClock(double turn_s, double now) : max_gap_s_(kStallTurns * turn_s), last_(now) {}
+  // Records a turn. If the process stalled since the last turn, returns the time of that turn.
   std::optional<double> OnTurn(double now) {
     const double last = std::exchange(last_, now);
-    return now - last > most_s_ ? std::optional(last) : std::nullopt;
+    return now - last > max_gap_s_ ? std::optional(last) : std::nullopt;
   }
 
  private:
-  static constexpr double kTurns = 4;
-  double most_s_;
+  static constexpr double kStallTurns = 4;
+  double max_gap_s_;
   double last_;
 };
 
+// Calls `on_stall` with the start and the end of each stall, in seconds of net::Now(). Runs on the
+// thread of the io_context.
 class StallDetector {
  public:
   using OnStall = std::function<void(double from, double now)>;
@@ -38,8 +40,8 @@
     timer_.After(turn_s_, [this] { Start(); });
     Check();
   }
-  // Also called by duties before they conclude anything from the time: after a stall they may be
-  // due before the watch is.
+  // Also called by other timers' callbacks before they draw conclusions from elapsed time: after a
+  // stall they may run before this detector's own timer.
   void Check() {
     const double now = Now();
     if (const auto from = clock_.OnTurn(now)) on_stall_(*from, now);
--- a/include/mosspath/net/timer.h
+++ b/include/mosspath/net/timer.h
@@ -1,4 +1,4 @@
-// Steady time in seconds, and timers whose callbacks stop with their owner.
+// Steady time in seconds, and timers whose callbacks are cancelled with their owner.
 #pragma once
 
 #include <algorithm>
@@ -16,34 +16,36 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// A one-shot timer that can be set again; destroying or cancelling it cancels the callback.
+// A one-shot timer. Setting it again, cancelling it or destroying it cancels the pending callback.
 class Timer {
  public:
-  explicit Timer(asio::io_context& io) : timer_(io), turn_(std::make_shared<uint64_t>(0)) {}
+  explicit Timer(asio::io_context& io) : timer_(io), generation_(std::make_shared<uint64_t>(0)) {}
   ~Timer() {
-    if (turn_) ++*turn_;
+    if (generation_) ++*generation_;
   }
   Timer(Timer&&) = default;
   Timer& operator=(Timer&&) = delete;
 
   void After(double seconds, std::function<void()> f) {
-    const uint64_t turn = ++*turn_;
+    const uint64_t generation = ++*generation_;
     timer_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
         std::chrono::duration<double>(std::max(0.0, seconds))));
-    // An expiry that is already queued is not stopped by cancelling the timer, and would end a
-    // request that was answered in the same round: the turn tells it that it is over.
-    timer_.async_wait([f = std::move(f), seen = turn_, turn](const std::error_code& error) {
-      if (!error && *seen == turn) f();
-    });
+    // Cancelling the asio timer does not stop an expiry that is already queued. That expiry would
+    // end a request a second time whose response arrived in the same iteration of the event loop.
+    // The generation number makes the outdated expiry do nothing.
+    timer_.async_wait(
+        [f = std::move(f), current = generation_, generation](const std::error_code& error) {
+          if (!error && *current == generation) f();
+        });
   }
   void Cancel() {
-    ++*turn_;
+    ++*generation_;
     timer_.cancel();
   }
 
  private:
   asio::steady_timer timer_;
-  std::shared_ptr<uint64_t> turn_;
+  std::shared_ptr<uint64_t> generation_;
 };
 
 }  // namespace mosspath::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -22,11 +22,12 @@
 
 namespace {
 
-constexpr double kLateS = 0.2;
+// A deadline timer that fires later than this shows that the process did not run.
+constexpr double kLateTimerS = 0.2;
 
 }  // namespace
 
-// One connection carries one request at a time; any trouble closes it.
+// Carries one request at a time. Any error or timeout closes the connection.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpClient& owner)
@@ -35,7 +36,7 @@
         timer_(owner.io_),
         max_answer_(owner.options_.max_answer),
         sockets_(owner.options_.sockets),
-        party_(owner.options_.connection_class) {}
+        connection_class_(owner.options_.connection_class) {}
 
   bool open() const { return open_; }
 
@@ -47,13 +48,13 @@
     parser_.data = this;
     complete_ = false;
     auto self = shared_from_this();
-    timer_.After(pending_.deadline - Now(), [self] { self->Late(); });
+    timer_.After(pending_.deadline - Now(), [self] { self->OnDeadline(); });
     result_.sent = false;
     if (open_) {
       Write();
       return;
     }
-    if (sockets_ && !sockets_->Acquire(party_)) {
+    if (sockets_ && !sockets_->Acquire(connection_class_)) {
       timer_.After(0, [self] { self->Finish(false); });
       return;
     }
@@ -68,7 +69,7 @@
     });
   }
 
-  // Drops the connection without telling anybody.
+  // Closes the connection and drops its request without calling the callback.
   void Abandon() {
     owner_ = nullptr;
     active_ = false;
@@ -77,17 +78,17 @@
   }
 
  private:
-  // A timer that is late itself says that this process did not run: the answer may well be in the
-  // socket, so that is read first.
-  void Late() {
-    if (Now() - pending_.deadline < kLateS) return Finish(false);
-    timer_.After(kLateS / 2, [self = shared_from_this()] { self->Finish(false); });
+  // Fails the request. If the timer itself fired late, the process did not run for a while and the
+  // response may already be in the socket's buffer, so there is a short delay to read it first.
+  void OnDeadline() {
+    if (Now() - pending_.deadline < kLateTimerS) return Finish(false);
+    timer_.After(kLateTimerS / 2, [self = shared_from_this()] { self->Finish(false); });
   }
 
   void Write() {
     auto self = shared_from_this();
     if (pending_.still_wanted && !pending_.still_wanted()) {
-      // Not from within Send.
+      // The callback must not run from within Send.
       timer_.After(0, [self] { self->Finish(false); });
       return;
     }
@@ -127,7 +128,7 @@
       s.on_message_complete = [](http_parser* p) {
         auto* c = static_cast<Connection*>(p->data);
         c->result_.status = static_cast<int>(p->status_code);
-        c->keep_ = http_should_keep_alive(p) != 0;
+        c->keep_alive_ = http_should_keep_alive(p) != 0;
         c->complete_ = true;
         http_parser_pause(p, 1);
         return 0;
@@ -145,8 +146,9 @@
       result_.too_large = result_.body.size() > max_answer_;
       result_.body.clear();
     }
-    if (!answered || !keep_) Close();
-    // Nothing of a request is kept once it is over: what its callbacks own may own this client.
+    if (!answered || !keep_alive_) Close();
+    // The callbacks of a finished request are released: they may own the object that owns this
+    // client, which would then never be destroyed.
     pending_.still_wanted = {};
     Callback done = std::move(pending_.done);
     HttpResult result = std::move(result_);
@@ -157,7 +159,7 @@
 
   void Close() {
     open_ = false;
-    if (std::exchange(counted_, false)) sockets_->Release(party_);
+    if (std::exchange(counted_, false)) sockets_->Release(connection_class_);
     std::error_code ignored;
     socket_.close(ignored);
     timer_.Cancel();
@@ -168,15 +170,15 @@
   Timer timer_;
   size_t max_answer_;
   const std::shared_ptr<SocketBudget> sockets_;
-  const ConnectionClass party_;
-  bool counted_ = false;  // of the budget
+  const ConnectionClass connection_class_;
+  bool counted_ = false;  // in the socket budget
   Pending pending_;
   HttpResult result_;
   http_parser parser_{};
   std::array<char, 8192> buffer_{};
   bool open_ = false;
   bool active_ = false;
-  bool keep_ = false;
+  bool keep_alive_ = false;
   bool complete_ = false;
 };
 
@@ -235,7 +237,7 @@
   if (reusable) {
     idle_.push_back(c);
   } else {
-    // A broken connection hints that its idle siblings are broken too.
+    // After a failure or a close by the server, the idle connections are probably unusable too.
     CloseIdle();
   }
   Pump();
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -13,11 +13,11 @@
 namespace mosspath::net {
 namespace {
 
-constexpr double kAcceptPauseS = 0.05;
+constexpr double kAcceptRetryS = 0.05;
 constexpr double kLingerS = 1;
-constexpr size_t kOwnSockets = 512;
+constexpr size_t kDefaultSockets = 512;
 
-std::string Render(const HttpResponse& answer, bool keep) {
+std::string Render(const HttpResponse& answer, bool keep_alive) {
   std::string text = "HTTP/1.1 " + std::to_string(answer.status) + " " +
                      http_status_str(static_cast<http_status>(answer.status)) +
                      "\r\nContent-Type: " + answer.content_type +
@@ -26,7 +26,7 @@
     text += "Retry-After: " + std::to_string(static_cast<int>(std::ceil(answer.retry_after_s))) +
             "\r\n";
   }
-  if (!keep) text += "Connection: close\r\n";
+  if (!keep_alive) text += "Connection: close\r\n";
   text += "\r\n";
   text += answer.body;
   return text;
@@ -41,7 +41,7 @@
         socket_(std::move(socket)),
         timer_(owner.io_),
         options_(owner.options_),
-        party_(options_.connection_class) {
+        connection_class_(options_.connection_class) {
     std::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   }
@@ -59,13 +59,13 @@
     parser_.data = this;
     request_ = {};
     url_.clear();
-    head_ = 0;
+    request_bytes_ = 0;
     complete_ = false;
     error_status_ = 0;
-    begun_ = false;
+    request_started_ = false;
     auto self = shared_from_this();
     timer_.After(idle_s_ > 0 ? idle_s_ : options_.idle_s, [self] { self->Close(); });
-    if (begin_ < end_) {
+    if (buffer_begin_ < buffer_end_) {
       Parse();
     } else {
       Read();
@@ -76,26 +76,27 @@
     auto self = shared_from_this();
     socket_.async_read_some(asio::buffer(buffer_), [self](const std::error_code& error, size_t n) {
       if (error) return self->Close();
-      self->begin_ = 0;
-      self->end_ = n;
+      self->buffer_begin_ = 0;
+      self->buffer_end_ = n;
       self->Parse();
     });
   }
 
   void Parse() {
     auto self = shared_from_this();
-    if (!begun_) {
-      begun_ = true;
+    if (!request_started_) {
+      request_started_ = true;
       timer_.After(options_.request_s, [self] { self->Close(); });
     }
-    const size_t n = end_ - begin_;
-    const size_t used = http_parser_execute(&parser_, &Callbacks(), buffer_.data() + begin_, n);
-    begin_ += used;
-    if (!complete_) head_ += used;
+    const size_t n = buffer_end_ - buffer_begin_;
+    const size_t used =
+        http_parser_execute(&parser_, &Callbacks(), buffer_.data() + buffer_begin_, n);
+    buffer_begin_ += used;
+    if (!complete_) request_bytes_ += used;
     if (error_status_ != 0) return Refuse(error_status_);
     if (complete_) return Dispatch();
     if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || used != n || parser_.upgrade) return Refuse(400);
-    if (head_ > options_.max_head + options_.max_body) return Refuse(413);
+    if (request_bytes_ > options_.max_head + options_.max_body) return Refuse(413);
     Read();
   }
 
@@ -121,7 +122,7 @@
       s.on_message_complete = [](http_parser* p) {
         auto* c = static_cast<Connection*>(p->data);
         c->complete_ = true;
-        c->keep_ = http_should_keep_alive(p) != 0;
+        c->keep_alive_ = http_should_keep_alive(p) != 0;
         http_parser_pause(p, 1);
         return 0;
       };
@@ -136,16 +137,16 @@
   }
 
   void Refuse(int status) {
-    keep_ = false;
+    keep_alive_ = false;
     refused_ = true;
     Answer({status, "{\"error\":\"bad request\"}"});
   }
 
   void Dispatch() {
     request_.method = http_method_str(static_cast<http_method>(parser_.method));
-    const size_t mark = url_.find('?');
-    request_.path = url_.substr(0, mark);
-    if (mark != std::string::npos) request_.query = url_.substr(mark + 1);
+    const size_t query_start = url_.find('?');
+    request_.path = url_.substr(0, query_start);
+    if (query_start != std::string::npos) request_.query = url_.substr(query_start + 1);
     timer_.Cancel();
     if (owner_ == nullptr) return;
     std::weak_ptr<Connection> weak = weak_from_this();
@@ -157,23 +158,24 @@
   void Answer(HttpResponse answer) {
     if (closed_) return;
     if (answer.connection_class != ConnectionClass::kUnidentified) {
-      options_.sockets->Reclassify(party_, answer.connection_class);
-      party_ = answer.connection_class;
+      options_.sockets->Reclassify(connection_class_, answer.connection_class);
+      connection_class_ = answer.connection_class;
     }
     idle_s_ = answer.idle_s;
-    if (answer.close || !options_.sockets->MayKeepAlive(party_)) keep_ = false;
-    out_ = Render(answer, keep_);
+    if (answer.close || !options_.sockets->MayKeepAlive(connection_class_)) keep_alive_ = false;
+    response_text_ = Render(answer, keep_alive_);
     auto self = shared_from_this();
     timer_.After(options_.request_s, [self] { self->Close(); });
-    asio::async_write(socket_, asio::buffer(out_), [self](const std::error_code& error, size_t) {
-      if (!error && self->refused_) return self->Linger();
-      if (error || !self->keep_) return self->Close();
-      self->NextRequest();
-    });
+    asio::async_write(socket_, asio::buffer(response_text_),
+                      [self](const std::error_code& error, size_t) {
+                        if (!error && self->refused_) return self->Linger();
+                        if (error || !self->keep_alive_) return self->Close();
+                        self->NextRequest();
+                      });
   }
 
-  // What was refused may still be arriving: closing now would reset the connection and take the
-  // answer with it.
+  // The rest of a refused request may still be arriving. Closing the socket at once would reset the
+  // connection, and the client would lose the response.
   void Linger() {
     auto self = shared_from_this();
     std::error_code ignored;
@@ -197,7 +199,7 @@
     socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
     socket_.close(ignored);
     timer_.Cancel();
-    options_.sockets->Release(party_);
+    options_.sockets->Release(connection_class_);
     auto self = shared_from_this();
     if (owner_ != nullptr) owner_->connections_.erase(self);
   }
@@ -206,20 +208,20 @@
   asio::ip::tcp::socket socket_;
   Timer timer_;
   const Options options_;
-  ConnectionClass party_;
+  ConnectionClass connection_class_;
   double idle_s_ = 0;
   http_parser parser_{};
   std::array<char, 4096> buffer_{};
-  size_t begin_ = 0;
-  size_t end_ = 0;
-  size_t head_ = 0;
+  size_t buffer_begin_ = 0;
+  size_t buffer_end_ = 0;
+  size_t request_bytes_ = 0;
   std::string url_;
   HttpRequest request_;
-  std::string out_;
+  std::string response_text_;
   int error_status_ = 0;
-  bool begun_ = false;
+  bool request_started_ = false;
   bool complete_ = false;
-  bool keep_ = false;
+  bool keep_alive_ = false;
   bool refused_ = false;
   bool closed_ = false;
 };
@@ -231,7 +233,7 @@
       handler_(std::move(handler)),
       acceptor_(io, ParseAddress(address)),
       accept_pause_(io) {
-  if (!options_.sockets) options_.sockets = std::make_shared<SocketBudget>(kOwnSockets);
+  if (!options_.sockets) options_.sockets = std::make_shared<SocketBudget>(kDefaultSockets);
   Accept();
 }
 
@@ -245,8 +247,8 @@
 void HttpServer::Accept() {
   acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {  // no sockets left, mostly: try again shortly
-      accept_pause_.After(kAcceptPauseS, [this] { Accept(); });
+    if (error) {  // usually out of file descriptors: retry shortly
+      accept_pause_.After(kAcceptRetryS, [this] { Accept(); });
       return;
     }
     if (options_.sockets->Acquire(options_.connection_class)) {
--- a/src/net/socket_budget.cc
+++ b/src/net/socket_budget.cc
@@ -6,23 +6,24 @@
 namespace {
 
 // Shares of all sockets.
-constexpr double kOutsideShare = 0.05;
-constexpr size_t kLeastOutside = 32;  // clients of the state service, the cloud and a few peers
+constexpr double kOutboundShare = 0.05;
+constexpr size_t kMinOutbound = 32;  // enough for the state service, the cloud and a few peers
 constexpr double kPeerShare = 0.05;
-constexpr double kOrderShare = 0.25;
-// Of those on the public address.
-constexpr double kWorkersStay = 0.7;
-constexpr double kUsersStay = 0.15;
-constexpr double kScarce = 0.75;  // above which users beyond their own share are sent off
+constexpr double kCommandShare = 0.25;
+// Shares of the sockets on the public address.
+constexpr double kAgentKeepAliveShare = 0.7;
+constexpr double kUserKeepAliveShare = 0.15;
+// Above this use, users' connections beyond their keep-alive share are closed after the response.
+constexpr double kScarceShare = 0.75;
 
-size_t Share(size_t of, double share) {
-  return std::max<size_t>(1, static_cast<size_t>(static_cast<double>(of) * share));
+size_t Share(size_t total, double share) {
+  return std::max<size_t>(1, static_cast<size_t>(static_cast<double>(total) * share));
 }
 
 }  // namespace
 
-const char* Name(ConnectionClass p) {
-  switch (p) {
+const char* Name(ConnectionClass c) {
+  switch (c) {
     case ConnectionClass::kUnidentified:
       return "new";
     case ConnectionClass::kUser:
@@ -40,41 +41,43 @@
 }
 
 SocketBudget::SocketBudget(size_t sockets)
-    : outside_(std::max(std::min(kLeastOutside, sockets / 2), Share(sockets, kOutsideShare))),
-      peers_(Share(sockets, kPeerShare)),
-      orders_(Share(sockets, kOrderShare)),
-      public_(std::max<size_t>(1, sockets - std::min(sockets, outside_ + peers_ + orders_))),
-      workers_stay_(Share(public_, kWorkersStay)),
-      users_stay_(Share(public_, kUsersStay)) {}
+    : outbound_limit_(
+          std::max(std::min(kMinOutbound, sockets / 2), Share(sockets, kOutboundShare))),
+      peer_limit_(Share(sockets, kPeerShare)),
+      command_limit_(Share(sockets, kCommandShare)),
+      public_limit_(std::max<size_t>(
+          1, sockets - std::min(sockets, outbound_limit_ + peer_limit_ + command_limit_))),
+      agent_keep_alive_limit_(Share(public_limit_, kAgentKeepAliveShare)),
+      user_keep_alive_limit_(Share(public_limit_, kUserKeepAliveShare)) {}
 
 size_t SocketBudget::public_used() const {
   return used(ConnectionClass::kUnidentified) + used(ConnectionClass::kUser) +
          used(ConnectionClass::kAgent);
 }
 
-size_t SocketBudget::limit(ConnectionClass p) const {
-  switch (p) {
+size_t SocketBudget::limit(ConnectionClass c) const {
+  switch (c) {
     case ConnectionClass::kPeer:
-      return peers_;
+      return peer_limit_;
     case ConnectionClass::kCommand:
-      return orders_;
+      return command_limit_;
     case ConnectionClass::kOutbound:
-      return outside_;
+      return outbound_limit_;
     default:
-      return public_;
+      return public_limit_;
   }
 }
 
-bool SocketBudget::Acquire(ConnectionClass p) {
-  if ((IsPublic(p) ? public_used() : used(p)) >= limit(p)) {
-    ++refused_[Index(p)];
+bool SocketBudget::Acquire(ConnectionClass c) {
+  if ((IsPublic(c) ? public_used() : used(c)) >= limit(c)) {
+    ++refused_[Index(c)];
     return false;
   }
-  ++used_[Index(p)];
+  ++used_[Index(c)];
   return true;
 }
 
-void SocketBudget::Release(ConnectionClass p) { used_[Index(p)] -= std::min<size_t>(1, used(p)); }
+void SocketBudget::Release(ConnectionClass c) { used_[Index(c)] -= std::min<size_t>(1, used(c)); }
 
 void SocketBudget::Reclassify(ConnectionClass from, ConnectionClass to) {
   if (from == to) return;
@@ -82,16 +85,17 @@
   ++used_[Index(to)];
 }
 
-bool SocketBudget::MayKeepAlive(ConnectionClass p) {
-  bool stays = true;
-  if (p == ConnectionClass::kAgent) {
-    stays = used(p) <= workers_stay_;
-  } else if (IsPublic(p)) {
-    stays = used(p) <= users_stay_ ||
-            static_cast<double>(public_used()) <= kScarce * static_cast<double>(public_);
+bool SocketBudget::MayKeepAlive(ConnectionClass c) {
+  bool keep_alive = true;
+  if (c == ConnectionClass::kAgent) {
+    keep_alive = used(c) <= agent_keep_alive_limit_;
+  } else if (IsPublic(c)) {
+    keep_alive =
+        used(c) <= user_keep_alive_limit_ ||
+        static_cast<double>(public_used()) <= kScarceShare * static_cast<double>(public_limit_);
   }
-  if (!stays) ++closed_after_answer_[Index(p)];
-  return stays;
+  if (!keep_alive) ++closed_after_answer_[Index(c)];
+  return keep_alive;
 }
 
 }  // namespace mosspath::net
--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -14,7 +14,7 @@
 namespace mosspath::net {
 namespace {
 
-// What was queued before a leader stalled must not be sent after it.
+// A request that was queued before a leader stalled must not be sent after the stall.
 TEST(HttpClientTest, ARequestThatIsNoLongerWantedIsNotSent) {
   asio::io_context io;
   int handled = 0;
@@ -40,8 +40,9 @@
   EXPECT_EQ(handled, 1);
 }
 
-// Former leaders were kept alive by the callbacks of the last request that their own connections
-// retained, and their sockets with them, until none were left.
+// Guards against a leak: a connection retained the callbacks of its last request, the callbacks
+// owned the former leader, and the leader owned the connection. The sockets of former leaders
+// stayed open until none were left.
 TEST(HttpClientTest, ReleasesTheCallbacksOfAFinishedRequest) {
   asio::io_context io;
   HttpServer server(io, "127.0.0.1:0", {}, [&](const HttpRequest&, const auto& respond) {
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -15,7 +15,8 @@
 namespace mosspath::net {
 namespace {
 
-// A server with a budget of sockets, which tells users from agents by the path of the request.
+// A server with a socket budget. The path of a request decides whether its client is a user or an
+// agent.
 struct TestServer {
   explicit TestServer(size_t limit)
       : sockets(std::make_shared<SocketBudget>(limit)),
@@ -27,7 +28,7 @@
                  respond(std::move(response));
                }),
         address("127.0.0.1:" + std::to_string(server.port())) {}
-  // Sends the request and returns the status of the answer.
+  // Sends the request and returns the status of the response.
   int Get(HttpClient& client, const char* path) {
     int status = -1;
     client.Send("GET", path, {}, 5, [&](const HttpResult& result) { status = result.status; });
@@ -41,7 +42,7 @@
   const std::string address;
 };
 
-// Many users kept all connections open, and agents found none.
+// Guards against many users who keep all connections open, so that agents can't connect.
 TEST(HttpServerTest, UserConnectionsAreClosedAfterTheAnswerWhenSocketsAreScarce) {
   TestServer test_server(64);
   std::vector<std::unique_ptr<HttpClient>> clients;
@@ -56,8 +57,8 @@
   EXPECT_EQ(test_server.sockets->used(ConnectionClass::kAgent), 1u);
 }
 
-// There are more agents than sockets, each over a connection of its own while it may keep one: all
-// are served, and so is a user.
+// There are more agents than sockets, and each agent keeps its own connection open while the server
+// allows it. All agents are served, and so is a user.
 TEST(HttpServerTest, MoreAgentsThanSocketsAreAllServed) {
   TestServer test_server(80);
   std::vector<std::unique_ptr<HttpClient>> agents;
--- a/tests/process_stall_test.cc
+++ b/tests/process_stall_test.cc
@@ -11,7 +11,7 @@
 
 using ProcessStallTest = SchedulerTest;
 
-// After a stall of its own process, a leader must not take agents for silent, slow or gone.
+// After a stall of its own process, a leader must not treat agents as silent, slow or gone.
 TEST_F(ProcessStallTest, AStallOfTheLeaderMakesNoAgentSuspect) {
   for (const char* id : {"vm-1", "vm-2", "vm-3"}) AddReadyMachine(id, 10);
   const double resumed = 10.1 + 3 * settings_.heartbeat_s;
@@ -21,7 +21,7 @@
   EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(resumed + settings_.heartbeat_s));
   for (const auto& [id, machine] : scheduler_.machines())
     EXPECT_GT(machine.last_contact_at, resumed - 1) << id;
-  // The leases that it granted to agents are promises: they do not start anew.
+  // The leases that the leader granted to agents stay as they are: a stall does not renew them.
   for (const auto& [id, machine] : scheduler_.machines())
     EXPECT_EQ(machine.lease_renewed_at, 10) << id;
   for (double now = resumed; now < resumed + 3 * settings_.heartbeat_s; now += 0.3)
@@ -51,7 +51,7 @@
   EXPECT_EQ(run("vm-1", 7, 12, false), 4u);
   EXPECT_EQ(run("vm-2", 13, 43, true), 4u);  // 30 s, most of them a stall
   EXPECT_FALSE(scheduler_.machines().at("vm-2").quarantined);
-  EXPECT_EQ(run("vm-2", 44, 74, false), 4u);  // and without a stall
+  EXPECT_EQ(run("vm-2", 44, 74, false), 4u);  // the same run time without a stall
   EXPECT_TRUE(scheduler_.machines().at("vm-2").quarantined);
 }
 
--- a/tests/socket_budget_test.cc
+++ b/tests/socket_budget_test.cc
@@ -1,4 +1,4 @@
-// The budget of sockets for each class of connections.
+// Limits on the sockets of each class of connections.
 #include "mosspath/net/socket_budget.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   }
   EXPECT_EQ(agents, budget.limit(ConnectionClass::kAgent));
   EXPECT_EQ(budget.refused(ConnectionClass::kUnidentified), 1u);
-  // All sockets of the public address are taken; the other classes still have theirs.
+  // All sockets of the public address are taken; the other classes still have their shares.
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kOutbound));
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kPeer));
   size_t commands = 0;
@@ -24,7 +24,7 @@
   EXPECT_LE(budget.limit(ConnectionClass::kAgent) + budget.limit(ConnectionClass::kCommand) +
                 budget.limit(ConnectionClass::kPeer) + budget.limit(ConnectionClass::kOutbound),
             1000u);
-  // Agents' connections are closed after the answer until users have sockets again.
+  // Agents' connections are closed after the response until users have sockets again.
   while (!budget.MayKeepAlive(ConnectionClass::kAgent)) budget.Release(ConnectionClass::kAgent);
   EXPECT_GT(budget.closed_after_answer(ConnectionClass::kAgent), 0u);
   EXPECT_LE(budget.used(ConnectionClass::kAgent) * 10, budget.limit(ConnectionClass::kAgent) * 7);
--- a/tests/timer_test.cc
+++ b/tests/timer_test.cc
@@ -8,8 +8,8 @@
 namespace mosspath::net {
 namespace {
 
-// A deadline that expired in the same turn in which the answer came ended the request a second
-// time.
+// Guards against a request that ends twice: its deadline expired in the same iteration of the event
+// loop in which its response arrived.
 TEST(TimerTest, CancelStopsAnExpiryThatIsAlreadyQueued) {
   asio::io_context io;
   Timer first(io), second(io);
