--- a/src/cli/cli.cc
+++ b/src/cli/cli.cc
@@ -22,12 +22,12 @@
 
 using wire::Json;
 
-constexpr int kFailed = 1;   // no answer, or one that says to come back later
-constexpr int kBadUse = 2;   // bad settings or arguments
-constexpr int kRefused = 3;  // the service understood and said no
+constexpr int kFailed = 1;      // no response, or a status that allows a retry (429 or 5xx)
+constexpr int kUsageError = 2;  // bad settings or arguments
+constexpr int kRejected = 3;    // the service rejected the request
 constexpr double kTimeoutS = 10;
 
-void SetUpLog(const std::string& node) {
+void ConfigureLogging(const std::string& node) {
   auto log = spdlog::stderr_logger_st("mosspath");
   log->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l " + node + " %v");
   const char* level = std::getenv("LOG_LEVEL");
@@ -38,18 +38,19 @@
   spdlog::set_default_logger(std::move(log));
 }
 
-// Runs as a controller node until the process is killed.
+// Runs a controller until the process is killed.
 int Serve(const config::Settings& settings) {
-  SetUpLog(settings.name);
+  ConfigureLogging(settings.name);
   asio::io_context io(1);
-  service::Controller node(io, settings);
-  node.Start();
+  service::Controller controller(io, settings);
+  controller.Start();
   io.run();
   return 0;
 }
 
-net::HttpResult Ask(const std::string& server, const std::string& method, const std::string& target,
-                    const std::string& body) {
+// Sends one request and waits for its response or the timeout.
+net::HttpResult SendRequest(const std::string& server, const std::string& method,
+                            const std::string& target, const std::string& body) {
   asio::io_context io(1);
   net::HttpClient client(io, server, {});
   net::HttpResult result;
@@ -61,11 +62,12 @@
   return result;
 }
 
-// Prints an answer, as JSON or for people, and turns its status into the exit
-// code.
-int Show(const net::HttpResult& r, bool json, const std::function<std::string(const Json&)>& tell) {
+// Prints a response, as JSON or in the text form of `format`, and returns the exit code for its
+// status.
+int PrintResult(const net::HttpResult& r, bool json,
+                const std::function<std::string(const Json&)>& format) {
   if (r.status == 0) {
-    std::cerr << "mosspath: no answer\n";
+    std::cerr << "mosspath: no response\n";
     return kFailed;
   }
   const Json body = Json::parse(r.body, nullptr, false);
@@ -73,17 +75,17 @@
     const std::string error =
         body.is_object() ? body.value("error", r.body) : std::to_string(r.status);
     std::cerr << "mosspath: " << error << " (" << r.status << ")\n";
-    return r.status == 429 || r.status >= 500 ? kFailed : kRefused;
+    return r.status == 429 || r.status >= 500 ? kFailed : kRejected;
   }
   if (json || !body.is_object()) {
     std::cout << r.body << '\n';
   } else {
-    std::cout << tell(body) << '\n';
+    std::cout << format(body) << '\n';
   }
   return 0;
 }
 
-std::string TellJob(const Json& j) {
+std::string FormatJob(const Json& j) {
   std::string out = j.value("id", "") + " " + j.value("stage", "");
   if (j.contains("done")) {
     out += ", " + std::to_string(j.value("done", 0)) + " done, " +
@@ -92,7 +94,7 @@
   return out;
 }
 
-std::string TellSettings(const Json& j) {
+std::string FormatSettings(const Json& j) {
   std::string out = "version " + std::to_string(j.value("version", uint64_t{0}));
   const Json settings = j.value("settings", Json::object());
   for (const auto& [key, v] : settings.items()) {
@@ -101,6 +103,7 @@
   return out;
 }
 
+// Reads a whole file, or standard input if `path` is "-".
 std::string ReadAll(const std::string& path) {
   std::ostringstream text;
   if (path == "-") {
@@ -113,6 +116,8 @@
   return text.str();
 }
 
+// Sends the assignments with the version of the current settings, so that the service rejects them
+// if the settings change in between.
 int SetSettings(const std::string& server, const std::vector<std::string>& assignments, bool json) {
   Json changes = Json::object();
   for (const auto& a : assignments) {
@@ -121,21 +126,21 @@
         equals == std::string::npos ? Json() : Json::parse(a.substr(equals + 1), nullptr, false);
     if (equals == std::string::npos || value.is_discarded()) {
       std::cerr << "mosspath: not of the form NAME=VALUE: " << a << '\n';
-      return kBadUse;
+      return kUsageError;
     }
     changes[a.substr(0, equals)] = value;
   }
-  const net::HttpResult now =
-      Ask(server, "GET", std::string(service::paths::kOperatorSettings), {});
-  const Json body = Json::parse(now.body, nullptr, false);
-  if (now.status != 200 || !body.is_object()) return Show(now, json, TellSettings);
+  const net::HttpResult current =
+      SendRequest(server, "GET", std::string(service::paths::kOperatorSettings), {});
+  const Json body = Json::parse(current.body, nullptr, false);
+  if (current.status != 200 || !body.is_object()) return PrintResult(current, json, FormatSettings);
   const Json request{{"version", body.value("version", uint64_t{0})}, {"settings", changes}};
-  return Show(Ask(server, "PUT", std::string(service::paths::kOperatorSettings), request.dump()),
-              json, TellSettings);
+  return PrintResult(
+      SendRequest(server, "PUT", std::string(service::paths::kOperatorSettings), request.dump()),
+      json, FormatSettings);
 }
 
-// What the command line says. Arguments of subcommands that were not given keep
-// their defaults.
+// The arguments of all subcommands. Those that the command line does not set keep their defaults.
 struct Arguments {
   std::string settings_file;
   bool check_only = false;
@@ -148,7 +153,7 @@
   std::vector<std::string> assignments;  // NAME=VALUE
 };
 
-// A subcommand and what it does; the function returns the exit code.
+// A subcommand and the function that runs it and returns the exit code.
 struct Subcommand {
   CLI::App* parser = nullptr;  // owned by the application's parser
   std::function<int(const Arguments&)> run;
@@ -157,30 +162,32 @@
 std::string JobPath(const std::string& id) { return std::string(service::paths::kJobs) + "/" + id; }
 
 int RunSubmit(const Arguments& arguments) {
-  return Show(Ask(arguments.public_address, "POST", std::string(service::paths::kJobs),
-                  ReadAll(arguments.job_file)),
-              arguments.json, TellJob);
+  return PrintResult(SendRequest(arguments.public_address, "POST",
+                                 std::string(service::paths::kJobs), ReadAll(arguments.job_file)),
+                     arguments.json, FormatJob);
 }
 
 int RunGet(const Arguments& arguments) {
-  return Show(Ask(arguments.public_address, "GET", JobPath(arguments.job_id), {}), arguments.json,
-              TellJob);
+  return PrintResult(SendRequest(arguments.public_address, "GET", JobPath(arguments.job_id), {}),
+                     arguments.json, FormatJob);
 }
 
 int RunCancel(const Arguments& arguments) {
   const std::string path = JobPath(arguments.job_id) + std::string(service::paths::kCancelSuffix);
-  return Show(Ask(arguments.public_address, "POST", path, {}), arguments.json, TellJob);
+  return PrintResult(SendRequest(arguments.public_address, "POST", path, {}), arguments.json,
+                     FormatJob);
 }
 
 int RunStatus(const Arguments& arguments) {
   const auto path = arguments.json ? service::paths::kStatusJson : service::paths::kStatusPage;
-  return Show(Ask(arguments.public_address, "GET", std::string(path), {}), arguments.json, TellJob);
+  return PrintResult(SendRequest(arguments.public_address, "GET", std::string(path), {}),
+                     arguments.json, FormatJob);
 }
 
 int RunSettingsGet(const Arguments& arguments) {
-  return Show(
-      Ask(arguments.peer_address, "GET", std::string(service::paths::kOperatorSettings), {}),
-      arguments.json, TellSettings);
+  return PrintResult(SendRequest(arguments.peer_address, "GET",
+                                 std::string(service::paths::kOperatorSettings), {}),
+                     arguments.json, FormatSettings);
 }
 
 int RunSettingsSet(const Arguments& arguments) {
@@ -189,8 +196,8 @@
 
 int RunController(const Arguments& arguments) {
   if (arguments.settings_file.empty()) {
-    std::cerr << "mosspath: --config FILE or a subcommand is needed; see --help\n";
-    return kBadUse;
+    std::cerr << "mosspath: --config FILE or a subcommand is required; see --help\n";
+    return kUsageError;
   }
   config::Settings settings = config::Load(arguments.settings_file);
   settings.lease_shards = arguments.lease_shards;
@@ -205,8 +212,9 @@
   app.add_option("--config", arguments.settings_file, "The settings file (TOML)")
       ->type_name("FILE");
   app.add_flag("--check", arguments.check_only, "With --config: validate the settings and exit");
-  app.add_flag("--lease-blocks", arguments.lease_shards,
-               "With --config: controllers hold blocks of machines (docs/blocks.md)");
+  app.add_flag(
+      "--lease-blocks", arguments.lease_shards,
+      "With --config: controllers hold leases on shards of the machines (docs/sharding.md)");
   app.set_version_flag("--version", std::string("mosspath ") + MOSSPATH_VERSION);
   app.require_subcommand(0, 1);
 }
@@ -214,14 +222,14 @@
 CLI::App* AddSubcommand(CLI::App& parent, const char* name, const char* help,
                         Arguments& arguments) {
   CLI::App* parser = parent.add_subcommand(name, help);
-  parser->add_flag("--json", arguments.json, "Print the service's JSON answer");
+  parser->add_flag("--json", arguments.json, "Print the service's JSON response");
   return parser;
 }
 
 CLI::App* AddUserSubcommand(CLI::App& app, const char* name, const char* help,
                             Arguments& arguments) {
   CLI::App* parser = AddSubcommand(app, name, help, arguments);
-  parser->add_option("--server", arguments.public_address, "A node's public address")
+  parser->add_option("--server", arguments.public_address, "The public address of a controller")
       ->type_name("ADDRESS:PORT");
   return parser;
 }
@@ -236,23 +244,25 @@
   get->add_option("id", arguments.job_id, "The job's id")->required();
   CLI::App* cancel = AddUserSubcommand(app, "cancel", "Cancel a job", arguments);
   cancel->add_option("id", arguments.job_id, "The job's id")->required();
-  CLI::App* status =
-      AddUserSubcommand(app, "status", "Show machines, queues, objectives and troubles", arguments);
+  CLI::App* status = AddUserSubcommand(
+      app, "status", "Show machines, queues, objectives and recent problems", arguments);
   return {{submit, RunSubmit}, {get, RunGet}, {cancel, RunCancel}, {status, RunStatus}};
 }
 
 std::vector<Subcommand> AddSettingsSubcommands(CLI::App& app, Arguments& arguments) {
-  CLI::App* settings = app.add_subcommand("settings", "Read or change the operators' settings");
+  CLI::App* settings = app.add_subcommand("settings", "Read or change the operator settings");
   settings->require_subcommand(1);
-  settings->add_option("--server", arguments.peer_address, "A node's back address")
+  settings
+      ->add_option("--server", arguments.peer_address,
+                   "The peer address of a controller (its setting back)")
       ->type_name("ADDRESS:PORT");
-  CLI::App* get = AddSubcommand(*settings, "get", "Show them", arguments);
-  CLI::App* set = AddSubcommand(*settings, "set", "Change some of them", arguments);
+  CLI::App* get = AddSubcommand(*settings, "get", "Show the settings", arguments);
+  CLI::App* set = AddSubcommand(*settings, "set", "Change settings", arguments);
   set->add_option("changes", arguments.assignments, "NAME=VALUE")->required();
   return {{get, RunSettingsGet}, {set, RunSettingsSet}};
 }
 
-// Runs the subcommand that was given, or the controller.
+// Runs the subcommand that was parsed, or the controller if there is none.
 int Run(const std::vector<Subcommand>& subcommands, const Arguments& arguments) {
   for (const Subcommand& subcommand : subcommands) {
     if (subcommand.parser->parsed()) return subcommand.run(arguments);
@@ -264,9 +274,9 @@
 
 int Main(int argc, char** argv) {
   CLI::App app{
-      "mosspath: a cluster scheduler.\nWith --config it serves as a "
-      "controller node until it is "
-      "killed; the subcommands talk to a running service."};
+      "mosspath: a cluster scheduler.\nWith --config it runs as a "
+      "controller until it is "
+      "killed; the subcommands send requests to a running service."};
   Arguments arguments;
   AddControllerOptions(app, arguments);
   std::vector<Subcommand> subcommands = AddUserSubcommands(app, arguments);
@@ -276,13 +286,13 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadUse;
+    return app.exit(e) == 0 ? 0 : kUsageError;
   }
   try {
     return Run(subcommands, arguments);
   } catch (const config::SettingsError& e) {
     std::cerr << e.what() << '\n';
-    return kBadUse;
+    return kUsageError;
   } catch (const std::exception& e) {
     std::cerr << "mosspath: " << e.what() << '\n';
     return kFailed;
