--- a/include/mosspath/autoscaler/offer_catalog.h
+++ b/include/mosspath/autoscaler/offer_catalog.h
@@ -1,4 +1,4 @@
-// The machine types on offer, by price, and which demands they can serve. Pure.
+// The offers of machines, ordered by price, and the demands that they can serve. Pure.
 #pragma once
 
 #include <map>
@@ -10,7 +10,8 @@
 
 namespace mosspath::autoscaler {
 
-// An offer with its type, which the catalog's caller owns, and its price per CPU.
+// A machine type in one zone, as spot or on-demand, with its price per CPU. The caller of the
+// catalog owns the type.
 struct PricedOffer {
   const wire::MachineType* type = nullptr;
   std::string zone;
@@ -20,6 +21,7 @@
   MachineOffer key() const { return {type->name, zone, spot}; }
 };
 
+// All offers of the machine types.
 class OfferCatalog {
  public:
   // The types outlive the catalog.
@@ -27,7 +29,7 @@
 
   // All offers, the cheapest per CPU first.
   const std::vector<PricedOffer>& offers() const { return offers_; }
-  // The type of that name; null if it is not on offer.
+  // The type of that name; null if there is none.
   const wire::MachineType* FindType(const std::string& name) const;
   // The cheapest offer that may serve the demand; null if none may.
   const PricedOffer* FindCheapest(const Demand& demand) const;
@@ -37,9 +39,9 @@
   std::map<std::string, const wire::MachineType*> type_by_name_;
 };
 
-// A task of the demand may run, and fits, on an empty machine of the offer.
+// Whether a task of the demand may run on machines of the offer and fits on an empty one.
 bool Allows(const Demand& demand, const PricedOffer& offer);
-// CPUs of the type, never 0.
+// CPUs of the type; never 0, so that a caller may divide by the result.
 double TypeCpus(const wire::MachineType& type);
 // CPUs of the type that one task takes, counting those that its memory and GPUs make unusable.
 double TaskCpus(const Demand& demand, const wire::MachineType& type);
--- a/include/mosspath/autoscaler/scale_in.h
+++ b/include/mosspath/autoscaler/scale_in.h
@@ -1,8 +1,9 @@
-// Which machines to give back: delete, drain or cordon. Pure.
+// Decides which machines to delete, drain or cordon. Pure.
 //
-// The dearest machines go first, of those the ones that are empty soonest, so that work gathers on
-// the others. Enough room stays free on machines that take new work; what runs on the others ends
-// by itself. (Room for that too kept twice the machines that were needed when a day's load fell.)
+// The most expensive machines are removed first, and among them those that will be empty soonest,
+// so that work concentrates on the remaining machines. Enough capacity stays free on machines that
+// take new tasks. Tasks on the removed machines run to their end there, so no capacity is kept free
+// for them elsewhere: doing so kept twice the machines that were needed when a day's load fell.
 #pragma once
 
 #include <map>
@@ -19,15 +20,16 @@
 struct ScaleInPlan {
   std::vector<std::string> scale_in;  // idle, to be deleted now
   std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // nor these, unless urgent work finds no room elsewhere
+  std::vector<std::string> cordon;    // to take only urgent tasks that fit nowhere else
 };
 
+// Makes one plan from the machines and the waiting demand.
 class ScaleInPlanner {
  public:
   // The arguments outlive the planner.
   ScaleInPlanner(const ScalingInput& input, const ScalingTuning& tuning,
                  const OfferCatalog& catalog,
-                 const std::map<MachineOffer, PromisedRoom>& promised_room);
+                 const std::map<MachineOffer, AllottedCapacity>& allotted_capacity);
 
   // To be called once.
   ScaleInPlan Plan();
@@ -39,33 +41,35 @@
     const wire::MachineType* type = nullptr;
   };
 
-  void CountFreeRoom();
-  // CPUs that must stay free on machines that take new work.
+  void CountFreeCapacity();
+  // CPUs that must stay free on machines that take new tasks.
   double RequiredFreeCpus() const;
-  // Spot machines carry enough of the work for on-demand ones to go.
+  // Whether spot machines have enough CPUs, compared with on-demand machines, for the latter to be
+  // removed.
   bool IsCoveredBySpot() const;
-  std::vector<Removable> DearestFirst() const;
-  // Free room of the machine that waiting work counts on.
+  // The machines that are up, in the order in which they are removed.
+  std::vector<Removable> MostExpensiveFirst() const;
+  // Free CPUs of the machine that waiting work may use, as the scale-out plan assumes.
   double UsefulCpus(const FleetMachine& machine, const wire::MachineType& type) const;
-  // An on-demand machine that is not worth its price, as spot machines carry the work.
+  // Whether the machine is an on-demand machine whose work spot machines can take over.
   bool IsReplacedBySpot(const Removable& candidate) const;
-  // Enough room stays free without the machine.
-  bool CanSpare(const Removable& candidate) const;
-  // Its room no longer counts.
-  void RemoveRoom(const Removable& candidate);
-  // Adds the machine, which can be spared, to the list that fits its state.
-  void GiveBack(const Removable& candidate, ScaleInPlan& plan) const;
+  // Whether enough capacity stays free without the machine.
+  bool CanRemove(const Removable& candidate) const;
+  // Subtracts the machine's free capacity from the totals.
+  void SubtractCapacity(const Removable& candidate);
+  // Adds the machine, which can be removed, to the list of the plan that fits its state.
+  void AddToPlan(const Removable& candidate, ScaleInPlan& plan) const;
 
   const ScalingInput& input_;
   const ScalingTuning& tuning_;
   const OfferCatalog& catalog_;
-  const std::map<MachineOffer, PromisedRoom>& promised_room_;
+  const std::map<MachineOffer, AllottedCapacity>& allotted_capacity_;
   double free_cpus_ = 0;            // on schedulable machines
   double on_demand_free_cpus_ = 0;  // of these, on on-demand machines
   double used_cpus_ = 0;            // on schedulable machines
   double required_free_cpus_ = 0;
   bool covered_by_spot_ = false;
-  std::map<MachineOffer, double> useful_cpus_;  // what waiting work counts on and still has
+  std::map<MachineOffer, double> useful_cpus_;  // free CPUs that waiting work may use
 };
 
 }  // namespace mosspath::autoscaler
--- a/include/mosspath/autoscaler/scale_out.h
+++ b/include/mosspath/autoscaler/scale_out.h
@@ -1,5 +1,5 @@
-// Which machines to request: waiting work takes the free room there is, then new machines of the
-// cheapest offers. Pure.
+// Decides which machines to request: waiting work takes the free capacity first, then new machines
+// of the cheapest offers. Pure.
 #pragma once
 
 #include <limits>
@@ -12,18 +12,19 @@
 
 namespace mosspath::autoscaler {
 
-// Free room of an offer's machines that waiting work counts on.
-struct PromisedRoom {
+// Free capacity of an offer's machines that is allotted to waiting work.
+struct AllottedCapacity {
   double cpus = 0;
-  // The least free room of one machine that is of use to any of that work.
-  double min_piece_cpus = std::numeric_limits<double>::infinity();
+  // A machine with fewer free CPUs is of no use to any of that work.
+  double min_usable_cpus = std::numeric_limits<double>::infinity();
 };
 
 struct ScaleOutPlan {
   std::vector<ScaleOutRequest> requests;
-  std::map<MachineOffer, PromisedRoom> promised_room;
+  std::map<MachineOffer, AllottedCapacity> allotted_capacity;
 };
 
+// Makes one plan from the machines and the waiting demand.
 class ScaleOutPlanner {
  public:
   // The arguments outlive the planner.
@@ -34,35 +35,37 @@
   ScaleOutPlan Plan();
 
  private:
-  // Free room on the machines of one offer.
-  struct FreeRoom {
+  // Free capacity on the machines of one offer.
+  struct FreeCapacity {
     double cpus = 0;
     double max_on_one_machine_cpus = 0;
   };
 
   void CountMachines();
-  // Demands that the fewest offers can serve first: they have the least choice.
-  std::vector<const Demand*> NarrowestFirst() const;
-  // CPUs that should come for the demand: to run the waiting work within the horizon, but not more
-  // than all of it at once. `offer`: the cheapest one for it.
+  // The demands, ordered by how many offers can serve them. Those with the fewest offers choose
+  // first, as they have no alternative.
+  std::vector<const Demand*> FewestOffersFirst() const;
+  // CPUs that the demand needs: enough to finish the waiting work within the horizon, but no more
+  // than run all of it at once. `offer`: the cheapest one that can serve the demand.
   double NeededCpus(const Demand& demand, const PricedOffer& offer) const;
-  // Promises free room to the demand. Returns the CPUs that it found none for.
-  double TakeFreeRoom(const Demand& demand, double needed_cpus);
-  // Requests machines for these CPUs.
+  // Allots free capacity to the demand. Returns the CPUs that remain to be requested.
+  double AllotFreeCapacity(const Demand& demand, double needed_cpus);
+  // Requests machines with this many CPUs for the demand, of the cheapest open offers.
   void RequestMachines(const Demand& demand, double missing_cpus);
-  // Requests machines of equally cheap offers, spread evenly over their zones. Returns what is
-  // still missing.
+  // Requests machines of equally cheap offers, spread evenly over their zones. Returns the CPUs
+  // that are still missing.
   double RequestEvenly(const std::vector<const PricedOffer*>& offers, double missing_cpus);
+  // Whether machines of the offer may be requested for the demand now.
   bool IsOpenFor(const Demand& demand, const PricedOffer& offer) const;
 
   const ScalingInput& input_;
   const ScalingTuning& tuning_;
   const OfferCatalog& catalog_;
-  std::map<MachineOffer, FreeRoom> free_room_;
+  std::map<MachineOffer, FreeCapacity> free_capacity_;
   std::map<std::string, int> machines_by_zone_;  // schedulable or requested
   int machine_count_;                            // of any state, and requested ones
   std::map<MachineOffer, int> requested_;
-  std::map<MachineOffer, PromisedRoom> promised_room_;
+  std::map<MachineOffer, AllottedCapacity> allotted_capacity_;
 };
 
 }  // namespace mosspath::autoscaler
--- a/include/mosspath/autoscaler/scaling_planner.h
+++ b/include/mosspath/autoscaler/scaling_planner.h
@@ -1,4 +1,5 @@
-// Which machines to rent and which to return. Pure: demand and picture in, wishes out.
+// The autoscaler's planner: decides which machines to add, delete, drain or cordon, from the
+// waiting demand and the present machines. Pure.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 
 namespace mosspath::autoscaler {
 
-// Tasks alike in where they may run.
+// Waiting tasks with the same resources and placement constraints.
 struct Demand {
   bool spot_allowed = true;
   std::vector<std::string> types;  // empty: any
@@ -18,12 +19,13 @@
   double cpus = 0;                 // of one task
   double gpus = 0;
   double memory_gb = 0;
-  double waiting_tasks = 0;  // tasks with no place
+  double waiting_tasks = 0;  // tasks that are not placed
   double waiting_run_s = 0;  // their expected run time, summed over tasks
   bool urgent = false;
 };
 
-struct FleetMachine {  // a machine that is up, or rented and on its way
+// A machine that is up, or provisioned and still booting.
+struct FleetMachine {
   std::string id;
   std::string type;
   std::string zone;
@@ -33,9 +35,9 @@
   bool idle = false;
   double idle_s = 0;
   double used_cpus = 0;
-  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to take yet
+  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to need still
   bool draining = false;
-  bool has_on_demand_work = false;  // runs work that allows no cheap machine
+  bool has_on_demand_work = false;  // runs work that may not use spot machines
 };
 
 struct ScaleOutRequest {
@@ -49,7 +51,7 @@
   std::vector<ScaleOutRequest> scale_out;
   std::vector<std::string> scale_in;  // idle, to be deleted now
   std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // nor these, unless urgent work finds no room elsewhere
+  std::vector<std::string> cordon;    // to take only urgent tasks that fit nowhere else
 };
 
 using MachineOffer = std::tuple<std::string, std::string, bool>;  // type, zone, spot
@@ -57,21 +59,27 @@
 struct ScalingInput {
   std::vector<wire::MachineType> types;
   std::vector<Demand> demand;
-  double burst_cpus = 0;      // the largest urgent job lately: the next should find room at once
-  double on_demand_cpus = 0;  // free on ordinary machines, for what may use no other
+  // CPUs of the largest recent urgent job. As many stay free, so that the next one starts at once.
+  double burst_cpus = 0;
+  // CPUs to keep free on on-demand machines, for urgent work that may not use spot machines.
+  double on_demand_cpus = 0;
   std::vector<FleetMachine> machines;
-  std::map<MachineOffer, double> closed_until;  // offers that had no capacity
+  // Offers that had no capacity, with the time until which they are not requested.
+  std::map<MachineOffer, double> closed_until;
   double now = 0;
 };
 
 struct ScalingTuning {
-  double horizon_boots = 2.0;     // waiting work should be gone within this many boot times
+  double horizon_boots = 2.0;     // waiting work should be finished within this many boot times
   double keep_idle_boots = 0.02;  // an idle machine is kept for this many boot times
-  double reserve = 0.1;           // free room that is kept, as a share of what is used
-  double spot_cover = 2.0;  // ordinary machines go once cheap ones have this many times their CPUs
+  double reserve = 0.1;           // free CPUs to keep, as a fraction of the used CPUs
+  // On-demand machines are removed once spot machines have this many times their CPUs.
+  double spot_cover = 2.0;
   int max_machines = 100'000;
 };
 
+// Returns the changes that fit the machines to the demand. Waiting demand first takes the free
+// capacity, and new machines are requested for the rest.
 ScalingPlan PlanScaling(const ScalingInput& in, const ScalingTuning& tuning);
 
 }  // namespace mosspath::autoscaler
--- a/src/autoscaler/offer_catalog.cc
+++ b/src/autoscaler/offer_catalog.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMinTypeCpus = 1e-3;
-constexpr double kSlack = 1e-6;  // in CPUs, GPUs and GB
+constexpr double kTolerance = 1e-6;  // in CPUs, GPUs and GB
 
 bool IsTypeAllowed(const Demand& demand, const std::string& type) {
   return demand.types.empty() ||
@@ -46,17 +46,17 @@
   if (offer.spot && !demand.spot_allowed) return false;
   if (!demand.zone.empty() && demand.zone != offer.zone) return false;
   if (!IsTypeAllowed(demand, type.name)) return false;
-  return demand.cpus <= type.cpus + kSlack && demand.gpus <= type.gpus + kSlack &&
-         demand.memory_gb <= type.memory_gb + kSlack;
+  return demand.cpus <= type.cpus + kTolerance && demand.gpus <= type.gpus + kTolerance &&
+         demand.memory_gb <= type.memory_gb + kTolerance;
 }
 
 double TypeCpus(const wire::MachineType& type) { return std::max(type.cpus, kMinTypeCpus); }
 
 double TaskCpus(const Demand& demand, const wire::MachineType& type) {
-  double share = demand.cpus / TypeCpus(type);
-  if (type.memory_gb > 0) share = std::max(share, demand.memory_gb / type.memory_gb);
-  if (type.gpus > 0) share = std::max(share, demand.gpus / type.gpus);
-  return share * TypeCpus(type);
+  double fraction = demand.cpus / TypeCpus(type);
+  if (type.memory_gb > 0) fraction = std::max(fraction, demand.memory_gb / type.memory_gb);
+  if (type.gpus > 0) fraction = std::max(fraction, demand.gpus / type.gpus);
+  return fraction * TypeCpus(type);
 }
 
 double FreeCpus(const FleetMachine& machine, const wire::MachineType& type) {
--- a/src/autoscaler/scale_in.cc
+++ b/src/autoscaler/scale_in.cc
@@ -5,15 +5,15 @@
 namespace mosspath::autoscaler {
 namespace {
 
-constexpr double kSlackCpus = 1e-6;
+constexpr double kToleranceCpus = 1e-6;
 constexpr double kMinPrice = 1e-9;
 
 MachineOffer OfferOf(const FleetMachine& machine) {
   return {machine.type, machine.zone, machine.spot};
 }
 
-// Work that the machine does for its price: a large machine is emptied before it holds but a few
-// tasks.
+// The work left on the machine in relation to its price. Without the price, a large machine would
+// be removed only once a few tasks are left on it.
 double RemainingWorkPerPrice(const FleetMachine& machine, const wire::MachineType& type) {
   const double price = machine.spot ? type.spot_price : type.price;
   return machine.remaining_cpu_s / std::max(kMinPrice, price);
@@ -23,28 +23,28 @@
 
 ScaleInPlanner::ScaleInPlanner(const ScalingInput& input, const ScalingTuning& tuning,
                                const OfferCatalog& catalog,
-                               const std::map<MachineOffer, PromisedRoom>& promised_room)
-    : input_(input), tuning_(tuning), catalog_(catalog), promised_room_(promised_room) {}
+                               const std::map<MachineOffer, AllottedCapacity>& allotted_capacity)
+    : input_(input), tuning_(tuning), catalog_(catalog), allotted_capacity_(allotted_capacity) {}
 
 ScaleInPlan ScaleInPlanner::Plan() {
-  CountFreeRoom();
+  CountFreeCapacity();
   required_free_cpus_ = RequiredFreeCpus();
   covered_by_spot_ = IsCoveredBySpot();
   ScaleInPlan plan;
-  for (const Removable& candidate : DearestFirst()) {
+  for (const Removable& candidate : MostExpensiveFirst()) {
     const FleetMachine& machine = *candidate.machine;
     if (!machine.schedulable) {
       if (machine.idle) plan.scale_in.push_back(machine.id);
       continue;
     }
-    if (!CanSpare(candidate)) continue;
-    RemoveRoom(candidate);
-    GiveBack(candidate, plan);
+    if (!CanRemove(candidate)) continue;
+    SubtractCapacity(candidate);
+    AddToPlan(candidate, plan);
   }
   return plan;
 }
 
-void ScaleInPlanner::CountFreeRoom() {
+void ScaleInPlanner::CountFreeCapacity() {
   for (const FleetMachine& machine : input_.machines) {
     const wire::MachineType* type = catalog_.FindType(machine.type);
     if (type == nullptr || !machine.schedulable) continue;
@@ -78,7 +78,7 @@
   return spot_cpus >= tuning_.spot_cover * on_demand_cpus;
 }
 
-std::vector<ScaleInPlanner::Removable> ScaleInPlanner::DearestFirst() const {
+std::vector<ScaleInPlanner::Removable> ScaleInPlanner::MostExpensiveFirst() const {
   std::vector<Removable> order;
   for (const FleetMachine& machine : input_.machines) {
     const wire::MachineType* type = catalog_.FindType(machine.type);
@@ -94,10 +94,10 @@
 
 double ScaleInPlanner::UsefulCpus(const FleetMachine& machine,
                                   const wire::MachineType& type) const {
-  const auto promised = promised_room_.find(OfferOf(machine));
-  if (promised == promised_room_.end()) return 0;
+  const auto allotted = allotted_capacity_.find(OfferOf(machine));
+  if (allotted == allotted_capacity_.end()) return 0;
   const double free_cpus = FreeCpus(machine, type);
-  return free_cpus + kSlackCpus >= promised->second.min_piece_cpus ? free_cpus : 0;
+  return free_cpus + kToleranceCpus >= allotted->second.min_usable_cpus ? free_cpus : 0;
 }
 
 bool ScaleInPlanner::IsReplacedBySpot(const Removable& candidate) const {
@@ -106,23 +106,24 @@
          !machine.has_on_demand_work;
 }
 
-bool ScaleInPlanner::CanSpare(const Removable& candidate) const {
+bool ScaleInPlanner::CanRemove(const Removable& candidate) const {
   const FleetMachine& machine = *candidate.machine;
   const double free_cpus = FreeCpus(machine, *candidate.type);
   const bool enough_left = free_cpus_ - free_cpus >= required_free_cpus_;
   if (!enough_left && !IsReplacedBySpot(candidate)) return false;
   const bool keeps_on_demand = !machine.spot && input_.on_demand_cpus > 0;
   if (keeps_on_demand && on_demand_free_cpus_ - free_cpus < input_.on_demand_cpus) return false;
-  // Nor is room taken away that work waits for, and that no other has: with enough on machines
-  // that it may not use, all that it may use was cordoned, and nothing was requested either.
+  // Capacity that waiting work depends on is not removed. Without this rule, when machines that the
+  // work may not use had enough free capacity, all machines that it may use were cordoned. No
+  // machine was requested either, since the cordoned ones still counted.
   const double useful_cpus = UsefulCpus(machine, *candidate.type);
   if (useful_cpus <= 0) return true;
   const MachineOffer offer = OfferOf(machine);
   const double useful_left = useful_cpus_.at(offer) - useful_cpus;
-  return useful_left >= promised_room_.at(offer).cpus - kSlackCpus;
+  return useful_left >= allotted_capacity_.at(offer).cpus - kToleranceCpus;
 }
 
-void ScaleInPlanner::RemoveRoom(const Removable& candidate) {
+void ScaleInPlanner::SubtractCapacity(const Removable& candidate) {
   const FleetMachine& machine = *candidate.machine;
   const double free_cpus = FreeCpus(machine, *candidate.type);
   useful_cpus_[OfferOf(machine)] -= UsefulCpus(machine, *candidate.type);
@@ -130,7 +131,7 @@
   free_cpus_ -= free_cpus;
 }
 
-void ScaleInPlanner::GiveBack(const Removable& candidate, ScaleInPlan& plan) const {
+void ScaleInPlanner::AddToPlan(const Removable& candidate, ScaleInPlan& plan) const {
   const FleetMachine& machine = *candidate.machine;
   const bool replaced = IsReplacedBySpot(candidate);
   const double keep_idle_s = tuning_.keep_idle_boots * candidate.type->boot_s;
--- a/src/autoscaler/scale_out.cc
+++ b/src/autoscaler/scale_out.cc
@@ -5,13 +5,13 @@
 namespace mosspath::autoscaler {
 namespace {
 
-constexpr double kSlackCpus = 1e-6;
+constexpr double kToleranceCpus = 1e-6;
 // Offers whose prices differ by less than this count as equally cheap.
 constexpr double kSamePriceFactor = 1.0001;
 
 struct RankedDemand {
   const Demand* demand = nullptr;
-  std::ptrdiff_t offer_count = 0;  // that may serve it
+  std::ptrdiff_t offer_count = 0;  // offers that can serve the demand
 };
 
 }  // namespace
@@ -25,10 +25,10 @@
 
 ScaleOutPlan ScaleOutPlanner::Plan() {
   CountMachines();
-  for (const Demand* demand : NarrowestFirst()) {
+  for (const Demand* demand : FewestOffersFirst()) {
     const PricedOffer* cheapest = catalog_.FindCheapest(*demand);
     if (cheapest == nullptr) continue;
-    const double missing_cpus = TakeFreeRoom(*demand, NeededCpus(*demand, *cheapest));
+    const double missing_cpus = AllotFreeCapacity(*demand, NeededCpus(*demand, *cheapest));
     RequestMachines(*demand, missing_cpus);
   }
   ScaleOutPlan plan;
@@ -36,7 +36,7 @@
     const auto& [type, zone, spot] = offer;
     plan.requests.push_back({type, zone, spot, count});
   }
-  plan.promised_room = std::move(promised_room_);
+  plan.allotted_capacity = std::move(allotted_capacity_);
   return plan;
 }
 
@@ -45,14 +45,14 @@
     const wire::MachineType* type = catalog_.FindType(machine.type);
     if (type == nullptr || !machine.schedulable) continue;
     const double free_cpus = FreeCpus(machine, *type);
-    FreeRoom& room = free_room_[{machine.type, machine.zone, machine.spot}];
-    room.cpus += free_cpus;
-    room.max_on_one_machine_cpus = std::max(room.max_on_one_machine_cpus, free_cpus);
+    FreeCapacity& free = free_capacity_[{machine.type, machine.zone, machine.spot}];
+    free.cpus += free_cpus;
+    free.max_on_one_machine_cpus = std::max(free.max_on_one_machine_cpus, free_cpus);
     ++machines_by_zone_[machine.zone];
   }
 }
 
-std::vector<const Demand*> ScaleOutPlanner::NarrowestFirst() const {
+std::vector<const Demand*> ScaleOutPlanner::FewestOffersFirst() const {
   std::vector<RankedDemand> ranked;
   for (const Demand& demand : input_.demand) {
     const auto allows = [&](const PricedOffer& offer) { return Allows(demand, offer); };
@@ -76,21 +76,22 @@
   return std::min(all_at_once, std::max(within_horizon, task_cpus));
 }
 
-double ScaleOutPlanner::TakeFreeRoom(const Demand& demand, double needed_cpus) {
+double ScaleOutPlanner::AllotFreeCapacity(const Demand& demand, double needed_cpus) {
   double missing_cpus = needed_cpus;
   for (const PricedOffer& offer : catalog_.offers()) {
     if (!Allows(demand, offer)) continue;
     const double task_cpus = TaskCpus(demand, *offer.type);
-    FreeRoom& room = free_room_[offer.key()];
-    // Room in pieces that not one task fits into is none: a replica waited for it for ever.
-    if (room.max_on_one_machine_cpus + kSlackCpus < task_cpus) continue;
-    const double taken = std::min(room.cpus, missing_cpus);
-    room.cpus -= taken;
+    FreeCapacity& free = free_capacity_[offer.key()];
+    // Free CPUs count only if some machine has room for a whole task. Without this rule, a replica
+    // waited for ever for capacity that was spread over machines in pieces too small for it.
+    if (free.max_on_one_machine_cpus + kToleranceCpus < task_cpus) continue;
+    const double taken = std::min(free.cpus, missing_cpus);
+    free.cpus -= taken;
     missing_cpus -= taken;
     if (taken <= 0) continue;
-    PromisedRoom& promised = promised_room_[offer.key()];
-    promised.cpus += taken;
-    promised.min_piece_cpus = std::min(promised.min_piece_cpus, task_cpus);
+    AllottedCapacity& allotted = allotted_capacity_[offer.key()];
+    allotted.cpus += taken;
+    allotted.min_usable_cpus = std::min(allotted.min_usable_cpus, task_cpus);
   }
   return missing_cpus;
 }
@@ -98,7 +99,7 @@
 void ScaleOutPlanner::RequestMachines(const Demand& demand, double missing_cpus) {
   const std::vector<PricedOffer>& offers = catalog_.offers();
   size_t begin = 0;
-  while (begin < offers.size() && missing_cpus > kSlackCpus) {
+  while (begin < offers.size() && missing_cpus > kToleranceCpus) {
     const double max_price = offers[begin].price_per_cpu * kSamePriceFactor;
     std::vector<const PricedOffer*> open;
     size_t end = begin;
@@ -113,14 +114,14 @@
 bool ScaleOutPlanner::IsOpenFor(const Demand& demand, const PricedOffer& offer) const {
   const auto closed = input_.closed_until.find(offer.key());
   if (closed != input_.closed_until.end() && closed->second > input_.now) return false;
-  // An on-demand machine is no stand-in for a spot machine that is sold out just now.
+  // On-demand machines are not requested in place of spot machines that have no capacity for now.
   if (!offer.spot && demand.spot_allowed && offer.type->spot_price > 0) return false;
   return Allows(demand, offer);
 }
 
 double ScaleOutPlanner::RequestEvenly(const std::vector<const PricedOffer*>& offers,
                                       double missing_cpus) {
-  while (missing_cpus > kSlackCpus && machine_count_ < tuning_.max_machines) {
+  while (missing_cpus > kToleranceCpus && machine_count_ < tuning_.max_machines) {
     const PricedOffer& offer = **std::min_element(
         offers.begin(), offers.end(), [&](const PricedOffer* a, const PricedOffer* b) {
           return machines_by_zone_[a->zone] < machines_by_zone_[b->zone];
--- a/tests/scaling_planner_test.cc
+++ b/tests/scaling_planner_test.cc
@@ -1,4 +1,4 @@
-// Which machines the scaling planner rents, keeps, cordons and returns.
+// Which machines the scaling planner adds, keeps, cordons and deletes.
 #include "mosspath/autoscaler/scaling_planner.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   return machine;
 }
 
-// Free capacity of spot machines is no reason to return the on-demand machine that is reserved.
+// Free capacity on spot machines is no reason to delete an on-demand machine that is reserved.
 TEST_F(ScalingPlannerTest, SpotCapacityDoesNotReplaceReservedOnDemandCapacity) {
   type_.spot_price = 0.3;
   autoscaler::ScalingInput input;
@@ -46,9 +46,9 @@
   EXPECT_EQ(with_reservation.size(), 2u);
 }
 
-// On-demand machines had one free CPU each, and an idle spot machine that the replica may not use
-// was counted, so nothing was rented and the replica waited for ever (`simulate addition`, seed
-// 45).
+// Guards against a replica that waits for ever (`simulate addition`, seed 45): each on-demand
+// machine had one free CPU, too little for the replica. The planner counted these CPUs and an idle
+// spot machine that the replica may not use, so it requested no machine.
 TEST_F(ScalingPlannerTest, FragmentedCapacityDoesNotCoverDemand) {
   type_.spot_price = 0.3;
   autoscaler::ScalingInput input;
@@ -74,9 +74,9 @@
   EXPECT_TRUE(scale_out().empty());
 }
 
-// Spot machines and the other zone had enough capacity, so every machine that the tasks may use was
-// drained; its capacity was still counted, so nothing was rented and the tasks waited for ever
-// (`simulate meetings`, seed 161).
+// Guards against tasks that wait for ever (`simulate meetings`, seed 161): spot machines and the
+// other zone had enough capacity, so the planner drained every machine that the tasks may use. The
+// capacity of these machines still counted, so no machine was requested.
 TEST_F(ScalingPlannerTest, CapacityThatPendingTasksNeedIsNotDrained) {
   type_.spot_price = 0.3;
   type_.zones = {"a", "b"};
