--- a/include/mosspath/scheduler/machine_refill.h
+++ b/include/mosspath/scheduler/machine_refill.h
@@ -1,8 +1,9 @@
-// Refills the room that came free on one machine, between placement passes. Pure.
+// Places tasks on one machine whose resources came free, between placement passes. Pure.
 //
-// The waiting jobs in their order, as a pass would do with no room elsewhere. Of jobs whose virtual
-// deadlines are close the one whose image is on the machine goes first: layer locality from the
-// machine's side, since with all machines full the jobs are what there is to choose from.
+// Takes the waiting jobs in their order, as a placement pass would if all other machines were full.
+// Among jobs with close virtual deadlines, a job whose image is on the machine goes first. This is
+// layer locality from the machine's side: when all machines are full, there is a choice of jobs but
+// not of machines.
 #pragma once
 
 #include <cstddef>
@@ -19,6 +20,7 @@
 
 namespace mosspath::scheduler {
 
+// Fills one machine at a time with waiting tasks.
 class MachineRefill {
  public:
   // The arguments outlive this object.
@@ -35,9 +37,10 @@
   void PlaceDeficits(cluster::Machine& machine, const DeficitQueue& deficits, double now);
   void PlaceInOrder(cluster::Machine& machine, const std::vector<jobs::Job*>& waiting_jobs,
                     double now);
-  // Whether a task of the job may take room on the machine now.
+  // Whether a task of the job may be placed on the machine now.
   bool CanPlace(jobs::Job& job, const cluster::Machine& machine, double now);
-  // The job at `first`, or a later one of its band that is worth the wait for its fetch.
+  // Returns the job at `first`, or a later job of the same priority band whose virtual deadline is
+  // earlier once the image fetches are added.
   jobs::Job* ChooseByFetch(const std::vector<jobs::Job*>& waiting_jobs, size_t first,
                            const cluster::Machine& machine, double now);
 
--- a/include/mosspath/scheduler/provisioning_tracker.h
+++ b/include/mosspath/scheduler/provisioning_tracker.h
@@ -1,5 +1,5 @@
-// Machines that are on their way or gone for good, and offers without capacity: what the scaling
-// planner must know beside the machines that report. Pure.
+// Tracks machines that are booting or deleted, and offers without capacity: the input of the
+// scaling planner besides the machines whose agents report. Pure.
 #pragma once
 
 #include <map>
@@ -12,6 +12,8 @@
 
 namespace mosspath::scheduler {
 
+// Tracks the machines of the cloud from their provisioning until their agents report, and again
+// after their deletion. Times are in seconds.
 class ProvisioningTracker {
  public:
   ProvisioningTracker(const config::Settings& settings, const config::DerivedSettings& derived);
@@ -19,36 +21,36 @@
   // A machine whose agent has not reported yet.
   struct BootingMachine {
     autoscaler::ScaleOutRequest offer;
-    double since = 0;  // when it was provisioned, or first listed as running
+    double since = 0;  // start of its time limit: provisioned, or first listed as running
     bool up = false;   // the cloud lists it as running
   };
   const std::map<std::string, BootingMachine>& booting() const { return booting_; }
 
-  // All machines that are known, whichever controller commands them.
+  // All machines in the cluster's state, both those of this controller and delegated ones.
   using MachineMaps = std::vector<cluster::Machines*>;
 
-  // The cloud has provisioned these machines as the offer says.
+  // The cloud has provisioned these machines for the offer.
   void OnProvisioned(const std::vector<std::string>& ids, const autoscaler::ScaleOutRequest& offer,
                      const MachineMaps& all_machines, double now);
-  // The cloud has no capacity for the offer, which is not to be asked for before `until`.
+  // The cloud has no capacity for the offer. The offer is not requested again before `until`.
   void OnRefused(const autoscaler::ScaleOutRequest& offer, double until);
   const std::map<autoscaler::MachineOffer, double>& closed_until() const { return closed_until_; }
   // The machine's agent reports.
   void OnMachineUp(const std::string& id) { booting_.erase(id); }
-  // The machine was deleted: late heartbeats of it are void.
+  // The machine was deleted: its late heartbeats are ignored.
   void OnMachineDeleted(const std::string& id, double now);
   bool is_deleted(const std::string& id) const { return deleted_at_.contains(id); }
-  // The cloud's list of all machines, requested at `requested_at`: marks which have failed or
-  // vanished, and takes in those that are booting.
+  // Applies the cloud's list of all machines, which was requested at `requested_at`: marks the
+  // machines that have failed or are missing, and adds those that are booting.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed,
                      const MachineMaps& all_machines, double requested_at, double now);
 
-  // An urgent job needs so many CPUs at once: the next one should find as much room.
+  // Records an urgent job that needs this many CPUs at once. As many stay free for the next one.
   void OnUrgentJob(double submitted, double cpus) { urgent_jobs_.push_back({submitted, cpus}); }
-  // Returns the CPUs of the largest recent urgent job; forgets those that are not recent.
+  // Returns the CPUs of the largest recent urgent job, and discards jobs that are not recent.
   double LargestBurstCpus(double now, const cluster::MachineTypeCatalog& types);
-  // Appends the machines that are on their way to `machines`, and the ids of those that are given
-  // up, as they have not come up in time, to `given_up`.
+  // Appends the booting machines to `machines`. The ids of those that have not come up within their
+  // time limit go to `given_up` instead.
   void AppendBootingMachines(double now, const cluster::MachineTypeCatalog& types,
                              std::vector<autoscaler::FleetMachine>& machines,
                              std::vector<std::string>& given_up) const;
@@ -61,7 +63,7 @@
   void TakeListedBooting(const wire::ListedMachine& listed, double now);
   void MarkMissing(const std::vector<wire::ListedMachine>& listed, const MachineMaps& all_machines,
                    double requested_at) const;
-  // Seconds that a machine may be on its way before it is given up.
+  // Seconds that a machine may take to come up.
   double BootPatienceS(const BootingMachine& machine,
                        const cluster::MachineTypeCatalog& types) const;
 
--- a/include/mosspath/scheduler/scaling_coordinator.h
+++ b/include/mosspath/scheduler/scaling_coordinator.h
@@ -1,5 +1,5 @@
 // Builds the input of the autoscaler's planner from the scheduler's state, and applies the plan
-// that it returns: which machines drain, and which are to be added or deleted. Pure.
+// that the planner returns. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,32 @@
 
 namespace mosspath::scheduler {
 
+// Plans which machines the leader adds, deletes and drains, and sets the drain state of the
+// machines in the scheduler's state.
 class ScalingCoordinator {
  public:
   // Both outlive this object.
   ScalingCoordinator(SchedulerState& state, TaskMigration& migration)
       : state_(state), migration_(migration) {}
 
-  // Plans with the present demand, marks the machines that drain, tells the holders of shards of
-  // the changes among theirs, and starts migrations. The caller carries out what the returned plan
-  // adds and deletes; its deletions include machines that are unreachable or never came up.
+  // Makes a plan for the present demand, marks the machines that drain, sends changes of delegated
+  // machines' drain level to their holders, and starts migrations. The caller adds and deletes
+  // machines as the returned plan says. The deletions include machines that are unreachable or
+  // never came up.
   autoscaler::ScalingPlan Plan(double now);
 
  private:
-  // Machines that are to be deleted whatever the demand is, by the cause.
+  // Machines that are deleted regardless of the demand, by cause.
   struct MachinesToReplace {
-    // Silent for too long. Whether each is deleted depends on how many there are.
+    // Silent for too long, or no longer run by the cloud. Whether a silent machine is deleted also
+    // depends on how many there are.
     std::set<std::string> unreachable;
-    // The last machines that a takeover waits for.
+    // The last machines that delay a recovery or reconciliation which is otherwise nearly complete.
     std::vector<std::string> stragglers;
-    // Provisioned, and given up before their agents reported.
+    // Provisioned, but their agents have not reported within the time limit.
     std::vector<std::string> never_booted;
   };
-  // How much a machine drains, in the values of ShardMessage::Kind::kSetDraining.
+  // Which new tasks a machine takes, in the values of ShardMessage::Kind::kSetDraining.
   enum class DrainLevel : uint64_t { kNone = 0, kDraining = 1, kCordoned = 2 };
 
   // --- The planner's input ---
--- a/src/scheduler/machine_refill.cc
+++ b/src/scheduler/machine_refill.cc
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Times a job's age that a fetch may take: a young job waits for room where its image is.
+// An image fetch may take at most this many times the job's age: a job that was just submitted
+// waits for a machine that has its image.
 constexpr double kMaxFetchPerAge = 2;
-// How long a job may be passed over to save a fetch, in times of that fetch.
-constexpr double kFetchPatience = 3;
+// To save an image fetch, a job may be delayed by this many times the duration of the fetch.
+constexpr double kMaxDelayPerFetch = 3;
 
-// The virtual deadline, put off by what the fetch to this machine costs.
+// The virtual deadline plus the cost of the image fetch to this machine.
 double DeadlineWithFetch(const Job& job, const Machine& machine) {
-  return job.virtual_deadline + kFetchPatience * ImageFetchS(job, machine);
+  return job.virtual_deadline + kMaxDelayPerFetch * ImageFetchS(job, machine);
 }
 
 bool HasNoFreeCpus(const Machine& machine) { return machine.used_cpus >= machine.cpus; }
@@ -38,7 +39,8 @@
   const wire::JobSpec& spec = job.spec;
   if (job.pending.empty() || !machine.Fits(spec.cpus, spec.gpus, spec.memory_gb)) return false;
   if (!reservation_.MayTake(spec, machine)) return false;
-  // What must be together or apart needs a pass over all machines.
+  // Gangs, services and jobs whose tasks must share a zone or spread over zones need a pass over
+  // all machines.
   if (spec.kind != wire::JobKind::kArray || spec.single_zone || spec.spread_over_zones) {
     return false;
   }
@@ -67,12 +69,13 @@
 
 void MachineRefill::PlaceInOrder(Machine& machine, const std::vector<Job*>& waiting_jobs,
                                  double now) {
-  bool objective_waits = false;
+  bool objective_job_waits = false;
   for (size_t i = 0; i < waiting_jobs.size(); ++i) {
     Job* job = waiting_jobs[i];
-    if (job->best_effort && objective_waits) return;
-    objective_waits = objective_waits || (job->can_meet_objective && !job->pending.empty() &&
-                                          start_gate_.PlaceableTasks(*job) > 0);
+    if (job->best_effort && objective_job_waits) return;
+    objective_job_waits =
+        objective_job_waits ||
+        (job->can_meet_objective && !job->pending.empty() && start_gate_.PlaceableTasks(*job) > 0);
     while (CanPlace(*job, machine, now)) {
       Job* chosen = ChooseByFetch(waiting_jobs, i, machine, now);
       if (!binder_.Bind(*chosen, machine, now)) break;
@@ -85,15 +88,15 @@
                                   const Machine& machine, double now) {
   Job* job = waiting_jobs[first];
   Job* chosen = job;
-  double least = DeadlineWithFetch(*job, machine);
+  double earliest = DeadlineWithFetch(*job, machine);
   for (size_t i = first + 1; i < waiting_jobs.size(); ++i) {
-    if (least <= job->virtual_deadline) break;
+    if (earliest <= job->virtual_deadline) break;
     Job* other = waiting_jobs[i];
-    if (other->priority_band != job->priority_band || other->virtual_deadline >= least) break;
+    if (other->priority_band != job->priority_band || other->virtual_deadline >= earliest) break;
     if (!CanPlace(*other, machine, now)) continue;
     const double deadline = DeadlineWithFetch(*other, machine);
-    if (deadline >= least) continue;
-    least = deadline;
+    if (deadline >= earliest) continue;
+    earliest = deadline;
     chosen = other;
   }
   return chosen;
--- a/src/scheduler/provisioning_tracker.cc
+++ b/src/scheduler/provisioning_tracker.cc
@@ -15,17 +15,19 @@
 
 // Deleted machines whose late heartbeats are still recognized.
 constexpr size_t kMaxDeletedMachines = 4096;
-// Boot times after which a machine that has not come up is given up.
+// A machine that has not come up after this many boot times is deleted.
 constexpr double kBootPatienceBoots = 2.5;
-// Agent leases after which a machine that is up, but has not found the leader, is given up.
+// A machine that is up, but whose agent has not reached the leader after this many agent leases, is
+// deleted.
 constexpr double kUpPatienceLeases = 4;
-// An urgent job is recent for the longer of so many boot times and so many heartbeat intervals.
+// An urgent job counts as recent for this many boot times or heartbeat intervals, whichever is
+// longer.
 constexpr double kRecentBoots = 2;
 constexpr double kRecentHeartbeats = 10;
-// Times its usual lag that the cloud's list is allowed.
+// The cloud's list may lag by this many times its usual lag.
 constexpr double kListLagFactor = 2;
-// Heartbeat intervals before a list was requested, in which a machine must have been silent to
-// count as missing from it.
+// A machine counts as missing from a list only if it was silent for this many heartbeat intervals
+// before the list was requested.
 constexpr double kMissingHeartbeats = 2;
 
 Machine* FindMachine(const ProvisioningTracker::MachineMaps& all_machines, const std::string& id) {
@@ -90,8 +92,8 @@
   MarkMissing(listed, all_machines, requested_at);
 }
 
-// A machine that has not been heard of yet: booting, provisioned by an earlier leader, or never
-// coming up.
+// Adds or updates a listed machine whose agent has not reported: it is booting, was provisioned by
+// an earlier leader, or never comes up.
 void ProvisioningTracker::TakeListedBooting(const wire::ListedMachine& listed, double now) {
   const auto [it, added] = booting_.try_emplace(listed.id);
   BootingMachine& machine = it->second;
@@ -99,7 +101,8 @@
     machine.offer = {listed.type, listed.zone, listed.spot, 1};
     machine.since = now - listed.age_s;
   }
-  // The age of a machine that is up says nothing: its agent may just not have found us yet.
+  // The time limit of a machine that is up starts when the list first shows it running. Its age
+  // does not count, as its agent may just not have reached this leader yet.
   if (listed.state == wire::MachineState::kRunning && !machine.up) {
     machine.up = true;
     machine.since = now;
@@ -107,20 +110,21 @@
   if (listed.state == wire::MachineState::kFailed) machine.since = kLongAgo;
 }
 
-// The list lags, but keeps what it has shown until it is gone: a silent machine that the list no
-// longer shows has been reclaimed.
+// The list shows new machines late, but never omits a machine that it has shown while that machine
+// exists. So a silent machine that the list no longer shows has been reclaimed.
 void ProvisioningTracker::MarkMissing(const std::vector<wire::ListedMachine>& listed,
                                       const MachineMaps& all_machines, double requested_at) const {
   std::set<std::string> listed_ids;
   for (const auto& entry : listed) listed_ids.insert(entry.id);
-  const double listed_if_known_by = requested_at - kListLagFactor * list_lag_s_ - heartbeat_s_;
+  const double listed_if_known_before = requested_at - kListLagFactor * list_lag_s_ - heartbeat_s_;
   const double silent_since = requested_at - kMissingHeartbeats * heartbeat_s_;
   for (cluster::Machines* machines : all_machines) {
     for (auto& [id, machine] : *machines) {
       const double known_at =
           machine.address.empty() ? machine.lease_renewed_at : machine.first_contact_at;
       const double heard_at = std::max(machine.last_contact_at, known_at);
-      if (!listed_ids.contains(id) && known_at < listed_if_known_by && heard_at < silent_since) {
+      if (!listed_ids.contains(id) && known_at < listed_if_known_before &&
+          heard_at < silent_since) {
         machine.missing_from_list = true;
       }
     }
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -18,12 +18,13 @@
 
 namespace {
 
-// Unreachable machines are few when they are at most one in so many.
+// Unreachable machines are few if at most one machine in this many is unreachable.
 constexpr size_t kMachinesPerUnreachable = 10;
-// Leases of silence after which an unreachable machine is deleted, however many there are.
+// Agent leases of silence after which an unreachable machine is deleted, however many machines are
+// unreachable.
 constexpr double kMaxSilentLeases = 4;
 
-// Asks for machines for so many tasks of the kind that `demand` describes.
+// Appends `demand` with this number of waiting tasks.
 void AppendDemand(Demand demand, uint32_t tasks, double expected_run_s,
                   std::vector<Demand>& demands) {
   demand.waiting_tasks = tasks;
@@ -31,7 +32,7 @@
   demands.push_back(std::move(demand));
 }
 
-// Describes where a task of the job may run.
+// Returns the resources and placement constraints of a task of the job.
 Demand DescribeTask(const Job& job) {
   const wire::JobSpec& spec = job.spec;
   Demand demand;
@@ -42,7 +43,7 @@
   demand.gpus = spec.gpus;
   demand.memory_gb = spec.memory_gb;
   demand.urgent = spec.priority >= wire::Priority::kHigh || spec.kind == wire::JobKind::kGang;
-  // Tasks that must run together need machines where the others are.
+  // Tasks that must share a zone need machines in the zone of those that are already placed.
   if (spec.single_zone) {
     for (const auto& [zone, tasks] : job.placed_by_zone) {
       if (tasks > 0) demand.zone = zone;
@@ -92,7 +93,7 @@
   std::vector<Demand> demand;
   for (const auto& [id, job] : state_.cluster.jobs) {
     if (job->pending.empty() || now < job->not_before) continue;
-    // A job that fails on every machine must be tried, but is no reason to add machines.
+    // A job that fails on every machine is retried, but no machines are added for it.
     if (job->crash_looping && !state_.cluster.machines.empty()) continue;
     AppendJobDemand(*job, demand);
   }
@@ -108,7 +109,8 @@
     AppendDemand(std::move(task), waiting, expected_run_s, demand);
     return;
   }
-  // Tasks that must be spread want machines in each zone that may still take some.
+  // Tasks that must be spread over zones need machines in each zone that has not reached its
+  // maximum.
   const uint32_t max_per_zone = (spec.tasks + 1) / 2;
   for (const auto& zone : state_.settings.zones) {
     const uint32_t placed = std::min(max_per_zone, PlacedInZone(job, zone));
@@ -119,7 +121,8 @@
   }
 }
 
-// Asks for room for the urgent work that is likely to come next and may not run on spot machines.
+// Adds demand for the capacity that is reserved for urgent work that is likely to come next and may
+// not run on spot machines.
 void ScalingCoordinator::AppendReservedDemand(double now, ScalingInput& input) {
   const CapacityReservation::Resources reserved =
       state_.placer.reservation().Reserved(now, state_.cluster.machine_types);
@@ -138,14 +141,15 @@
                                         std::set<std::string>& unreachable) const {
   for (const auto& [id, machine] : state_.cluster.machines) {
     if (machine.deleting) continue;
-    const bool inherited_and_not_heard = machine.address.empty();
-    if (inherited_and_not_heard) {
+    const bool inherited_without_contact = machine.address.empty();
+    if (inherited_without_contact) {
       if (now - machine.lease_renewed_at > state_.derived.agent_suspect_s) unreachable.insert(id);
       continue;
     }
     FleetMachine described = DescribeOwnMachine(machine, now);
     if (machine.lost || (IsSilent(machine, now) && !described.schedulable)) {
-      // The plan must not count on it. Its deletion rules out at once that its tasks still run.
+      // The plan must not count the machine's capacity. Deleting the machine ensures at once that
+      // its tasks no longer run.
       described.schedulable = described.idle = false;
       unreachable.insert(id);
     }
@@ -203,7 +207,8 @@
 }
 
 bool ScalingCoordinator::IsIdle(const Machine& machine) const {
-  // While it is being handed over it takes no tasks for a moment, which is no reason to delete it.
+  // A machine that is being handed over takes no tasks for a moment, which is no reason to delete
+  // it.
   if (!machine.token_confirmed || machine.handover_lease != kNoLease) return false;
   return std::all_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
@@ -212,8 +217,9 @@
   });
 }
 
-// The machine was recalled for work that waits: without the second condition it was deleted as soon
-// as it was idle. Tasks that were delegated after its holder's last message may be on their way.
+// A recalled machine is needed for waiting work: without the second condition, the machine was
+// deleted as soon as it was idle. The third condition fails while tasks that were delegated after
+// the holder's last message may still be in transit to the holder.
 bool ScalingCoordinator::IsHolderIdle(const Machine& machine) const {
   return machine.holder_status.idle && !machine.recall_requested &&
          machine.used_cpus <= machine.holder_status.used_cpus &&
@@ -221,7 +227,8 @@
 }
 
 bool ScalingCoordinator::HasOnDemandWork(const Machine& machine) const {
-  // The planner asks this of on-demand machines only, and there are thousands of spot machines.
+  // The planner reads the value of on-demand machines only. The search is skipped for spot
+  // machines, as there are thousands.
   if (machine.spot) return false;
   return std::any_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
@@ -300,7 +307,8 @@
 }
 
 // A machine that the cloud no longer runs is deleted at once, which rules out that its tasks still
-// run. One that is silent but may be running is deleted while only few are, or after a long time.
+// run. A silent machine that may be running is deleted if only few machines are unreachable, or
+// after a long silence.
 bool ScalingCoordinator::MayDeleteUnreachable(const Machine& machine, bool few, double now) const {
   const double silent_s = machine.token_unconfirmed_since > 0
                               ? machine.TokenUnconfirmedFor(now)
