--- a/include/mosspath/autoscaler/scale_in.h
+++ b/include/mosspath/autoscaler/scale_in.h
@@ -44,8 +44,8 @@
   void CountFreeCapacity();
   // CPUs that must stay free on machines that take new tasks.
   double RequiredFreeCpus() const;
-  // Whether spot machines have enough CPUs, compared with on-demand machines, for the latter to be
-  // removed.
+  // Whether on-demand machines may be removed in favour of spot machines: all waiting work may use
+  // spot machines, and these have enough CPUs in relation to the on-demand machines.
   bool IsCoveredBySpot() const;
   // The machines that are up, in the order in which they are removed.
   std::vector<Removable> MostExpensiveFirst() const;
