--- a/src/autoscaler/scale_out.cc
+++ b/src/autoscaler/scale_out.cc
@@ -45,9 +45,9 @@
     const wire::MachineType* type = catalog_.FindType(machine.type);
     if (type == nullptr || !machine.schedulable) continue;
     const double free_cpus = FreeCpus(machine, *type);
-    FreeCapacity& free = free_capacity_[{machine.type, machine.zone, machine.spot}];
-    free.cpus += free_cpus;
-    free.max_on_one_machine_cpus = std::max(free.max_on_one_machine_cpus, free_cpus);
+    FreeCapacity& capacity = free_capacity_[{machine.type, machine.zone, machine.spot}];
+    capacity.cpus += free_cpus;
+    capacity.max_on_one_machine_cpus = std::max(capacity.max_on_one_machine_cpus, free_cpus);
     ++machines_by_zone_[machine.zone];
   }
 }
@@ -81,12 +81,12 @@
   for (const PricedOffer& offer : catalog_.offers()) {
     if (!Allows(demand, offer)) continue;
     const double task_cpus = TaskCpus(demand, *offer.type);
-    FreeCapacity& free = free_capacity_[offer.key()];
+    FreeCapacity& capacity = free_capacity_[offer.key()];
     // Free CPUs count only if some machine has room for a whole task. Without this rule, a replica
     // waited for ever for capacity that was spread over machines in pieces too small for it.
-    if (free.max_on_one_machine_cpus + kToleranceCpus < task_cpus) continue;
-    const double taken = std::min(free.cpus, missing_cpus);
-    free.cpus -= taken;
+    if (capacity.max_on_one_machine_cpus + kToleranceCpus < task_cpus) continue;
+    const double taken = std::min(capacity.cpus, missing_cpus);
+    capacity.cpus -= taken;
     missing_cpus -= taken;
     if (taken <= 0) continue;
     AllottedCapacity& allotted = allotted_capacity_[offer.key()];
