--- a/simulation/compound_fault_scenario.cc
+++ b/simulation/compound_fault_scenario.cc
@@ -13,11 +13,11 @@
 constexpr uint64_t kFirstExtraId = 900'000;
 constexpr uint64_t kFirstInvalidId = 2 * kFirstExtraId;
 constexpr uint64_t kFirstConstrainedJob = 100;
-constexpr size_t kMostHung = 8;
-constexpr double kCancelWithinS = 0.2;
-constexpr double kLearnsOfEndWithinS = 1.2;
-constexpr double kUnusualRequestEveryS = 2;
-constexpr double kJustAroundS = 0.001;  // before and after a fault
+constexpr size_t kMaxHungMachines = 8;
+constexpr double kCancellationSpreadS = 0.2;
+constexpr double kJobEndPropagationS = 1.2;
+constexpr double kUnusualRequestIntervalS = 2;
+constexpr double kObservationMarginS = 0.001;  // before and after a fault
 
 }  // namespace
 
@@ -60,7 +60,8 @@
   return extra_users_.Add(std::move(user));
 }
 
-// Long tasks, of which some are cancelled just when it matters.
+// Adds jobs of long tasks whose users cancel them from 1 s before the first fault to 1.5 leases
+// after it.
 void CompoundFaultScenario::AddCancelledJobs() {
   constexpr uint64_t kJobs = 14;
   const double lease_s = world.settings.agent_lease_s;
@@ -74,7 +75,7 @@
   }
 }
 
-// Jobs of two or three tasks that end seconds to minutes apart.
+// Adds jobs of two or three tasks that complete seconds to minutes apart.
 void CompoundFaultScenario::AddJobsThatEndApart() {
   constexpr uint64_t kFirst = 14;
   constexpr uint64_t kJobs = 10;
@@ -83,8 +84,8 @@
     const double submits_at = world.random.Uniform(2, kFirstFaultAt + 10);
     const wire::JobSpec& spec = AddUser({number, submits_at, tasks, 20}).spec;
     for (uint32_t index = 0; index < tasks; ++index) {
-      const double longest_s = index == 0 ? 8 : 20.0 * index * index + 15;
-      world.run_times_s[{spec.id, index}] = world.random.Uniform(1, longest_s);
+      const double max_run_s = index == 0 ? 8 : 20.0 * index * index + 15;
+      world.run_times_s[{spec.id, index}] = world.random.Uniform(1, max_run_s);
     }
   }
 }
@@ -129,12 +130,12 @@
   }
 }
 
-// Which machines the fault befalls is known afterwards, what ran on them only before.
+// The affected machines are known only after the fault, the tasks on them only before it.
 void CompoundFaultScenario::CountBusyMachinesAround(const Fault& fault) {
-  world.clock.At(fault.at - kJustAroundS, [this] {
+  world.clock.At(fault.at - kObservationMarginS, [this] {
     for (const auto& [id, agent] : world.agents) tasks_before_fault_[id] = agent->running_tasks();
   });
-  world.clock.At(fault.at + kJustAroundS, [this] {
+  world.clock.At(fault.at + kObservationMarginS, [this] {
     for (const auto& [id, tasks] : std::exchange(tasks_before_fault_, {})) {
       if (tasks == 0) continue;
       counts_.busy_terminated += world.agents.at(id)->alive() ? 0 : 1;
@@ -142,14 +143,14 @@
                                            [&, machine = id](const auto& node) {
                                              return world.network.PassesBothWays(node, machine);
                                            });
-      const bool by_some_only = reachable > 0 && reachable < std::ssize(world.nodes);
-      counts_.busy_cut_off += by_some_only ? 1 : 0;
+      const bool partially_reachable = reachable > 0 && reachable < std::ssize(world.nodes);
+      counts_.busy_cut_off += partially_reachable ? 1 : 0;
     }
   });
 }
 
 void CompoundFaultScenario::CountBusyUnreachableBefore(const Fault& fault) {
-  world.clock.At(fault.at - kJustAroundS, [this] {
+  world.clock.At(fault.at - kObservationMarginS, [this] {
     const std::string& leader = Leader().name();
     for (const auto& [id, agent] : world.agents) {
       const bool reachable = world.network.PassesBothWays(leader, id);
@@ -166,14 +167,14 @@
     cancel_at_end_until_ = world.clock.now() + fault.duration_s;
     return;
   }
-  for (double after_s = 0; after_s < fault.duration_s; after_s += kUnusualRequestEveryS) {
+  for (double after_s = 0; after_s < fault.duration_s; after_s += kUnusualRequestIntervalS) {
     world.clock.After(after_s, [this] { SendUnusualRequests(); });
   }
 }
 
 void CompoundFaultScenario::CancelNow(const Fault& fault) {
-  constexpr size_t kMostExtraJobs = 12;
-  constexpr size_t kMostOtherJobs = 4;
+  constexpr size_t kMaxExtraJobs = 12;
+  constexpr size_t kMaxOtherJobs = 4;
   const auto runs = [this](const SimulatedUser& user) { return world.RunsJob(user.spec.id); };
   if (fault.hold) {
     for (const SimulatedUser& user : extra_users_.all()) {
@@ -181,16 +182,16 @@
       HangMachinesOf(user, fault.duration_s);
     }
   }
-  counts_.cancelled += extra_users_.CancelSome(kMostExtraJobs, kCancelWithinS, runs);
+  counts_.cancelled += extra_users_.CancelSome(kMaxExtraJobs, kCancellationSpreadS, runs);
   counts_.cancelled +=
-      users().CancelSome(kMostOtherJobs, kCancelWithinS, [&](const SimulatedUser& user) {
+      users().CancelSome(kMaxOtherJobs, kCancellationSpreadS, [&](const SimulatedUser& user) {
         return user.spec.kind == wire::JobKind::kArray && runs(user);
       });
 }
 
 void CompoundFaultScenario::HangMachinesOf(const SimulatedUser& user, double duration_s) {
   for (const auto& [id, agent] : world.agents) {
-    if (counts_.hung >= kMostHung) return;
+    if (counts_.hung >= kMaxHungMachines) return;
     if (agent->hung() || !agent->RunsJob(user.spec.id)) continue;
     agent->Hang(duration_s);
     ++counts_.hung;
@@ -208,15 +209,15 @@
 }
 
 void CompoundFaultScenario::RequestAfterEnd(SimulatedUsers& users, size_t user) {
-  const auto soon = [this](std::function<void()> request) {
-    world.clock.After(world.random.Uniform(0, kLearnsOfEndWithinS), std::move(request));
+  const auto send_soon = [this](std::function<void()> request) {
+    world.clock.After(world.random.Uniform(0, kJobEndPropagationS), std::move(request));
   };
   if (world.random.Below(3) != 0) {
     ++counts_.cancelled;
-    soon([&users, user] { users.Cancel(user); });
+    send_soon([&users, user] { users.Cancel(user); });
   }
-  soon([&users, user] { users.QueryStatus(user); });
-  soon([&users, user] { users.SubmitAgain(user); });
+  send_soon([&users, user] { users.QueryStatus(user); });
+  send_soon([&users, user] { users.SubmitAgain(user); });
 }
 
 void CompoundFaultScenario::SendUnusualRequests() {
@@ -226,7 +227,7 @@
     const SimulatedUser& user = extra_users_.all()[i];
     if (!world.rule_checker.IsDone(user.spec.id) || user.cancelled) continue;
     if (world.random.Below(8) != 0) continue;
-    // It stays done, however often it is cancelled.
+    // A completed job must stay done, however often a user cancels it.
     extra_users_.CancelDone(i);
     break;
   }
--- a/simulation/compound_fault_scenario.h
+++ b/simulation/compound_fault_scenario.h
@@ -1,6 +1,6 @@
 // The compound fault scenario: the users and machines of the availability scenario, a compound
-// fault, and more users who cancel just when it matters. Whether the condition that the compound
-// fault is about really came about is counted.
+// fault, and more users, who cancel jobs around the time of the faults. The scenario counts how
+// often the condition that the compound fault tests occurs.
 #pragma once
 
 #include <cstdint>
@@ -18,50 +18,52 @@
  public:
   CompoundFaultScenario(uint64_t seed, const std::vector<Fault>& faults, bool lease_shards);
 
-  // Plays the day; its last two figures are the kind of the compound fault and how often its
-  // condition came about.
+  // Simulates the day. The last two figures of the outcome are the kind of the compound fault and
+  // how often its condition occurred.
   Outcome Run();
 
   static std::vector<Fault> Faults(uint64_t seed);
 
-  // What the scenario itself counts for the conditions of compound faults.
+  // Counts that CountOccurrences() reads; other conditions are observed by the simulated
+  // environment.
   struct Counts {
-    size_t busy_unreachable = 0;  // machines with tasks that a leader couldn't reach as it ended
-    size_t busy_cut_off = 0;      // machines with tasks that some controllers reach and some don't
+    size_t busy_unreachable = 0;  // machines with tasks that a leader couldn't reach when it failed
+    size_t busy_cut_off = 0;      // machines with tasks that only some controllers reach
     size_t busy_terminated = 0;   // machines with tasks that a fault terminated
-    size_t cancelled = 0;         // jobs that users cancelled at a fault or as they ended
-    size_t hung = 0;              // machines with tasks of jobs that are cancelled
+    size_t cancelled = 0;         // jobs that users cancelled at a fault or at the job's end
+    size_t hung = 0;              // machines that hang with tasks of jobs being cancelled
   };
   const Counts& counts() const { return counts_; }
   const std::vector<Fault>& faults() const { return faults_; }
-  // Invalid submissions that were refused.
+  // The number of invalid submissions that were refused.
   size_t invalid_refused() const { return extra_users_.invalid_refused(); }
 
  private:
   struct ExtraJob {
-    uint64_t number = 0;  // among the scenario's own jobs
+    uint64_t number = 0;  // unique among the extra jobs; part of the job id
     double submits_at = 0;
     uint32_t tasks = 1;
     double run_s = 0;
   };
-  // Adds the job with its user, who polls; the user can be changed until the day begins.
+  // Adds the job with a user who polls its status. The returned user may be changed only before the
+  // day begins and before the next call.
   SimulatedUser& AddUser(const ExtraJob& job);
   void AddCancelledJobs();
   void AddJobsThatEndApart();
-  // Adds jobs of a team that they bring to its quota, or that are bound to a zone, together or
-  // apart.
+  // Adds jobs that bring their team to its quota, or jobs with zone, single-zone or spread
+  // constraints.
   void AddConstrainedJobs();
 
   void ObserveFaults();
   void CountBusyMachinesAround(const Fault& fault);
   void CountBusyUnreachableBefore(const Fault& fault);
 
-  // What users do because of a fault.
+  // Performs the users' part of a fault.
   void OnUserFault(const Fault& fault);
   void CancelNow(const Fault& fault);
   void HangMachinesOf(const SimulatedUser& user, double duration_s);
-  // The user of a job that ends cancels it, asks about it and submits it again, all within the time
-  // in which the leader learns of the end.
+  // Makes the user of a completed job cancel it, query its status and submit it again, all within
+  // the time that the job's end takes to reach the leader.
   void OnJobEnd(const std::string& id);
   void RequestAfterEnd(SimulatedUsers& users, size_t user);
   void SendUnusualRequests();
@@ -71,9 +73,9 @@
   const std::vector<Fault> faults_;
   SimulatedUsers extra_users_;
   Counts counts_;
-  std::map<std::string, size_t> tasks_before_fault_;  // running on each machine
+  std::map<std::string, size_t> tasks_before_fault_;  // running tasks by machine
   uint64_t invalid_jobs_ = 0;
-  double cancel_at_end_until_ = 0;  // users cancel jobs that end by then
+  double cancel_at_end_until_ = 0;  // users cancel jobs that end before this time
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/compound_faults.cc
+++ b/simulation/compound_faults.cc
@@ -11,22 +11,26 @@
 
 using Kind = Fault::Kind;
 
-// Users give up after a minute, and who could never ask can't be served.
-constexpr double kLongestOutageS = 50;
-constexpr double kGoldenRatio = 0.6180;  // steps of this ratio cover an interval evenly
+// Users stop retrying a submission after 60 s. In a longer outage some jobs would never be
+// submitted, and so could not be served.
+constexpr double kMaxOutageS = 50;
+// Multiples of this ratio modulo 1 cover an interval evenly.
+constexpr double kGoldenRatio = 0.6180;
 constexpr double kSaltStep = 0.37;
 constexpr uint64_t kSelectorStep = 7919;
 
 // ---------------------------------------------------------------------------- schedules
 
-// A value between the two, the denser the further the seeds go; salts vary it within a seed.
-double Swept(uint64_t seed, double least, double most, uint64_t salt) {
+// Returns a value from `lower` to `upper`. Successive rounds of seeds cover the interval ever more
+// densely; the salt varies the value within a seed.
+double SweptValue(uint64_t seed, double lower, double upper, uint64_t salt) {
   const double step = static_cast<double>(seed / kCompoundFaultKinds + 1) * kGoldenRatio +
                       static_cast<double>(salt) * kSaltStep;
-  return least + (most - least) * (step - std::floor(step));
+  return lower + (upper - lower) * (step - std::floor(step));
 }
 
-// Collects the faults of a schedule; holds what the schedules have in common.
+// Collects the faults of a schedule, and holds the offsets and durations that the schedules share.
+// Times and durations are in seconds.
 class Schedule {
  public:
   Schedule(uint64_t seed_number, const config::Settings& settings)
@@ -34,24 +38,24 @@
         lease_s(settings.agent_lease_s),
         store_lease_s(lease_s / 8),
         cancel_within_s(settings.cancel_within_s),
-        outage_s(std::min(1.3 * cancel_within_s, kLongestOutageS)),
+        outage_s(std::min(1.3 * cancel_within_s, kMaxOutageS)),
         offset_s(Sweep(0, 1.3 * lease_s, 0)),
         short_offset_s(Sweep(0, 0.4 * lease_s, 1)),
         round(seed / kCompoundFaultKinds),
-        even(round % 2 == 0) {}
+        even_round(round % 2 == 0) {}
 
-  double Sweep(double least, double most, uint64_t salt) const {
-    return Swept(seed, least, most, salt);
+  double Sweep(double lower, double upper, uint64_t salt) const {
+    return SweptValue(seed, lower, upper, salt);
   }
 
   void Add(Kind kind, double at, double duration_s, bool hold = false) {
     const uint64_t selector = seed * kSelectorStep + faults_.size();
     faults_.push_back({kind, at, duration_s, hold, selector});
   }
-  // A fault without a duration, or whose duration does not count.
-  void AddMoment(Kind kind, double at) { Add(kind, at, 0); }
+  // Adds a fault that has no duration or ignores it.
+  void AddInstant(Kind kind, double at) { Add(kind, at, 0); }
 
-  // The rounds of a kind take turns in having one of two additional faults, or none.
+  // Rounds of a kind cycle through no additional fault, the first variant and the second variant.
   bool first_variant() const { return round % 3 == 1; }
   bool second_variant() const { return round % 3 == 2; }
 
@@ -61,11 +65,11 @@
   const double lease_s;  // of agents
   const double store_lease_s;
   const double cancel_within_s;
-  const double outage_s;  // longer than a cancellation has, as far as users wait for it
+  const double outage_s;  // longer than cancel_within_s, up to kMaxOutageS
   const double offset_s;
   const double short_offset_s;
-  const uint64_t round;  // how often all kinds have been played before
-  const bool even;       // of the round
+  const uint64_t round;   // how many lower seeds have the same kind
+  const bool even_round;  // whether `round` is even
 
  private:
   std::vector<Fault> faults_;
@@ -75,8 +79,9 @@
 
 void RefusedThenOutage(Schedule& schedule) {
   schedule.Add(Kind::kCutStore, kStart, schedule.Sweep(1, schedule.cancel_within_s, 2));
-  const double outage_after_s =
-      schedule.even ? std::min(schedule.offset_s, 2.5 * schedule.store_lease_s) : schedule.offset_s;
+  const double outage_after_s = schedule.even_round
+                                    ? std::min(schedule.offset_s, 2.5 * schedule.store_lease_s)
+                                    : schedule.offset_s;
   schedule.Add(Kind::kStoreOutage, kStart + outage_after_s, schedule.outage_s);
   if (schedule.first_variant())
     schedule.Add(Kind::kRestartConfirmer, kStart + schedule.short_offset_s + 1, 0.5);
@@ -85,25 +90,25 @@
 }
 
 void RepeatedFailover(Schedule& schedule) {
-  schedule.AddMoment(Kind::kRestartLeader, kStart);
-  schedule.AddMoment(Kind::kRestartLeader,
-                     kStart + schedule.Sweep(0, 2 * schedule.store_lease_s, 2));
-  schedule.AddMoment(Kind::kCrashAll, kStart + schedule.short_offset_s);
-  schedule.AddMoment(Kind::kRestartAfterMessages,
-                     kStart + schedule.short_offset_s + 3 + schedule.Sweep(0, 2, 3));
+  schedule.AddInstant(Kind::kRestartLeader, kStart);
+  schedule.AddInstant(Kind::kRestartLeader,
+                      kStart + schedule.Sweep(0, 2 * schedule.store_lease_s, 2));
+  schedule.AddInstant(Kind::kCrashAll, kStart + schedule.short_offset_s);
+  schedule.AddInstant(Kind::kRestartAfterMessages,
+                      kStart + schedule.short_offset_s + 3 + schedule.Sweep(0, 2, 3));
 }
 
 void UnreachableMachines(Schedule& schedule) {
-  const Kind cut = schedule.even ? Kind::kCutAgentsInbound : Kind::kCutZoneAgents;
-  schedule.Add(cut, kStart, schedule.Sweep(2, 2 * schedule.lease_s, 2), schedule.even);
-  schedule.Add(Kind::kCrash, kStart + schedule.short_offset_s, schedule.even ? 0.2 : 6);
-  schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s + schedule.offset_s);
+  const Kind cut = schedule.even_round ? Kind::kCutAgentsInbound : Kind::kCutZoneAgents;
+  schedule.Add(cut, kStart, schedule.Sweep(2, 2 * schedule.lease_s, 2), schedule.even_round);
+  schedule.Add(Kind::kCrash, kStart + schedule.short_offset_s, schedule.even_round ? 0.2 : 6);
+  schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s + schedule.offset_s);
 }
 
 void SlowStore(Schedule& schedule) {
   schedule.Add(Kind::kSlowStore, kStart, 2 * schedule.lease_s);
   schedule.Add(Kind::kCutStore, kStart + schedule.short_offset_s, schedule.lease_s / 2,
-               schedule.even);
+               schedule.even_round);
   schedule.Add(Kind::kStoreOutage, kStart + schedule.short_offset_s + schedule.offset_s / 2,
                schedule.outage_s);
 }
@@ -111,25 +116,25 @@
 void OutdatedDuplicates(Schedule& schedule) {
   schedule.Add(Kind::kDuplicateHeartbeats, kStart, 3 * schedule.lease_s);
   schedule.Add(Kind::kHangMachines, kStart + schedule.short_offset_s, 1.2 * schedule.lease_s);
-  schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s + schedule.offset_s);
-  schedule.AddMoment(Kind::kRestartMachines, kStart + schedule.offset_s);
+  schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s + schedule.offset_s);
+  schedule.AddInstant(Kind::kRestartMachines, kStart + schedule.offset_s);
 }
 
 void LateWrites(Schedule& schedule) {
   schedule.Add(Kind::kLateWrites, kStart, 2 * schedule.lease_s);
-  const Kind leader_fault = schedule.even ? Kind::kRestartLeader : Kind::kCutStore;
+  const Kind leader_fault = schedule.even_round ? Kind::kRestartLeader : Kind::kCutStore;
   schedule.Add(leader_fault, kStart + schedule.short_offset_s, schedule.lease_s / 2);
   const Kind last_fault = schedule.round % 3 == 0 ? Kind::kRestartAll : Kind::kFreeze;
   schedule.Add(last_fault, kStart + schedule.offset_s, schedule.lease_s / 2);
 }
 
 void DelayedCommands(Schedule& schedule) {
-  const Kind delay = schedule.even ? Kind::kCutAgents : Kind::kHangMachines;
+  const Kind delay = schedule.even_round ? Kind::kCutAgents : Kind::kHangMachines;
   schedule.Add(delay, kStart, schedule.Sweep(2, 0.9 * schedule.lease_s, 2), true);
   schedule.Add(Kind::kFreeze, kStart + schedule.short_offset_s / 2,
                schedule.Sweep(0.5, schedule.lease_s, 3));
-  schedule.AddMoment(Kind::kRestartLeader,
-                     kStart + schedule.short_offset_s + schedule.offset_s / 2);
+  schedule.AddInstant(Kind::kRestartLeader,
+                      kStart + schedule.short_offset_s + schedule.offset_s / 2);
 }
 
 void TasksEndApart(Schedule& schedule) {
@@ -142,16 +147,16 @@
 
 void OnlyAgentsReachable(Schedule& schedule) {
   schedule.Add(Kind::kLeaderOnlyAgentsReachable, kStart,
-               schedule.Sweep(1, 3 * schedule.cancel_within_s, 2), schedule.even);
-  schedule.Add(schedule.even ? Kind::kCrash : Kind::kStoreOutage, kStart + schedule.offset_s,
+               schedule.Sweep(1, 3 * schedule.cancel_within_s, 2), schedule.even_round);
+  schedule.Add(schedule.even_round ? Kind::kCrash : Kind::kStoreOutage, kStart + schedule.offset_s,
                schedule.lease_s);
 }
 
 void ZonePartition(Schedule& schedule) {
   schedule.Add(Kind::kPartitionZone, kStart, schedule.Sweep(1.1, 2.5, 2) * schedule.lease_s,
-               schedule.even);
+               schedule.even_round);
   if (schedule.first_variant())
-    schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s);
+    schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s);
   if (schedule.second_variant())
     schedule.Add(Kind::kStoreOutage, kStart + schedule.short_offset_s, schedule.lease_s);
 }
@@ -159,15 +164,15 @@
 void SlowLinks(Schedule& schedule) {
   schedule.Add(Kind::kSlowLinks, 5, 70);
   if (schedule.first_variant())
-    schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s);
+    schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s);
   if (schedule.second_variant())
-    schedule.AddMoment(Kind::kTerminateMachines, kStart + schedule.short_offset_s);
+    schedule.AddInstant(Kind::kTerminateMachines, kStart + schedule.short_offset_s);
 }
 
 void DelayedHeartbeats(Schedule& schedule) {
   schedule.Add(Kind::kDelayHeartbeats, kStart, schedule.Sweep(0.4, 2, 2) * schedule.lease_s);
-  schedule.AddMoment(Kind::kCancelNow, kStart + schedule.short_offset_s / 2);
-  schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s);
+  schedule.AddInstant(Kind::kCancelNow, kStart + schedule.short_offset_s / 2);
+  schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s);
 }
 
 void RequestsAtJobEnd(Schedule& schedule) {
@@ -177,39 +182,39 @@
 
 void OutboundPartition(Schedule& schedule) {
   schedule.Add(Kind::kCutAgentsOutbound, kStart, schedule.Sweep(0.3, 3, 2) * schedule.lease_s);
-  if (!schedule.even) schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.offset_s);
+  if (!schedule.even_round) schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.offset_s);
   if (schedule.first_variant())
     schedule.Add(Kind::kCutAgentsInbound, kStart + schedule.short_offset_s, schedule.lease_s / 4);
   if (schedule.second_variant())
-    schedule.AddMoment(Kind::kCancelNow, kStart + schedule.short_offset_s);
+    schedule.AddInstant(Kind::kCancelNow, kStart + schedule.short_offset_s);
 }
 
 void TeamAtQuota(Schedule& schedule) {
   const double cut_s = schedule.Sweep(0.5, 2, 2) * schedule.lease_s;
-  if (schedule.even) {
+  if (schedule.even_round) {
     schedule.Add(Kind::kCutZoneAgents, kStart, cut_s);
   } else {
     schedule.Add(Kind::kCutAgentsInbound, kStart, cut_s / 6);
   }
-  schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s / 2);
-  schedule.AddMoment(Kind::kCancelNow,
-                     kStart + schedule.short_offset_s / 2 + schedule.Sweep(0, 3, 3));
+  schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s / 2);
+  schedule.AddInstant(Kind::kCancelNow,
+                      kStart + schedule.short_offset_s / 2 + schedule.Sweep(0, 3, 3));
 }
 
 void TenFailovers(Schedule& schedule) {
   for (uint64_t i = 0; i < 10; ++i) {
-    const double jitter_s = Swept(schedule.seed + i, 0, 4, 2);
-    schedule.AddMoment(Kind::kRestartLeader, kStart + static_cast<double>(i * 12) + jitter_s);
+    const double jitter_s = SweptValue(schedule.seed + i, 0, 4, 2);
+    schedule.AddInstant(Kind::kRestartLeader, kStart + static_cast<double>(i * 12) + jitter_s);
   }
-  if (!schedule.even)
+  if (!schedule.even_round)
     schedule.Add(Kind::kStoreOutage, kStart + schedule.offset_s, schedule.lease_s);
   if (schedule.first_variant()) schedule.Add(Kind::kDuplicateHeartbeats, kStart, 100);
 }
 
 void AllControllersDown(Schedule& schedule) {
-  schedule.Add(Kind::kCancelNow, kStart - schedule.short_offset_s / 4, 0, schedule.even);
+  schedule.Add(Kind::kCancelNow, kStart - schedule.short_offset_s / 4, 0, schedule.even_round);
   schedule.Add(Kind::kStopAll, kStart,
-               std::min(kLongestOutageS, schedule.Sweep(1.1, 2, 2) * schedule.lease_s));
+               std::min(kMaxOutageS, schedule.Sweep(1.1, 2, 2) * schedule.lease_s));
   if (schedule.first_variant())
     schedule.Add(Kind::kCutAgentsOutbound, kStart + schedule.offset_s, schedule.lease_s / 2);
 }
@@ -218,41 +223,41 @@
   schedule.Add(Kind::kDelayAnswers, kStart - 20, 60);
   schedule.Add(Kind::kHangMachines, kStart + schedule.short_offset_s,
                schedule.Sweep(0.2, 0.9, 2) * schedule.lease_s);
-  if (!schedule.even) {
-    schedule.AddMoment(Kind::kRestartLeader,
-                       kStart + schedule.short_offset_s + schedule.offset_s / 2);
+  if (!schedule.even_round) {
+    schedule.AddInstant(Kind::kRestartLeader,
+                        kStart + schedule.short_offset_s + schedule.offset_s / 2);
   }
 }
 
 void CancellationsBeforeOutage(Schedule& schedule) {
   schedule.Add(Kind::kCutStore, kStart, schedule.Sweep(1, 15, 2));
-  schedule.Add(Kind::kCancelNow, kStart, 0.2 * schedule.lease_s, !schedule.even);
+  schedule.Add(Kind::kCancelNow, kStart, 0.2 * schedule.lease_s, !schedule.even_round);
   schedule.Add(Kind::kStoreOutage, kStart + schedule.Sweep(0.5, 1.5, 3), schedule.outage_s);
 }
 
 void CancellationsWithHang(Schedule& schedule) {
   schedule.Add(Kind::kCancelNow, kStart, schedule.Sweep(0.2, 1.2, 2) * schedule.lease_s, true);
   if (schedule.first_variant())
-    schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s);
+    schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s);
   if (schedule.second_variant())
     schedule.Add(Kind::kFreeze, kStart + schedule.short_offset_s / 4, schedule.offset_s);
 }
 
 void PlacementConstraints(Schedule& schedule) {
-  schedule.AddMoment(Kind::kTerminateMachines, kStart);
-  schedule.AddMoment(Kind::kReclaimSpot, kStart + schedule.short_offset_s / 4);
-  const Kind last_fault = schedule.even ? Kind::kCutZoneAgents : Kind::kReplaceMachines;
+  schedule.AddInstant(Kind::kTerminateMachines, kStart);
+  schedule.AddInstant(Kind::kReclaimSpot, kStart + schedule.short_offset_s / 4);
+  const Kind last_fault = schedule.even_round ? Kind::kCutZoneAgents : Kind::kReplaceMachines;
   schedule.Add(last_fault, kStart + schedule.short_offset_s,
                schedule.Sweep(0.3, 1.5, 2) * schedule.lease_s);
   if (schedule.first_variant())
-    schedule.AddMoment(Kind::kRestartLeader, kStart + schedule.short_offset_s + 1);
+    schedule.AddInstant(Kind::kRestartLeader, kStart + schedule.short_offset_s + 1);
 }
 
 // ---------------------------------------------------------------------------- occurrences
 
 using Scenario = CompoundFaultScenario;
 
-// The first fault of that kind; null if there is none, as when a schedule is shortened.
+// Returns the first fault of that kind, or null if there is none, as in a shortened schedule.
 const Fault* FindFault(const Scenario& scenario, Kind kind) {
   const auto& faults = scenario.faults();
   const auto found = std::find_if(faults.begin(), faults.end(),
@@ -260,7 +265,7 @@
   return found == faults.end() ? nullptr : &*found;
 }
 
-// How many of the times are between the two, which don't count.
+// Returns how many times lie strictly between `from` and `to`.
 size_t CountBetween(const std::vector<double>& times, double from, double to) {
   return static_cast<size_t>(std::count_if(times.begin(), times.end(),
                                            [&](double time) { return time > from && time < to; }));
@@ -307,7 +312,7 @@
 
 size_t LateCommandsSeen(const Scenario& scenario) { return scenario.world.observed.late_commands; }
 
-// Elections between the ends of two tasks of a job whose run times are set.
+// Counts elections between the completions of two tasks of a job with preset run times.
 size_t ElectionsBetweenEnds(const Scenario& scenario) {
   const auto& completed_at = scenario.world.completed_at;
   size_t elections = 0;
@@ -388,15 +393,17 @@
     {CompoundFault::kPlacementConstraints, "bound", PlacementConstraints, BusyTerminated},
 };
 
-constexpr bool InOrderOfKinds() {
+constexpr bool TableMatchesEnumOrder() {
   for (size_t i = 0; i < std::size(kTypes); ++i) {
     if (kTypes[i].kind != static_cast<CompoundFault>(i)) return false;
   }
   return std::size(kTypes) == kCompoundFaultKinds;
 }
-static_assert(InOrderOfKinds());
+static_assert(TableMatchesEnumOrder());
 
-const CompoundFaultType& TypeOf(CompoundFault kind) { return kTypes[static_cast<size_t>(kind)]; }
+const CompoundFaultType& CompoundFaultTypeOf(CompoundFault kind) {
+  return kTypes[static_cast<size_t>(kind)];
+}
 
 }  // namespace
 
@@ -404,18 +411,18 @@
   return static_cast<CompoundFault>(seed % kCompoundFaultKinds);
 }
 
-const char* CompoundFaultName(CompoundFault kind) { return TypeOf(kind).name; }
+const char* CompoundFaultName(CompoundFault kind) { return CompoundFaultTypeOf(kind).name; }
 
 std::vector<Fault> CompoundFaultSchedule(uint64_t seed, const config::Settings& settings) {
   Schedule schedule(seed, settings);
-  TypeOf(CompoundFaultOf(seed)).schedule(schedule);
+  CompoundFaultTypeOf(CompoundFaultOf(seed)).schedule(schedule);
   std::vector<Fault> faults = schedule.faults();
   SortByTime(faults);
   return faults;
 }
 
 size_t CountOccurrences(CompoundFault kind, const CompoundFaultScenario& scenario) {
-  return TypeOf(kind).occurrences(scenario);
+  return CompoundFaultTypeOf(kind).occurrences(scenario);
 }
 
 }  // namespace mosspath::simulation
--- a/simulation/compound_faults.h
+++ b/simulation/compound_faults.h
@@ -1,5 +1,6 @@
-// Compound faults: two or three faults that are tied in time and in whom they befall. The offsets
-// between them are swept over the seeds, from none to more than a lease.
+// Compound faults: schedules of several faults that are related in time and in the hosts they
+// affect. The time offsets between the faults are swept over the seeds, from zero to more than an
+// agent lease.
 #pragma once
 
 #include <cstddef>
@@ -13,46 +14,49 @@
 
 class CompoundFaultScenario;
 
-// The order counts: a seed plays the kind of its number, modulo the count of kinds.
+// The order matters: a seed's kind is the seed modulo the number of kinds. "Refuses the leader"
+// means that the leader is partitioned from the store.
 enum class CompoundFault {
-  kRefusedThenOutage,  // the store refuses the leader, others confirm cancellations, then all fail
-  kRepeatedFailover,   // the lead goes back and forth, all end, and one is back at once
-  kUnreachableMachines,        // a leader ends while machines can't be reached by its successor
-  kSlowStore,                  // the store is slow while users cancel, then refuses the leader
-  kOutdatedDuplicates,         // duplicates of heartbeats of earlier epochs and tokens
-  kLateWrites,                 // changes without an answer are carried out after newer ones
-  kDelayedCommands,            // commands are held up, and the machine goes on
-  kTasksEndApart,              // jobs of two or three tasks end far apart, across failovers
-  kOnlyAgentsReachable,        // a leader has only machines and users; jobs are cancelled elsewhere
-  kZonePartition,              // a zone with machines and a controller is cut off beyond a lease
-  kSlowLinks,                  // more work than room, urgent and not, over slow links
-  kDelayedHeartbeats,          // heartbeats are held back until a new leader has acted
-  kRequestsAtJobEnd,           // cancellations, questions, submissions as a job's last task ends
-  kOutboundPartition,          // machines reach no controller, while direct commands reach them
-  kTeamAtQuota,                // a team at its quota, a new leader, unreachable machines
-  kTenFailovers,               // ten changes of leader in two minutes, also inside an outage
-  kAllControllersDown,         // all controllers are down for longer than a lease
-  kDelayedAnswers,             // answers to commands are held up, and the machine goes on
-  kCancellationsBeforeOutage,  // jobs are cancelled as the store refuses the leader, then everybody
-  kCancellationsWithHang,      // jobs are cancelled, and some of their machines hang
-  kPlacementConstraints,       // jobs bound to a zone, together or apart lose machines
+  kRefusedThenOutage,    // the store refuses the leader, others confirm cancellations, then store
+                         // outage
+  kRepeatedFailover,     // repeated leader restarts, then all controllers crash and another restart
+  kUnreachableMachines,  // a leader fails while its successor can't reach some machines
+  kSlowStore,            // the store is slow during cancellations, then refuses the leader
+  kOutdatedDuplicates,   // duplicates of heartbeats of earlier epochs and tokens
+  kLateWrites,           // unanswered store writes are applied after newer ones
+  kDelayedCommands,      // commands are delayed while the machine keeps running
+  kTasksEndApart,        // tasks of one job complete far apart, across failovers
+  kOnlyAgentsReachable,  // a leader reaches only machines and users; other controllers cancel jobs
+  kZonePartition,        // a zone with machines and controllers is cut off beyond a lease
+  kSlowLinks,            // commands arrive late over slow links; a leader or machines may fail
+  kDelayedHeartbeats,    // heartbeats are delayed until a new leader has acted
+  kRequestsAtJobEnd,     // cancellations, status queries, resubmissions as a job completes
+  kOutboundPartition,    // heartbeats of machines are lost, while direct commands arrive
+  kTeamAtQuota,          // a team at its quota, a new leader, unreachable machines
+  kTenFailovers,         // ten leader restarts in two minutes, in some rounds with a store outage
+  kAllControllersDown,   // all controllers are down for longer than a lease
+  kDelayedAnswers,       // answers to commands are delayed, and some machines hang meanwhile
+  kCancellationsBeforeOutage,  // cancellations as the store refuses the leader, then store outage
+  kCancellationsWithHang,      // jobs are cancelled while some of their machines hang
+  kPlacementConstraints,       // jobs with zone, single-zone or spread constraints lose machines
   kKinds
 };
 
 inline constexpr uint64_t kCompoundFaultKinds = static_cast<uint64_t>(CompoundFault::kKinds);
 
-// When the first fault of each schedule happens: work is under way by then.
+// The start of most schedules, in seconds since the start of the day. Tasks are running by then.
 inline constexpr double kFirstFaultAt = 45;
 
 CompoundFault CompoundFaultOf(uint64_t seed);
 
-// As in the printed lines; they are compared over time, so that names stay as they are.
+// Returns the name as the results print it. Results are compared between versions, so a name must
+// not change.
 const char* CompoundFaultName(CompoundFault kind);
 
-// The faults of the seed's kind in the order of their times, for a deployment of these settings.
+// Returns the faults of the seed's kind, sorted by time, for a deployment with these settings.
 std::vector<Fault> CompoundFaultSchedule(uint64_t seed, const config::Settings& settings);
 
-// How often the condition that the kind is about really came about on the scenario's day.
+// Returns how often the condition that the kind tests occurred during the scenario's day.
 size_t CountOccurrences(CompoundFault kind, const CompoundFaultScenario& scenario);
 
 }  // namespace mosspath::simulation
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -12,18 +12,19 @@
 
 using Kind = Fault::Kind;
 
-constexpr double kLongestCrashS = 8;
+constexpr double kMaxCrashS = 8;
 constexpr double kCrashAllS = 3;
 constexpr double kSlowStoreFactor = 10;
 constexpr double kSlowLinkFactor = 150;
-constexpr size_t kOneMachineIn = 10;
-// A machine that receives nothing for less than a few leases looks like a slow one.
+constexpr size_t kAffectedMachineStride = 10;  // every tenth machine
+// An inbound cut shorter than a few agent leases can't be told from a slow machine.
 constexpr double kInboundCutFactor = 6;
-constexpr double kLatestWriteS = 12;  // after the change was sent
-constexpr double kDuplicatesAfterLeases = 3;
-constexpr double kDeliveredLateS = 30;  // what slow links deliver, and what comes of it
+constexpr double kMaxWriteDelayS = 12;  // from sending a store write to its application
+constexpr double kMaxDuplicateDelayLeases = 3;
+// Messages over slow links, and the messages that answer them, arrive up to this much later.
+constexpr double kLateDeliveryS = 30;
 
-// ---------------------------------------------------------------------------- who is hit
+// ---------------------------------------------------------------------------- affected hosts
 
 SimulatedController& SelectedController(SimulatedCluster& cluster, const Fault& fault) {
   return *cluster.controllers[fault.selector % cluster.controllers.size()];
@@ -34,7 +35,7 @@
   return zones[fault.selector % zones.size()];
 }
 
-// Every n-th machine, terminated ones counted; the selector says with which it begins.
+// Returns every n-th machine. Terminated machines count too. The selector sets the offset.
 std::vector<SimulatedAgent*> EveryNthAgent(SimulatedCluster& cluster, const Fault& fault,
                                            size_t n) {
   std::vector<SimulatedAgent*> selected;
@@ -45,13 +46,13 @@
   return selected;
 }
 
-std::vector<SimulatedAgent*> OneAliveAgentInTen(SimulatedCluster& cluster, const Fault& fault) {
-  std::vector<SimulatedAgent*> selected = EveryNthAgent(cluster, fault, kOneMachineIn);
+std::vector<SimulatedAgent*> EveryTenthAgentIfAlive(SimulatedCluster& cluster, const Fault& fault) {
+  std::vector<SimulatedAgent*> selected = EveryNthAgent(cluster, fault, kAffectedMachineStride);
   std::erase_if(selected, [](const SimulatedAgent* agent) { return !agent->alive(); });
   return selected;
 }
 
-// A zone's, one in three, or all.
+// Returns the machines of one zone, a third of all machines, or all of them.
 std::vector<SimulatedAgent*> AgentsOfGroup(SimulatedCluster& cluster, const Fault& fault) {
   constexpr size_t kGroups = 3;
   std::vector<SimulatedAgent*> selected;
@@ -67,7 +68,7 @@
   return selected;
 }
 
-// From 10 to 500 ms.
+// Returns a restart time from 10 to 500 ms.
 double RestartTime(const Fault& fault) {
   return 0.01 + 0.49 * static_cast<double>(fault.selector % 97) / 96;
 }
@@ -75,7 +76,7 @@
 // ---------------------------------------------------------------------------- controllers
 
 void Crash(SimulatedCluster& cluster, const Fault& fault) {
-  cluster.Leader(fault.selector).Crash(std::min(fault.duration_s, kLongestCrashS));
+  cluster.Leader(fault.selector).Crash(std::min(fault.duration_s, kMaxCrashS));
 }
 
 void CrashAll(SimulatedCluster& cluster, const Fault&) {
@@ -103,10 +104,11 @@
 }
 
 void RestartAfterMessages(SimulatedCluster& cluster, const Fault& fault) {
-  constexpr uint64_t kMostMessages = 200;
+  constexpr uint64_t kMaxMessages = 200;
   SimulatedController& leader = cluster.Leader(fault.selector);
-  cluster.RestartAfterMessages(1 + fault.selector / 500 % kMostMessages, RestartTime(fault));
-  // Mostly so that it happens in the middle of an election.
+  cluster.RestartAfterMessages(1 + fault.selector / 500 % kMaxMessages, RestartTime(fault));
+  // In two of three cases the leader also restarts now, so that the restart after n messages
+  // happens during the election.
   if (fault.selector % 3 != 0) leader.Crash(RestartTime(fault));
 }
 
@@ -172,7 +174,7 @@
 }
 
 void CutAgentsInbound(SimulatedCluster& cluster, const Fault& fault) {
-  // One machine in eight, one in two now and then.
+  // One machine in eight; for one selector in five, every other machine.
   const size_t one_in = fault.selector % 5 == 0 ? 2 : 8;
   const double duration_s = kInboundCutFactor * fault.duration_s;
   for (const SimulatedAgent* agent : EveryNthAgent(cluster, fault, one_in)) {
@@ -202,8 +204,8 @@
   }
 }
 
-// The store, the cloud and the users are regional: the zone's controllers are cut from them too, or
-// are not.
+// The store, the cloud provider and the users are regional, outside all zones. For two of three
+// values of the selector the partition separates the zone's controllers from them too.
 void PartitionZone(SimulatedCluster& cluster, const Fault& fault) {
   SimulatedEnvironment& world = cluster.world;
   const std::string& zone = SelectedZone(cluster, fault);
@@ -250,20 +252,21 @@
 // ---------------------------------------------------------------------------- machines
 
 void TerminateMachines(SimulatedCluster& cluster, const Fault& fault) {
-  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Terminate();
+  for (SimulatedAgent* agent : EveryTenthAgentIfAlive(cluster, fault)) agent->Terminate();
 }
 
 void HangMachines(SimulatedCluster& cluster, const Fault& fault) {
-  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Hang(fault.duration_s);
+  for (SimulatedAgent* agent : EveryTenthAgentIfAlive(cluster, fault))
+    agent->Hang(fault.duration_s);
 }
 
 void RestartMachines(SimulatedCluster& cluster, const Fault& fault) {
   const bool next_epoch = fault.selector % 2 == 0;
-  for (SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) agent->Restart(next_epoch);
+  for (SimulatedAgent* agent : EveryTenthAgentIfAlive(cluster, fault)) agent->Restart(next_epoch);
 }
 
 void ReplaceMachines(SimulatedCluster& cluster, const Fault& fault) {
-  for (const SimulatedAgent* agent : OneAliveAgentInTen(cluster, fault)) {
+  for (const SimulatedAgent* agent : EveryTenthAgentIfAlive(cluster, fault)) {
     cluster.world.ReplaceMachine(agent->id());
   }
 }
@@ -286,11 +289,11 @@
 
 // ---------------------------------------------------------------------------- users
 
-void AskUsers(SimulatedCluster& cluster, const Fault& fault) {
+void NotifyUsers(SimulatedCluster& cluster, const Fault& fault) {
   if (cluster.on_user_fault) cluster.on_user_fault(fault);
 }
 
-// ---------------------------------------------------------------------------- ends
+// ---------------------------------------------------------------------------- end times
 
 double AfterDuration(const Fault& fault, const config::Settings&) {
   return fault.at + fault.duration_s;
@@ -303,16 +306,16 @@
 }
 
 double AfterDuplicates(const Fault& fault, const config::Settings& settings) {
-  return fault.at + fault.duration_s + kDuplicatesAfterLeases * settings.agent_lease_s;
+  return fault.at + fault.duration_s + kMaxDuplicateDelayLeases * settings.agent_lease_s;
 }
 
 double AfterLateWrites(const Fault& fault, const config::Settings&) {
-  return fault.at + fault.duration_s + kLatestWriteS;
+  return fault.at + fault.duration_s + kMaxWriteDelayS;
 }
 
-// Answers are held for up to a lease.
+// Answers to commands are delayed by up to an agent lease.
 double AfterLateDelivery(const Fault& fault, const config::Settings& settings) {
-  return fault.at + fault.duration_s + std::max(kDeliveredLateS, settings.agent_lease_s);
+  return fault.at + fault.duration_s + std::max(kLateDeliveryS, settings.agent_lease_s);
 }
 
 // ---------------------------------------------------------------------------- table
@@ -357,40 +360,42 @@
     {Kind::kDelayHeartbeats, "delay-heartbeats", DelayHeartbeats},
     {Kind::kDelayAnswers, "delay-answers", DelayAnswers, AfterLateDelivery},
     {Kind::kStopAll, "stop-all", StopAll},
-    {Kind::kCancelNow, "cancel-now", AskUsers},
-    {Kind::kCancelAtEnd, "cancel-at-end", AskUsers},
-    {Kind::kUnusualRequests, "unusual-requests", AskUsers},
+    {Kind::kCancelNow, "cancel-now", NotifyUsers},
+    {Kind::kCancelAtEnd, "cancel-at-end", NotifyUsers},
+    {Kind::kUnusualRequests, "unusual-requests", NotifyUsers},
 };
 
-constexpr bool InOrderOfKinds() {
+constexpr bool TableMatchesEnumOrder() {
   for (size_t i = 0; i < std::size(kFaultTypes); ++i) {
     if (kFaultTypes[i].kind != static_cast<Kind>(i)) return false;
   }
   return std::size(kFaultTypes) == static_cast<size_t>(Kind::kKinds);
 }
-static_assert(InOrderOfKinds());
+static_assert(TableMatchesEnumOrder());
 
-const FaultType& TypeOf(const Fault& fault) { return kFaultTypes[static_cast<size_t>(fault.kind)]; }
+const FaultType& FaultTypeOf(const Fault& fault) {
+  return kFaultTypes[static_cast<size_t>(fault.kind)];
+}
 
 }  // namespace
 
 std::string ToText(const Fault& fault) {
-  return fmt::format("{:.1f} s: {} for {:.1f} s{} (pick {})", fault.at, TypeOf(fault).name,
+  return fmt::format("{:.1f} s: {} for {:.1f} s{} (pick {})", fault.at, FaultTypeOf(fault).name,
                      fault.duration_s, fault.hold ? ", held back" : "", fault.selector);
 }
 
 std::vector<Fault> DrawFaults(uint64_t seed, size_t count, double from, double to) {
-  constexpr double kShortestS = 0.5;
-  constexpr double kLongestS = 25;
+  constexpr double kMinDurationS = 0.5;
+  constexpr double kMaxDurationS = 25;
   constexpr uint64_t kSelectors = 1'000'000;
   Random random(seed);
   std::vector<Fault> faults;
   for (size_t i = 0; i < count; ++i) {
-    // One draw a line: their order is what a seed stands for.
+    // The order of these draws must not change: a seed would stand for another schedule.
     Fault fault;
     fault.kind = static_cast<Kind>(random.Below(kDrawnKinds));
     fault.at = random.Uniform(from, to);
-    fault.duration_s = random.Uniform(kShortestS, kLongestS);
+    fault.duration_s = random.Uniform(kMinDurationS, kMaxDurationS);
     fault.hold = random.Below(2) == 0;
     fault.selector = random.Below(kSelectors);
     faults.push_back(fault);
@@ -405,11 +410,11 @@
 }
 
 double EndOfFault(const Fault& fault, const config::Settings& settings) {
-  return TypeOf(fault).end(fault, settings);
+  return FaultTypeOf(fault).end(fault, settings);
 }
 
 void ApplyFault(SimulatedCluster& cluster, const Fault& fault) {
-  TypeOf(fault).apply(cluster, fault);
+  FaultTypeOf(fault).apply(cluster, fault);
 }
 
 }  // namespace mosspath::simulation
--- a/simulation/faults.h
+++ b/simulation/faults.h
@@ -1,5 +1,5 @@
-// The faults that befall a simulated cluster. A schedule of faults is drawn once from a seed, so
-// that it can be played again with some of them left out.
+// Fault injection for a simulated cluster. A fault schedule is drawn once from a seed, so that a
+// run can be repeated with some of the faults left out.
 #pragma once
 
 #include <cstdint>
@@ -12,71 +12,75 @@
 
 class SimulatedCluster;
 
-// One fault of a schedule. What a kind does with the members is said at its enumerator.
+// One fault of a schedule. The comment of each kind says what the fault affects and which fields it
+// uses.
 struct Fault {
-  // The order counts: kinds are drawn by their numbers.
+  // The order matters: a seed draws kinds by their numeric values.
   enum class Kind {
-    kCrash,                 // the leader, for at most 8 s
-    kCrashAll,              // all controllers at once, for 3 s
-    kFreeze,                // the leader's process is stopped
-    kFreezeAny,             // any controller's process is stopped
-    kCutStore,              // the leader from the key-value store
-    kCutAgents,             // the leader from all machines
-    kCutPeers,              // any controller from the others
-    kCutZoneAgents,         // a zone's machines from all controllers
+    kCrash,                 // the leader's process is down for at most 8 s
+    kCrashAll,              // all controller processes are down for 3 s
+    kFreeze,                // the leader's process is suspended
+    kFreezeAny,             // any one controller's process is suspended
+    kCutStore,              // the leader is partitioned from the key-value store
+    kCutAgents,             // the leader is partitioned from all machines
+    kCutPeers,              // any one controller is partitioned from the others
+    kCutZoneAgents,         // a zone's machines are partitioned from all controllers
     kStoreOutage,           // the key-value store is down
     kSlowStore,             // the key-value store answers slowly
-    kLeaderReadsFail,       // the leader renews its lease but can't read
-    kTerminateMachines,     // some machines end, with all that is on them
-    kHangMachines,          // some machines hang and go on
-    kCutAgentsInbound,      // one-way: heartbeats arrive, but nothing reaches some machines
-    kDuplicateHeartbeats,   // heartbeats are delivered again, up to three leases late
-    kOnlyAgentsReachable,   // a controller has machines and users, but neither store nor peers
-    kRestartLeader,         // the leader is back at once
-    kRestartAll,            // all controllers are back at once
-    kRestartAfterMessages,  // whoever campaigns or leads restarts after its n-th message
-    kRestartMachines,  // some machines are back at once under their names, with nothing on them
-    kReplaceMachines,  // some machines end, and others are up at their addresses
-    kReclaimSpot,      // half of a zone's spot machines end without notice
-    kHalveCapacity,    // the cloud has half as many machines to give
-    // Those that follow are part of compound faults only, and are never drawn alone.
-    kLateWrites,                 // changes get no answer and are carried out later
-    kLeaderOnlyAgentsReachable,  // as kOnlyAgentsReachable, the leader
-    kRestartConfirmer,           // who last confirmed a cancellation is back at once
+    kLeaderReadsFail,       // the leader renews its lease but can't read the store
+    kTerminateMachines,     // some machines terminate, with all tasks on them
+    kHangMachines,          // some machines hang, then resume
+    kCutAgentsInbound,      // one-way: some machines send heartbeats but receive nothing
+    kDuplicateHeartbeats,   // heartbeats are delivered twice, up to three leases late
+    kOnlyAgentsReachable,   // a controller reaches machines and users, but not the store or its
+                            // peers
+    kRestartLeader,         // the leader restarts within 500 ms
+    kRestartAll,            // all controllers restart within 500 ms
+    kRestartAfterMessages,  // after n more messages of leaders and candidates, the sender restarts
+    kRestartMachines,       // some machines restart under their names, without their tasks
+    kReplaceMachines,       // some machines terminate, and new ones take over their addresses
+    kReclaimSpot,           // half of a zone's spot machines terminate without notice
+    kHalveCapacity,         // the cloud provider halves the number of machines it can provide
+    // The kinds below occur only in compound faults; DrawFaults() never draws them.
+    kLateWrites,                 // store writes get no answer and are applied later
+    kLeaderOnlyAgentsReachable,  // as kOnlyAgentsReachable, always the leader
+    kRestartConfirmer,           // the controller that last confirmed a cancellation restarts
     kCutAgentsOutbound,          // one-way: heartbeats are lost, while direct commands arrive
-    kPartitionZone,              // a zone's machines and controllers from the others
+    kPartitionZone,              // a zone's machines and controllers are partitioned from the rest
     kSlowLinks,                  // messages to and from machines take seconds
-    kDelayHeartbeats,            // heartbeats are held back, and arrive at whoever leads then
-    kDelayAnswers,               // answers to direct commands are held up for seconds
-    kStopAll,                    // all controllers, for the whole duration
-    kCancelNow,        // users cancel many jobs at once; with `hold`, some of their machines hang
-    kCancelAtEnd,      // users cancel jobs as they end
-    kUnusualRequests,  // repeated submissions, cancellations of done jobs, invalid jobs
+    kDelayHeartbeats,            // heartbeats are delayed, so that a later leader receives them
+    kDelayAnswers,               // answers to direct commands are delayed by seconds
+    kStopAll,                    // all controllers are down for the whole duration
+    kCancelNow,    // users cancel many jobs at once; with `hold`, some of the jobs' machines hang
+    kCancelAtEnd,  // users cancel jobs just as the jobs complete
+    kUnusualRequests,  // users resubmit jobs, cancel completed jobs and submit invalid jobs
     kKinds
   };
 
   Kind kind = Kind::kCrash;
   double at = 0;  // seconds since the start of the day
   double duration_s = 0;
-  bool hold = false;      // messages that are cut off are delivered late rather than dropped
-  uint64_t selector = 0;  // chooses among the hosts that the fault can befall
+  bool hold = false;      // a partition delays messages until it ends instead of dropping them
+  uint64_t selector = 0;  // pseudorandom value that selects the affected hosts
 };
 
-// A line for people: when, what and for how long.
+// Returns a one-line description for output: time, kind, duration and selector.
 std::string ToText(const Fault& fault);
 
-// Draws `count` faults of the kinds that are drawn alone, between the two times, sorted by time.
+// Draws `count` faults of the first `kDrawnKinds` kinds that start between `from` and `to`, sorted
+// by time.
 std::vector<Fault> DrawFaults(uint64_t seed, size_t count, double from, double to);
 
-// How many kinds are drawn alone: the first ones.
+// DrawFaults() draws only from this many kinds, the first ones of the enumeration.
 inline constexpr uint64_t kDrawnKinds = static_cast<uint64_t>(Fault::Kind::kLateWrites);
 
 void SortByTime(std::vector<Fault>& faults);
 
-// When the last effect of the fault is over.
+// Returns the time at which the last effect of the fault ends, in seconds since the start of the
+// day.
 double EndOfFault(const Fault& fault, const config::Settings& settings);
 
-// Makes the fault happen now.
+// Injects the fault at the current simulated time.
 void ApplyFault(SimulatedCluster& cluster, const Fault& fault);
 
 }  // namespace mosspath::simulation
