--- a/simulation/availability.cc
+++ b/simulation/availability.cc
@@ -14,8 +14,8 @@
 constexpr double kSubmissionsUntil = 130;
 constexpr double kFaultsFrom = 20;
 constexpr double kFaultsUntil = 150;
-constexpr double kQuietS = 320;    // from the end of the last fault to the end of the day
-constexpr double kServiceS = 240;  // a service's user cancels it after about that time
+constexpr double kQuietS = 320;    // from the last fault or submission to the end of the day
+constexpr double kServiceS = 240;  // mean time after which a user cancels a service
 constexpr size_t kMachines = 24;
 constexpr double kOverloadFactor = 3;
 constexpr uint64_t kExtraFaultSeed = 1'000'003;
@@ -62,7 +62,7 @@
 
 std::vector<Fault> AvailabilityScenario::Faults(uint64_t seed) {
   std::vector<Fault> faults = DrawFaults(seed, 1 + seed % 4, kFaultsFrom, kFaultsUntil);
-  // One more, whose kind is the next one in turn.
+  // One more fault, whose kind cycles through all drawn kinds as the seeds increase.
   Fault extra = DrawFaults(seed + kExtraFaultSeed, 1, kFaultsFrom, kFaultsUntil).front();
   extra.kind = static_cast<Fault::Kind>(seed / 4 % kDrawnKinds);
   faults.push_back(extra);
@@ -109,10 +109,10 @@
   spec.job_class = stream.job_class;
   spec.kind = service ? wire::JobKind::kService : wire::JobKind::kArray;
   spec.priority = stream.priority;
-  // Few are large.
+  // A fraction of the size range; the cube makes most jobs small and a few large.
   const double size = std::pow(world.random.Uniform(0, 1), 3);
-  const double additional_tasks = size * (stream.most_tasks - stream.least_tasks);
-  spec.tasks = stream.least_tasks + static_cast<uint32_t>(std::lround(additional_tasks));
+  const double additional_tasks = size * (stream.max_tasks - stream.min_tasks);
+  spec.tasks = stream.min_tasks + static_cast<uint32_t>(std::lround(additional_tasks));
   spec.cpus = 1 + static_cast<double>(world.random.Below(2));
   spec.memory_gb = 2;
   spec.spot_allowed = !service;
--- a/simulation/availability.h
+++ b/simulation/availability.h
@@ -1,7 +1,7 @@
-// The availability scenario: users who ask about every accepted job, services and arrays from one
-// task to hundreds, and faults of every kind. The rule checker looks for jobs that are forgotten
-// once the faults are over, for groups of users who are served by less than half, and for large
-// jobs that begin too late.
+// The availability scenario: users who poll the status of every accepted job, services and arrays
+// from one task to hundreds, and faults of every kind. The rule checker reports accepted jobs whose
+// status queries go unanswered after the faults, teams and classes of which less than half of the
+// jobs are served, and large jobs that start too late.
 #pragma once
 
 #include <string>
@@ -12,25 +12,26 @@
 
 namespace mosspath::simulation {
 
-// One simulated day. Everything follows from the seed and from the faults.
+// One simulated day. The seed and the faults determine the whole run. Times are in simulated
+// seconds.
 class AvailabilityScenario : public SimulatedCluster {
  public:
-  // What is special about the day; follows from the seed.
+  // The variant of the day, derived from the seed.
   enum class Shape {
     kOrdinary,
-    kSlowHeartbeats,  // every 8 s, and no machine is up at the start
-    kOverload,        // three times as much work as the machines can do at once
-    kTightQuotas,     // teams with quotas, jobs that must be together or apart
+    kSlowHeartbeats,  // heartbeats every 8 s; no machine is up at the start
+    kOverload,        // three times as many array jobs, more than fit at once
+    kTightQuotas,     // team quotas, and jobs with single-zone or spread constraints
     kShapes
   };
 
-  // `lease_shards`: controllers hold shards of the machines.
+  // With `lease_shards`, controllers hold leases on shards of the machines.
   AvailabilityScenario(uint64_t seed, const std::vector<Fault>& faults, bool lease_shards);
 
-  // Plays the day to its end; called once.
+  // Simulates the whole day. Must be called only once.
   Outcome Run();
 
-  // The faults of a seed. Over the seeds, each kind comes about as often.
+  // Returns the faults of a seed. Over many seeds, all kinds occur about equally often.
   static std::vector<Fault> Faults(uint64_t seed);
 
  protected:
@@ -39,14 +40,14 @@
   SimulatedUsers& users() { return users_; }
 
  private:
-  // Jobs of one class that are submitted over the day.
+  // Jobs of one class whose submissions are spread over the day.
   struct JobStream {
     std::string job_class;
     wire::Priority priority = wire::Priority::kNormal;
     size_t jobs = 0;
-    uint32_t least_tasks = 1;
-    uint32_t most_tasks = 1;
-    double run_s = 0;  // of each task; 0: services, which never end
+    uint32_t min_tasks = 1;
+    uint32_t max_tasks = 1;
+    double run_s = 0;  // of each task; 0 for services, which run until cancelled
   };
 
   static std::vector<wire::MachineType> TypesFor(uint64_t seed);
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -15,14 +15,14 @@
 
 constexpr double kFloodFrom = 10;
 constexpr double kFloodTo = 90;
-constexpr double kSubmissionsUntil = 100;  // of the other teams
+constexpr double kSubmissionsUntil = 100;  // by the other teams
 constexpr double kEndOfDay = 420;
 constexpr size_t kMachines = 40;
 constexpr int kManyTeams = 200;
 constexpr double kSharesTolerance = 1e-9;
-const std::string kRegularTeam = "desk";  // whose work the deployment is for
+const std::string kRegularTeam = "desk";  // submits the work that the deployment is sized for
 const std::string kFloodTeam = "guest";
-const std::string kSmallTeam = "small";  // asks for little, beside them
+const std::string kSmallTeam = "small";  // submits little work beside the other two teams
 
 double Quantile(const std::vector<double>& values, double probability) {
   namespace acc = boost::accumulators;
@@ -179,100 +179,102 @@
     shares += controller->up() ? controller->budget_share() : 0;
   }
   if (shares > admission::kPlannedFraction + kSharesTolerance) {
-    breaches_.push_back(fmt::format("plan: all may fill {:.4f} of the room", shares));
+    breaches_.push_back(
+        fmt::format("plan: the controllers' shares add up to {:.4f} of the budget", shares));
   }
 }
 
-// ---------------------------------------------------------------------------- its result
+// ---------------------------------------------------------------------------- result
 
 Outcome OverloadScenario::Run() {
   world.clock.RunUntil(kEndOfDay);
   const double budget = controllers.front()->budget();
   CheckBudget(budget);
-  const Services services = MeasureServices();
-  const Totals totals = CheckServices(services, budget);
+  const GroupResults results = MeasureGroups();
+  const Totals totals = CheckGroups(results, budget);
   Outcome outcome;
   outcome.breaches = world.rule_checker.breaches();
   outcome.breaches.insert(outcome.breaches.end(), breaches_.begin(), breaches_.end());
-  outcome.figures = MakeFigures(services, totals, budget);
+  outcome.figures = MakeFigures(results, totals, budget);
   outcome.decisions = world.decisions.number();
   return outcome;
 }
 
-// What is under way counts against what is seen free, so views that lag cost half at the most.
+// Tasks under way count against the free budget that a controller sees, so outdated views exceed
+// the budget by at most kPlannedFraction, a half.
 void OverloadScenario::CheckBudget(double budget) {
   if (most_live_tasks_ <= budget * (1 + admission::kPlannedFraction)) return;
   breaches_.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_tasks_, budget));
 }
 
-OverloadScenario::Services OverloadScenario::MeasureServices() const {
-  Services services;
+OverloadScenario::GroupResults OverloadScenario::MeasureGroups() const {
+  GroupResults results;
   for (const SimulatedUser& user : users_.all()) {
     const wire::JobSpec& spec = user.spec;
     if (user.cancels_after_s || world.faulty_jobs.contains(spec.id)) continue;
-    Service& service = services[{spec.team, spec.job_class}];
-    ++service.submitted;
-    service.gave_up += user.gave_up ? 1 : 0;
+    GroupResult& result = results[{spec.team, spec.job_class}];
+    ++result.submitted;
+    result.gave_up += user.gave_up ? 1 : 0;
     if (user.accepted_at) {
-      ++service.accepted;
-      service.accepted_after_s.push_back(*user.accepted_at - user.submits_at);
+      ++result.accepted;
+      result.accepted_after_s.push_back(*user.accepted_at - user.submits_at);
     }
     const bool done = spec.kind == wire::JobKind::kService ? user.accepted_at.has_value()
                                                            : world.rule_checker.IsDone(spec.id);
-    service.done += done ? 1 : 0;
+    result.done += done ? 1 : 0;
   }
-  return services;
+  return results;
 }
 
-OverloadScenario::Totals OverloadScenario::CheckServices(const Services& services, double budget) {
+OverloadScenario::Totals OverloadScenario::CheckGroups(const GroupResults& results, double budget) {
   Totals totals;
-  // A team is within its means if all it asks for fits into what every team can have when all press
-  // at once.
+  // A team is within its means if its whole demand fits into the equal share of the budget that
+  // every team can have when all teams submit at once.
   const double means = budget / static_cast<double>(1 + demand_by_team_.size());
-  for (const auto& [group, service] : services) {
-    CheckStarvation(group, service);
-    const double share = static_cast<double>(service.done) / static_cast<double>(service.submitted);
+  for (const auto& [group, result] : results) {
+    CheckStarvation(group, result);
+    const double share = static_cast<double>(result.done) / static_cast<double>(result.submitted);
     if (group.team == kFloodTeam) {
       totals.flood_served = std::min(totals.flood_served, share);
       continue;
     }
     totals.least_served = std::min(totals.least_served, share);
     if (demand_by_team_[group.team].tasks > means) continue;
-    totals.gave_up_within_means += service.gave_up;
+    totals.gave_up_within_means += result.gave_up;
     totals.accepted_within_means_after_s.insert(totals.accepted_within_means_after_s.end(),
-                                                service.accepted_after_s.begin(),
-                                                service.accepted_after_s.end());
-    if (service.gave_up == 0) continue;
+                                                result.accepted_after_s.begin(),
+                                                result.accepted_after_s.end());
+    if (result.gave_up == 0) continue;
     breaches_.push_back(fmt::format("refused within its means: {} of {}: {} users gave up",
-                                    group.job_class, group.team, service.gave_up));
+                                    group.job_class, group.team, result.gave_up));
   }
   return totals;
 }
 
-// A flood is beyond what the budget and all machines can take for as long as its users retry: of
-// it, what was accepted counts.
-void OverloadScenario::CheckStarvation(const Group& group, const Service& service) {
+// The budget and the machines can't take the whole flood before its users stop retrying, so only
+// its accepted jobs count.
+void OverloadScenario::CheckStarvation(const Group& group, const GroupResult& result) {
   const bool floods = group.team == kFloodTeam;
-  if (floods && service.accepted == 0) return;
+  if (floods && result.accepted == 0) return;
   double demanded_cpu_s = 0;
   for (const auto& [team, demand] : demand_by_team_) demanded_cpu_s += demand.cpu_s;
   if (demanded_cpu_s >= capacity_cpu_s_ / 2) return;
-  const size_t of = floods ? service.accepted : service.submitted;
-  if (static_cast<double>(service.done) / static_cast<double>(of) >= 0.5) return;
+  const size_t expected = floods ? result.accepted : result.submitted;
+  if (static_cast<double>(result.done) / static_cast<double>(expected) >= 0.5) return;
   breaches_.push_back(fmt::format("starved: {} of {}: {} of {} jobs done, {} accepted",
-                                  group.job_class, group.team, service.done, service.submitted,
-                                  service.accepted));
+                                  group.job_class, group.team, result.done, result.submitted,
+                                  result.accepted));
 }
 
-std::vector<Figure> OverloadScenario::MakeFigures(const Services& services, const Totals& totals,
+std::vector<Figure> OverloadScenario::MakeFigures(const GroupResults& results, const Totals& totals,
                                                   double budget) const {
   size_t refused = 0;
   for (const auto& controller : controllers) refused += controller->refused();
   std::vector<double> accepted_after_s;
-  for (const auto& [group, service] : services) {
+  for (const auto& [group, result] : results) {
     if (group.team == kFloodTeam) continue;
-    accepted_after_s.insert(accepted_after_s.end(), service.accepted_after_s.begin(),
-                            service.accepted_after_s.end());
+    accepted_after_s.insert(accepted_after_s.end(), result.accepted_after_s.begin(),
+                            result.accepted_after_s.end());
   }
   const auto& within_means = totals.accepted_within_means_after_s;
   return {{"seed", static_cast<double>(seed_)},
--- a/simulation/overload.h
+++ b/simulation/overload.h
@@ -1,5 +1,6 @@
-// The overload scenario: a flood of jobs beside what other teams ask for, and controllers that fail
-// meanwhile. The controllers' own admission and queues decide; users retry as the protocol says.
+// The overload scenario: one team submits a flood of jobs beside the regular jobs of other teams,
+// while controllers fail. The controllers' own admission and queues handle the load; users retry as
+// the API protocol prescribes.
 #pragma once
 
 #include <map>
@@ -11,26 +12,27 @@
 
 namespace mosspath::simulation {
 
-// One simulated day. Everything follows from the seed and from the faults.
+// One simulated day. The seed and the faults determine the whole run. Times are in simulated
+// seconds.
 class OverloadScenario : public SimulatedCluster {
  public:
-  // What is special about the day; follows from the seed.
+  // The variant of the day, derived from the seed.
   enum class Shape {
-    kOneFloods,  // with jobs of many tasks
-    kTinyJobs,   // thousands of one task against a few large ones
-    kFloodsAndCancels,
-    kManyTeams,
-    kOneController,  // the load balancer sends all of the flood to one
-    kFewWrites,      // the store takes a fraction of its changes
-    kServices,       // that never end and hold what they have
-    kFaultyJobs,     // jobs that fail on every machine
+    kOneTeamFloods,     // one team floods with jobs of many tasks
+    kTinyJobs,          // the flood has 500 jobs of one task and 3 of 2000 tasks
+    kFloodsAndCancels,  // users of the flood cancel half of its jobs
+    kManyTeams,         // 200 more teams with one small job each
+    kOneController,     // the load balancer sends the whole flood to one controller
+    kFewWrites,         // each controller may write only one acceptance a second to the store
+    kServices,          // the flood includes services, which never end and keep their machines
+    kFaultyJobs,        // a third of the flood's jobs fail on every machine
     kShapes
   };
 
-  // `lease_shards`: controllers hold shards of the machines.
+  // With `lease_shards`, controllers hold leases on shards of the machines.
   OverloadScenario(uint64_t seed, const std::vector<Fault>& faults, bool lease_shards = false);
 
-  // Plays the day to its end; called once.
+  // Simulates the whole day. Must be called only once.
   Outcome Run();
 
   static std::vector<Fault> Faults(uint64_t seed) { return DrawFaults(seed, seed % 5, 15, 90); }
@@ -45,30 +47,31 @@
     std::string job_class;
     auto operator<=>(const Group&) const = default;
   };
-  // Equal jobs that are submitted between two times.
+  // Equal jobs, submitted at random times from `from` to `to`.
   struct JobStream {
     Group group;
     wire::Priority priority = wire::Priority::kNormal;
     size_t jobs = 0;
     uint32_t tasks = 1;
-    double run_s = 0;  // of each task; 0: services, which never end
+    double run_s = 0;  // of each task; 0 for services, which never end
     double from = 0;
     double to = 0;
   };
+  // What a team asks for over the day.
   struct Demand {
     double tasks = 0;
     double cpu_s = 0;
   };
-  // How a group fared.
-  struct Service {
+  // Outcome of a group's jobs.
+  struct GroupResult {
     size_t submitted = 0;
     size_t accepted = 0;
     size_t done = 0;
     size_t gave_up = 0;
     std::vector<double> accepted_after_s;
   };
-  using Services = std::map<Group, Service>;
-  // What the summary of a day needs beyond the groups.
+  using GroupResults = std::map<Group, GroupResult>;
+  // Values of the day's summary over several groups.
   struct Totals {
     double least_served = 1;
     double flood_served = 1;
@@ -83,20 +86,20 @@
   void AddUsers(const JobStream& stream);
   void AdjustFloodingUsers();
   double LiveTasks();
-  Services MeasureServices() const;
+  GroupResults MeasureGroups() const;
   void CheckBudget(double budget);
-  Totals CheckServices(const Services& services, double budget);
-  void CheckStarvation(const Group& group, const Service& service);
-  std::vector<Figure> MakeFigures(const Services& services, const Totals& totals,
+  Totals CheckGroups(const GroupResults& results, double budget);
+  void CheckStarvation(const Group& group, const GroupResult& result);
+  std::vector<Figure> MakeFigures(const GroupResults& results, const Totals& totals,
                                   double budget) const;
 
   const uint64_t seed_;
   const Shape shape_;
   SimulatedUsers users_;
   std::map<std::string, Demand> demand_by_team_;
-  double capacity_cpu_s_ = 0;  // what all machines could do
+  double capacity_cpu_s_ = 0;  // CPU seconds of all machines over the day
   double most_live_tasks_ = 0;
-  std::vector<std::string> breaches_;  // of the rules that only this scenario checks
+  std::vector<std::string> breaches_;  // breaches of the rules that only this scenario checks
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -7,13 +7,13 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kGiveUpAfterS = 60;   // since the first attempt to submit
-constexpr double kAnswerTimeoutS = 5;  // of submissions and cancellations
+constexpr double kGiveUpAfterS = 60;   // from the first submission attempt
+constexpr double kAnswerTimeoutS = 5;  // for submissions and cancellations
 constexpr double kStatusTimeoutS = 2;
-constexpr double kRetryAfterS = 1;  // and at least that, whatever the answer says
+constexpr double kRetryAfterS = 1;  // minimum retry delay; an answer may ask for a longer one
 constexpr double kPollIntervalS = 5;
-constexpr double kPollSpread = 0.1;  // of the interval, to both sides
-constexpr size_t kBalancerTries = 3;
+constexpr double kPollSpread = 0.1;  // maximum relative deviation from the interval
+constexpr size_t kConnectAttempts = 3;
 
 bool IsAccepted(int http_status) { return http_status == 200 || http_status == 201; }
 
@@ -35,7 +35,7 @@
 SimulatedController* SimulatedUsers::Connect(SimulatedUser& user) {
   const auto& controllers = cluster_.controllers;
   if (pinned(user)) return controllers.front()->up() ? controllers.front().get() : nullptr;
-  for (size_t tries = 0; tries < kBalancerTries; ++tries) {
+  for (size_t attempts = 0; attempts < kConnectAttempts; ++attempts) {
     SimulatedController& next = *controllers[++user.balancer_position % controllers.size()];
     if (next.up()) return &next;
   }
@@ -95,9 +95,9 @@
 }
 
 void SimulatedUsers::SubmitInvalid(const wire::JobSpec& spec) {
-  SimulatedUser nobody;
-  nobody.balancer_position = world_.random.Below(cluster_.controllers.size());
-  SimulatedController* controller = Connect(nobody);
+  SimulatedUser one_time_user;
+  one_time_user.balancer_position = world_.random.Below(cluster_.controllers.size());
+  SimulatedController* controller = Connect(one_time_user);
   world_.specs[spec.id] = spec;
   world_.rule_checker.OnInvalidSubmitted(spec);
   if (controller == nullptr) return;
@@ -139,10 +139,10 @@
   SendCancellation(user);
 }
 
-size_t SimulatedUsers::CancelSome(size_t most, double within_s,
+size_t SimulatedUsers::CancelSome(size_t max_count, double within_s,
                                   const std::function<bool(const SimulatedUser&)>& filter) {
   size_t count = 0;
-  for (size_t i = 0; i < users_.size() && count < most; ++i) {
+  for (size_t i = 0; i < users_.size() && count < max_count; ++i) {
     const SimulatedUser& user = users_[i];
     if (!user.accepted_at || user.cancelled || !filter(user)) continue;
     ++count;
--- a/simulation/users.h
+++ b/simulation/users.h
@@ -1,5 +1,6 @@
-// Users as the protocol describes them: they submit through a load balancer until they are answered
-// or have tried for a minute, ask about accepted jobs, and cancel.
+// Simulated users, who follow the API protocol through a load balancer: each user retries a
+// submission until it is accepted or 60 s have passed, polls the status of accepted jobs, and
+// cancels jobs.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +13,19 @@
 
 namespace mosspath::simulation {
 
-// One user with one job. Times are seconds since the start of the day.
+// One user with one job. Points in time are in seconds since the start of the day.
 struct SimulatedUser {
   wire::JobSpec spec;
-  double submits_at = 0;                  // the first attempt
-  std::optional<double> cancels_after_s;  // after the acceptance; none: never
-  bool polls = false;                     // asks about the job every few seconds, all day
-  std::optional<double> accepted_at;      // when it was answered so
-  bool gave_up = false;
-  bool cancelled = false;        // it has begun to ask for that
-  size_t balancer_position = 0;  // the controller that its last connection went to
+  double submits_at = 0;                  // the first submission attempt
+  std::optional<double> cancels_after_s;  // from acceptance to cancellation; unset: never
+  bool polls = false;  // polls the job's status every 5 s from acceptance to the end of the day
+  std::optional<double> accepted_at;  // when the user received the acceptance
+  bool gave_up = false;               // the submission was not accepted within 60 s
+  bool cancelled = false;             // the user has started to send cancellations
+  size_t balancer_position = 0;       // round-robin position of the last connection
 };
 
-// All users of a day, known by their indices in all().
+// All users of a simulated day. Member functions identify a user by its index in all().
 class SimulatedUsers {
  public:
   // The cluster must outlive the users.
@@ -33,26 +34,27 @@
   // --- Before the day begins ---
 
   SimulatedUser& Add(SimulatedUser user);
-  // Schedules all first attempts to submit.
+  // Schedules the first submission attempt of every user.
   void Begin();
-  // Users whose connections all go to the first controller.
+  // Selects the users whose connections all go to the first controller.
   std::function<bool(const SimulatedUser&)> pinned = [](const SimulatedUser&) { return false; };
 
   // --- During the day ---
 
-  // The user cancels the job if it was accepted and not cancelled before, until it is answered.
+  // Cancels the user's job if the job is accepted and not cancelled yet. The user retries until the
+  // cancellation is confirmed.
   void Cancel(size_t user);
-  // Lets up to `most` of the users that are accepted by the filter cancel within that time. Returns
-  // how many do.
-  size_t CancelSome(size_t most, double within_s,
+  // Makes up to `max_count` users that match the filter cancel their accepted jobs at random times
+  // within `within_s`. Returns the number of these users.
+  size_t CancelSome(size_t max_count, double within_s,
                     const std::function<bool(const SimulatedUser&)>& filter);
-  // Submits an accepted job again; it must not be refused.
+  // Submits an accepted job again. A refusal breaks a rule.
   void SubmitAgain(size_t user);
-  // Asks once for the job's state.
+  // Sends one status query for the job.
   void QueryStatus(size_t user);
-  // Cancels a job that is done, which must stay done.
+  // Cancels a completed job, which must stay done.
   void CancelDone(size_t user) { SendCancellation(user); }
-  // Submits a job that can never run and must be refused.
+  // Submits a job that can never run. An acceptance breaks a rule.
   void SubmitInvalid(const wire::JobSpec& spec);
 
   size_t invalid_refused() const { return invalid_refused_; }
@@ -60,7 +62,8 @@
   std::vector<SimulatedUser>& all() { return users_; }
 
  private:
-  // The next controller that takes connections; null if none of a few does.
+  // Returns the next controller that accepts connections in round-robin order, or null if none of
+  // three attempts succeeds. A pinned user tries only the first controller.
   SimulatedController* Connect(SimulatedUser& user);
   void Submit(size_t user);
   void OnSubmitAnswered(size_t user, int http_status, double retry_after_s);
