--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -9,14 +9,15 @@
 namespace mosspath::simulation {
 namespace {
 
-// The users' rules, in seconds.
-constexpr double kAnsweredWithinS = 75;  // a question about an accepted job, after all faults
-constexpr double kPlacedWithinS = 90;    // a waiting task beside a machine with room
-constexpr double kBegunWithinS = 240;    // the largest jobs of a class
+// Time limits of the users' rules, in seconds.
+constexpr double kAnsweredWithinS =
+    75;                                // for status answers and critical replicas, after all faults
+constexpr double kPlacedWithinS = 90;  // for a waiting task while a machine has room for it
+constexpr double kBegunWithinS = 240;  // for the largest jobs of a class
 
-constexpr double kRounding = 1e-6;    // for sums of CPUs and GPUs
-constexpr double kNeverBegunS = 1e9;  // in the sentence about a job that never began
-constexpr size_t kLargestOneIn = 10;  // of a class
+constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
+constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
+constexpr size_t kLargestDivisor = 10;       // the largest tenth of a class's jobs
 
 template <typename T>
 bool Contains(const std::vector<T>& values, const T& value) {
@@ -58,15 +59,16 @@
     return;
   }
   if (state == wire::JobState::kDone && job.completed.size() < job.spec.tasks) {
-    AddBreach("not_done: " + id + " is told done");
+    AddBreach("not_done: " + id + " is reported done before all its tasks completed");
   }
   if (state == wire::JobState::kCancelled && !job.cancellation_requested) {
-    AddBreach("went_back: " + id + " is told cancelled");
+    AddBreach("went_back: " + id + " is reported cancelled without a request");
   }
   const bool ended = state == wire::JobState::kDone || state == wire::JobState::kCancelled;
-  // A job has one final state; and who asks after it was answered once gets no older state.
+  // A job has one final state. A query that is sent after the user received that state must not
+  // return an earlier one.
   if (job.final_state && (ended ? *job.final_state != state : asked_at >= job.final_state_at)) {
-    AddBreach("went_back: " + id + " is told otherwise later");
+    AddBreach("went_back: " + id + " is reported in a contradictory or older state");
   }
   if (ended && !std::exchange(job.final_state, state)) job.final_state_at = now;
 }
@@ -125,11 +127,12 @@
   size_t in_zone = 1;
   for (const auto& [index, placement] : job.running) {
     const bool same_zone = placement.zone == zone;
-    if (spec.single_zone && !same_zone) AddBreach("wrong_place: " + name + " is not together");
+    if (spec.single_zone && !same_zone)
+      AddBreach("wrong_place: " + name + " is not in the single zone of its job");
     in_zone += same_zone ? 1 : 0;
   }
   if (spec.spread_over_zones && in_zone > (spec.tasks + 1) / 2) {
-    AddBreach("wrong_place: " + name + " is not apart");
+    AddBreach("wrong_place: " + name + " exceeds its zone's share of a spread job");
   }
 }
 
@@ -137,8 +140,8 @@
   const ResourceUse& use = use_by_team_[spec.team];
   for (const auto& team : settings_.teams) {
     if (team.name != spec.team) continue;
-    if ((team.cpus_max > 0 && use.cpus > team.cpus_max + kRounding) ||
-        (team.gpus_max > 0 && use.gpus > team.gpus_max + kRounding)) {
+    if ((team.cpus_max > 0 && use.cpus > team.cpus_max + kResourceTolerance) ||
+        (team.gpus_max > 0 && use.gpus > team.gpus_max + kResourceTolerance)) {
       AddBreach("quota: " + team.name + " with " + task_name);
     }
   }
@@ -171,7 +174,7 @@
   });
 }
 
-// Looks at all tasks that must run at once.
+// Considers all tasks that must run at the same time.
 bool RuleChecker::CanEverRun(const wire::JobSpec& spec) const {
   const auto zones =
       std::count_if(settings_.zones.begin(), settings_.zones.end(),
@@ -187,8 +190,8 @@
     if (team.name != spec.team) continue;
     const auto found = use_by_team_.find(team.name);
     const ResourceUse use = found == use_by_team_.end() ? ResourceUse{} : found->second;
-    return (team.cpus_max <= 0 || use.cpus + spec.cpus <= team.cpus_max + kRounding) &&
-           (team.gpus_max <= 0 || use.gpus + spec.gpus <= team.gpus_max + kRounding);
+    return (team.cpus_max <= 0 || use.cpus + spec.cpus <= team.cpus_max + kResourceTolerance) &&
+           (team.gpus_max <= 0 || use.gpus + spec.gpus <= team.gpus_max + kResourceTolerance);
   }
   return false;
 }
@@ -217,7 +220,7 @@
     const double waited =
         now - std::max({since, job.last_start_at, *job.accepted_at, faults_until_});
     if (waited <= kPlacedWithinS || std::exchange(job.reported_waiting, true)) continue;
-    AddBreach(fmt::format("waits: {} for {:.0f} s beside {}, which has room", id, waited, machine));
+    AddBreach(fmt::format("waits: {} for {:.0f} s while {} has room", id, waited, machine));
   }
   job.room_since = std::move(room_since);
 }
@@ -239,7 +242,7 @@
   }
 }
 
-// A critical service's replicas are all up again by then, whatever else there is to do.
+// All replicas of a critical service must be up again by this time, whatever the other load.
 void RuleChecker::CheckReplicas(Job& job, double now) {
   const bool critical = IsService(job.spec) && job.spec.priority > wire::Priority::kHigh;
   if (!critical || !job.accepted_at || now - *job.accepted_at <= kAnsweredWithinS) return;
@@ -250,53 +253,53 @@
                         job.spec.tasks));
 }
 
-// Questions are answered however other jobs fare, and whatever became of this one.
+// Status queries must be answered whatever the state of this job and of other jobs.
 void RuleChecker::CheckForgotten(Job& job, double now) {
   if (!job.accepted_at || job.cancellation_requested || job.reported_forgotten) return;
   const double since = std::max({job.last_answered_at, *job.accepted_at, faults_until_});
   if (now - since <= kAnsweredWithinS) return;
   job.reported_forgotten = true;
-  AddBreach(fmt::format("forgotten: no question about {} is answered for {:.0f} s", job.spec.id,
+  AddBreach(fmt::format("forgotten: no status query about {} is answered for {:.0f} s", job.spec.id,
                         now - job.last_answered_at));
 }
 
 void RuleChecker::CheckEndOfDay(double capacity_cpus) {
-  Shares shares;
+  ServedCounts counts;
   std::map<std::string, std::vector<const Job*>> classes;
   for (const auto& [id, job] : jobs_) {
     if (!job.submitted_at || job.cancellation_requested) continue;
     classes[job.spec.job_class].push_back(&job);
     const bool served = IsService(job.spec) ? job.begun_at.has_value() : job.done;
     for (const auto& group : {"class " + job.spec.job_class, "team " + job.spec.team}) {
-      ++shares[group].submitted;
-      shares[group].served += served ? 1 : 0;
+      ++counts[group].submitted;
+      counts[group].served += served ? 1 : 0;
     }
   }
   for (auto& [name, jobs] : classes) {
-    CheckLargest(name, std::move(jobs), capacity_cpus, shares["the largest of " + name]);
+    CheckLargest(name, std::move(jobs), capacity_cpus, counts["the largest of " + name]);
   }
-  for (const auto& [group, share] : shares) {
-    if (2 * share.served >= share.submitted) continue;
-    AddBreach(
-        fmt::format("starved: of {}, {} of {} are served", group, share.served, share.submitted));
+  for (const auto& [group, count] : counts) {
+    if (2 * count.served >= count.submitted) continue;
+    AddBreach(fmt::format("starved: of {}, {} of {} jobs are served", group, count.served,
+                          count.submitted));
   }
 }
 
 void RuleChecker::CheckLargest(const std::string& job_class, std::vector<const Job*> jobs,
-                               double capacity_cpus, Share& share) {
+                               double capacity_cpus, ServedCount& count) {
   std::stable_sort(jobs.begin(), jobs.end(),
                    [](const Job* a, const Job* b) { return a->spec.tasks > b->spec.tasks; });
-  jobs.resize(std::max<size_t>(1, jobs.size() / kLargestOneIn));
+  jobs.resize(std::max<size_t>(1, jobs.size() / kLargestDivisor));
   for (const Job* job : jobs) {
     const wire::JobSpec& spec = job->spec;
-    ++share.submitted;
-    share.served += job->done || (IsService(spec) && job->begun_at) ? 1 : 0;
+    ++count.submitted;
+    count.served += job->done || (IsService(spec) && job->begun_at) ? 1 : 0;
     const double begun_after_s = job->begun_at ? *job->begun_at - *job->submitted_at : kNeverBegunS;
     if (job->begun_at) latest_begin_s_ = std::max(latest_begin_s_, begun_after_s);
     const bool gang = spec.kind == wire::JobKind::kGang;
     if (gang && spec.tasks * spec.cpus > capacity_cpus) continue;
     if (begun_after_s <= kBegunWithinS) continue;
-    AddBreach(fmt::format("late: {}, of the largest of {}, begins after {:.0f} s", spec.id,
+    AddBreach(fmt::format("late: {}, among the largest of {}, begins after {:.0f} s", spec.id,
                           job_class, begun_after_s));
   }
 }
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -1,4 +1,4 @@
-// Checks a simulated day against what the users require of a deployment.
+// Checks a simulated day against the users' requirements of a deployment.
 #pragma once
 
 #include <algorithm>
@@ -14,25 +14,26 @@
 
 namespace mosspath::simulation {
 
-// Sees what happens on the machines and what users are answered, and records every breach of a rule
-// as a sentence that begins with the rule's name. It knows nothing of what the controllers believe.
-// All times are simulated seconds, in the order of the calls.
+// Receives the events on machines and the answers to users, and records every breach of a rule as a
+// message that begins with the rule's name. It is independent of the controllers' state. All times
+// are simulated seconds; events must be reported in order of time. Not thread-safe.
 class RuleChecker {
  public:
   RuleChecker(const config::Settings& settings, const std::vector<wire::MachineType>& types)
       : settings_(settings), types_(types) {}
 
-  // --- What users do and are answered ---
+  // --- User requests and answers ---
 
   // A valid job is submitted, for the first time or again.
   void OnSubmitted(const wire::JobSpec& spec, double now);
   // A job that can never run is submitted; accepting it is a breach.
   void OnInvalidSubmitted(const wire::JobSpec& spec) { jobs_[spec.id].spec = spec; }
-  // The user has the answer that the job is accepted; from now on it must never be forgotten.
+  // The user receives the acceptance of the job. From now on the controllers must never lose the
+  // job.
   void OnAccepted(const std::string& id, double now);
-  // A submission of the job was refused for good.
+  // A submission of the job is refused permanently; for an accepted job this is a breach.
   void OnRefused(const std::string& id);
-  // A status question that was asked at `asked_at` is answered now.
+  // The user receives the answer to a status query or cancellation that was sent at `asked_at`.
   void OnStatusAnswered(const std::string& id, int http_status, wire::JobState state,
                         double asked_at, double now);
   void OnCancellationRequested(const std::string& id) { jobs_[id].cancellation_requested = true; }
@@ -40,56 +41,56 @@
   void OnCancellationConfirmed(const std::string& id, double now);
   void OnCompletionConfirmed(const std::string& id);
 
-  // --- What happens on machines ---
+  // --- Events on machines ---
 
   void OnTaskStarted(const wire::TaskId& task, const std::string& machine, const std::string& type,
                      const std::string& zone, bool spot, double now);
-  // The task no longer runs on that machine, whatever the reason.
+  // The task no longer runs on that machine, for any reason.
   void OnTaskLeft(const wire::TaskId& task, const std::string& machine);
-  // Returns whether it was the last task of its job that had not completed.
+  // Returns whether this completion is the last one of the task's job.
   bool OnTaskCompleted(const wire::TaskId& task);
 
-  // --- Waiting beside room ---
+  // --- Jobs that wait despite free capacity ---
 
   // A job with tasks to start.
   struct WaitingJob {
     const wire::JobSpec* spec = nullptr;  // valid until the next call of a non-const member
-    std::map<std::string, size_t> running_by_zone;  // its other tasks
+    std::map<std::string, size_t> running_by_zone;  // number of the job's running tasks
     bool team_has_room = true;                      // one more task stays within the team's quota
   };
-  // Accepted jobs with tasks that have neither completed nor run now.
+  // Returns the accepted, live jobs with tasks that are neither completed nor running.
   std::vector<WaitingJob> WaitingJobs() const;
-  // These machines could run one more task of the job now; called for a waiting job at short
-  // intervals once all faults are over.
+  // These machines have the free capacity for one more task of the job. Must be called for each
+  // waiting job at short intervals after the end of all faults.
   void OnMachinesWithRoom(const std::string& id, const std::vector<std::string>& machines,
                           double now);
 
   // --- Time ---
 
-  // Some fault lasts until that time; the rules on liveness apply after the last of them.
+  // A fault lasts until that time. The liveness rules apply after the end of the last fault.
   void OnFaultUntil(double until) { faults_until_ = std::max(faults_until_, until); }
   double faults_until() const { return faults_until_; }
-  // Checks what only the passing of time can break; called at short intervals.
+  // Checks the rules that the passing of time can break. Must be called at short intervals.
   void CheckNow(double now);
-  // Checks who was served by less than half or began too late, at the end of the day.
-  // `capacity_cpus`: of all machines together.
+  // At the end of the day, reports teams and classes of which less than half of the jobs were
+  // served, and large jobs that started too late. `capacity_cpus` is the total of all machines.
   void CheckEndOfDay(double capacity_cpus);
 
   // --- Results ---
 
-  void AddBreach(const std::string& sentence) { breaches_.push_back(sentence); }
+  void AddBreach(const std::string& message) { breaches_.push_back(message); }
   const std::vector<std::string>& breaches() const { return breaches_; }
   size_t starts() const { return starts_; }
   size_t done_jobs() const;
   bool IsDone(const std::string& id) const;
-  // When each cancellation was confirmed.
+  // The times at which cancellations were confirmed.
   const std::vector<double>& cancellations() const { return cancellations_; }
-  // The longest time from a confirmed cancellation to a start that was under way meanwhile.
+  // The longest time from a confirmed cancellation to a later start of one of the job's tasks.
   double latest_cancelled_start_s() const { return latest_cancelled_start_s_; }
-  // The longest time from a first attempt to submit to the first start, of the largest of each
-  // class.
+  // The longest time from the first submission attempt to the first task start, among the largest
+  // jobs of each class.
   double latest_begin_s() const { return latest_begin_s_; }
-  // The longest time between two answers about a job once all faults are over.
+  // The longest time between two answers about an accepted job after the end of all faults.
   double longest_unanswered_s() const { return longest_unanswered_s_; }
 
  private:
@@ -107,25 +108,25 @@
     std::map<uint32_t, Placement> running;  // by task index
     bool done = false;
     std::optional<double> cancelled_at;
-    std::optional<double> submitted_at;  // the first attempt
-    std::optional<double> accepted_at;   // when its user was answered so
-    std::optional<double> begun_at;      // when a task of it first started
+    std::optional<double> submitted_at;  // the first submission attempt
+    std::optional<double> accepted_at;   // when the user received the acceptance
+    std::optional<double> begun_at;      // when one of its tasks first started
     double last_answered_at = 0;
     bool cancellation_requested = false;
     bool reported_forgotten = false;
     bool reported_down = false;
     bool reported_waiting = false;
-    std::optional<wire::JobState> final_state;  // as its user was first answered
+    std::optional<wire::JobState> final_state;  // the first one that the user received
     double final_state_at = 0;
-    std::map<std::string, double> room_since;  // machines that have had room ever since
+    std::map<std::string, double> room_since;  // by machine with room; start of that state
     double last_start_at = 0;
   };
-  // How many of a group of jobs were served.
-  struct Share {
+  // Counts of a group of jobs.
+  struct ServedCount {
     size_t submitted = 0;
     size_t served = 0;
   };
-  using Shares = std::map<std::string, Share>;
+  using ServedCounts = std::map<std::string, ServedCount>;
 
   bool CanEverRun(const wire::JobSpec& spec) const;
   bool FitsIntoZone(const wire::JobSpec& spec, const std::string& zone) const;
@@ -136,9 +137,9 @@
   void CheckQuota(const wire::JobSpec& spec, const std::string& task_name);
   void CheckReplicas(Job& job, double now);
   void CheckForgotten(Job& job, double now);
-  // Looks at the tenth of a class with the most tasks.
+  // Checks the tenth of a class's jobs that have the most tasks.
   void CheckLargest(const std::string& job_class, std::vector<const Job*> jobs,
-                    double capacity_cpus, Share& share);
+                    double capacity_cpus, ServedCount& count);
 
   const config::Settings settings_;
   const std::vector<wire::MachineType> types_;
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -1,4 +1,4 @@
-// The rule checker of the simulation: planted violations are found.
+// The rule checker of the simulation reports violations that the tests inject.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,7 +14,7 @@
 using simulation::SmallSettings;
 using simulation::SmallType;
 
-// A cluster without controllers: the test plants violations that the checker must find.
+// A cluster without controllers, in which the tests inject violations that the checker must report.
 class RuleCheckerTest : public ::testing::Test {
  protected:
   RuleCheckerTest() : world(SmallSettings(), {SmallType()}, 1) {
@@ -69,18 +69,19 @@
   world.Submit(spec_);
   auto& agent = world.AddMachine("box", "east", false);
   world.rule_checker.OnCancellationConfirmed("req-1", 0);
-  world.clock.At(25, [&] { agent.OnCommands(1, 3, {Start(0)}); });  // its third epoch by then
+  world.clock.At(25, [&] { agent.OnCommands(1, 3, {Start(0)}); });  // the agent's third epoch
   world.clock.RunUntil(27);
   world.rule_checker.CheckNow(27);
   EXPECT_TRUE(Found("ran_cancelled"));
 }
 
-// Its lease is valid, so it continues the task that was cancelled while it hung.
+// The agent's lease is still valid after the hang, so the agent continues a task that was cancelled
+// meanwhile.
 TEST_F(RuleCheckerTest, DetectsACancelledTaskOnAMachineThatHung) {
   spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
   auto& agent = world.AddMachine("box", "east", false);
-  world.clock.At(15, [&] {  // its second epoch by then
+  world.clock.At(15, [&] {  // the agent's second epoch
     agent.OnCommands(1, 2, {Start(0)});
     agent.Hang(4);
   });
@@ -96,7 +97,8 @@
   for (double now = 0; now <= 88; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-1", "vm-2"}, now);
   EXPECT_FALSE(Found("waits"));
-  // Another machine each time means fragmented capacity of a full cluster.
+  // Room on one machine after another is fragmented capacity of a full cluster, which is no breach.
+  // The time limit applies to each machine.
   for (double now = 90; now <= 178; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, now);
   EXPECT_FALSE(Found("waits"));
--- a/tests/simulated_days_test.cc
+++ b/tests/simulated_days_test.cc
@@ -1,5 +1,5 @@
-// Simulated days of several controllers under fixed seeds, with one kind of fault or several, and
-// every rule checked.
+// Simulated days of several controllers with fixed seeds and one or more kinds of faults. The rule
+// checker checks every rule.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -18,17 +18,17 @@
 using simulation::SmallSettings;
 using simulation::SmallType;
 
-// The kinds of faults of a day, and whether controllers hold shards.
+// The kinds of faults that a day injects, and whether controllers hold shards.
 struct Faults {
   bool crashes = false;                // of one controller or all
-  bool cuts = false;                   // controllers from the state service or from agents
-  bool zone_partitions = false;        // a zone's agents from all controllers
-  bool outages = false;                // of the state service
-  bool deaths = false;                 // of machines
-  bool sick_machines = false;          // machines on which tasks fail
+  bool cuts = false;                   // between a controller and the key-value store or the agents
+  bool zone_partitions = false;        // between a zone's agents and all controllers
+  bool outages = false;                // of the key-value store
+  bool terminations = false;           // of machines
+  bool faulty_machines = false;        // machines on which all tasks fail
   bool stalls = false;                 // of controllers, shorter and longer than their leases
   bool long_crashes = false;           // of controllers, several at once
-  bool failing_reads = false;          // controllers renew their leases and cannot read, one or all
+  bool failing_reads = false;          // one or all controllers renew their leases but cannot read
   bool shards = false;                 // controllers hold shards
   bool controller_partitions = false;  // between controllers
 };
@@ -39,7 +39,7 @@
   return settings;
 }
 
-// One day of three controllers, eight machines and thirty jobs, played to its end when constructed.
+// One day of three controllers, eight machines and thirty jobs. The constructor runs the whole day.
 class Day : public simulation::SimulatedCluster {
  public:
   Day(uint64_t seed, Faults faults)
@@ -48,7 +48,7 @@
     for (int i = 0; i < 30; ++i) {
       world.clock.At(world.random.Uniform(0, 90), [this, i] { SubmitOne(i); });
     }
-    for (int i = 0; i < 5; ++i) PlanFaults(faults);
+    for (int i = 0; i < 5; ++i) ScheduleFaultKinds(faults);
     world.clock.RunUntil(faults.shards ? 300 : 240);
   }
 
@@ -77,7 +77,8 @@
     spec.memory_gb = 2;
     spec.image = "img-" + std::to_string(i % 4);
     spec.image_gb = 1;
-    // With shards these jobs stay with the leader, so there are fewer.
+    // The leader places these jobs itself, also with shards, so days with shards have fewer of
+    // them.
     spec.single_zone = i % (shards_ ? 14 : 7) == 1;
     spec.spread_over_zones = i % (shards_ ? 14 : 7) == 2;
     if (i % 7 == 3) spec.zone = "west";
@@ -103,24 +104,24 @@
     return SimulatedCluster::Leader(world.random.Below(controllers.size()));
   }
 
-  // Plans the faults of each kind at random times.
-  void PlanFaults(const Faults& faults) {
-    if (faults.crashes) PlanCrashes();
-    if (faults.stalls) PlanStalls();
-    if (faults.long_crashes) PlanLongCrashes();
-    if (faults.failing_reads) PlanFailingReads();
-    if (faults.cuts) PlanCuts();
-    if (faults.zone_partitions) PlanZonePartitions();
-    if (faults.controller_partitions) PlanControllerPartitions();
-    if (faults.outages) PlanOutages();
-    if (faults.deaths) PlanDeaths();
-    if (faults.sick_machines) PlanSickMachines();
+  // Schedules the faults of each enabled kind at random times.
+  void ScheduleFaultKinds(const Faults& faults) {
+    if (faults.crashes) ScheduleCrashes();
+    if (faults.stalls) ScheduleStalls();
+    if (faults.long_crashes) ScheduleLongCrashes();
+    if (faults.failing_reads) ScheduleFailingReads();
+    if (faults.cuts) ScheduleCuts();
+    if (faults.zone_partitions) ScheduleZonePartitions();
+    if (faults.controller_partitions) ScheduleControllerPartitions();
+    if (faults.outages) ScheduleOutages();
+    if (faults.terminations) ScheduleTerminations();
+    if (faults.faulty_machines) ScheduleFaultyMachines();
   }
   void AtRandomTime(std::function<void()> fault) {
     world.clock.At(world.random.Uniform(10, 110), std::move(fault));
   }
 
-  void PlanCrashes() {
+  void ScheduleCrashes() {
     AtRandomTime([this] { Leader().Crash(world.random.Uniform(0.5, 6)); });
     AtRandomTime([this] {
       if (world.random.Below(3) == 0) {
@@ -128,10 +129,10 @@
       }
     });
   }
-  void PlanStalls() {
+  void ScheduleStalls() {
     AtRandomTime([this] { Leader().Freeze(world.random.Uniform(0.2, 3)); });
     AtRandomTime([this] {
-      // At any step of a failover, the new leader too.
+      // The further stalls hit any step of the failover, and also the new leader.
       Leader().Freeze(world.random.Uniform(1, 25));
       for (int i = 0; i < 3; ++i) {
         world.clock.After(world.random.Uniform(0.5, 8), [this] {
@@ -140,14 +141,14 @@
       }
     });
   }
-  void PlanLongCrashes() {
+  void ScheduleLongCrashes() {
     AtRandomTime([this] {
       const double duration_s = world.random.Uniform(10, 40);
       Any().Crash(duration_s);
       if (world.random.Below(2) == 0) Any().Crash(duration_s);
     });
     AtRandomTime([this] {
-      // One is left, and stalls until the agents' leases have expired.
+      // Only one controller is left, and it stalls until the agents' leases have expired.
       SimulatedController& left = Leader();
       for (auto& c : controllers) {
         if (c.get() != &left) c->Crash(60);
@@ -157,14 +158,14 @@
       });
     });
   }
-  void PlanFailingReads() {
+  void ScheduleFailingReads() {
     AtRandomTime([this] { Leader().FailReads(world.random.Uniform(3, 40)); });
     AtRandomTime([this] {
       const double duration_s = world.random.Uniform(3, 30);
       for (auto& c : controllers) c->FailReads(duration_s);
     });
   }
-  void PlanCuts() {
+  void ScheduleCuts() {
     AtRandomTime([this] {
       const std::string name = Leader().name();
       const double duration_s = world.random.Uniform(2, 25);
@@ -175,7 +176,7 @@
       for (auto& [id, m] : world.agents) world.network.Cut(name, id, duration_s, hold);
     });
   }
-  void PlanZonePartitions() {
+  void ScheduleZonePartitions() {
     AtRandomTime([this] {
       const double duration_s = world.random.Uniform(3, 25);
       const auto which = world.random.Below(2);
@@ -186,7 +187,7 @@
       }
     });
   }
-  void PlanControllerPartitions() {
+  void ScheduleControllerPartitions() {
     AtRandomTime([this] {
       const std::string name = Any().name();
       const double duration_s = world.random.Uniform(2, 40);
@@ -197,7 +198,8 @@
       if (world.random.Below(2) == 0) world.network.Cut(name, "state", duration_s, hold);
     });
     AtRandomTime([this] {
-      // A leader or holder, from everything outside its zone.
+      // Partitions a controller, the leader or a holder, from everything outside its zone. No
+      // messages pass between controllers and agents across the zone's border.
       const std::string name = Any().name();
       const std::string zone = world.ZoneOf(name);
       const double duration_s = world.random.Uniform(5, 45);
@@ -213,12 +215,12 @@
       }
     });
   }
-  void PlanOutages() {
+  void ScheduleOutages() {
     AtRandomTime([this] {
       if (world.store.up()) world.store.Outage(world.random.Uniform(1, 15));
     });
   }
-  void PlanDeaths() {
+  void ScheduleTerminations() {
     AtRandomTime([this] {
       auto it = world.agents.begin();
       std::advance(it, static_cast<std::ptrdiff_t>(world.random.Below(world.agents.size())));
@@ -227,7 +229,7 @@
       world.clock.After(5, [this, zone] { world.AddMachine("box", zone, false); });
     });
   }
-  void PlanSickMachines() {
+  void ScheduleFaultyMachines() {
     AtRandomTime([this] {
       world.agents.begin()->second->fails_all_tasks = true;
       world.clock.After(2, [this] { world.AddMachine("box", "east", false); });
@@ -243,12 +245,14 @@
     const uint64_t seed = first_seed + static_cast<uint64_t>(d);
     Day day(seed, faults);
     EXPECT_TRUE(test::NoBreaches(day.world)) << "seed " << seed;
-    // 30 jobs, up to 5 of them cancelled: the rest must be done, or nothing was tested.
+    // Up to 5 of the 30 jobs are cancelled. Most of the others must complete; otherwise the day
+    // tests nothing.
     EXPECT_GE(day.world.rule_checker.done_jobs(), 22u) << "seed " << seed << "\n"
                                                        << day.UnfinishedJobs();
     holder_starts += day.holder_starts();
   }
-  // Holders start most tasks; a day whose controllers are mostly down has few starts.
+  // Holders start most tasks. The bound is low, because a day whose controllers are mostly down has
+  // few starts.
   if (faults.shards) {
     EXPECT_GT(holder_starts, 8u * static_cast<uint64_t>(days));
   }
@@ -260,7 +264,7 @@
 TEST(SimulatedDaysTest, Partitions) { ExpectCleanDays({.zone_partitions = true}, 400, 6); }
 TEST(SimulatedDaysTest, StoreOutages) { ExpectCleanDays({.outages = true}, 500, 6); }
 TEST(SimulatedDaysTest, MachinesDieAndFail) {
-  ExpectCleanDays({.deaths = true, .sick_machines = true}, 600, 6);
+  ExpectCleanDays({.terminations = true, .faulty_machines = true}, 600, 6);
 }
 TEST(SimulatedDaysTest, ControllersStall) { ExpectCleanDays({.stalls = true}, 800, 12); }
 TEST(SimulatedDaysTest, ControllersAreDownForLong) {
@@ -274,15 +278,15 @@
                    .cuts = true,
                    .zone_partitions = true,
                    .outages = true,
-                   .deaths = true,
-                   .sick_machines = true},
+                   .terminations = true,
+                   .faulty_machines = true},
                   700, 20);
   ExpectCleanDays({.crashes = true,
                    .cuts = true,
                    .zone_partitions = true,
                    .outages = true,
-                   .deaths = true,
-                   .sick_machines = true,
+                   .terminations = true,
+                   .faulty_machines = true,
                    .stalls = true,
                    .long_crashes = true,
                    .failing_reads = true},
@@ -303,7 +307,7 @@
   ExpectCleanDays({.outages = true, .failing_reads = true, .shards = true}, 2500, 12);
 }
 TEST(SimulatedDaysTest, ShardsAndMachineDeaths) {
-  ExpectCleanDays({.deaths = true, .sick_machines = true, .shards = true}, 2600, 6);
+  ExpectCleanDays({.terminations = true, .faulty_machines = true, .shards = true}, 2600, 6);
 }
 TEST(SimulatedDaysTest, ShardsAndStalls) {
   ExpectCleanDays({.stalls = true, .long_crashes = true, .shards = true}, 2700, 12);
@@ -313,8 +317,8 @@
                    .cuts = true,
                    .zone_partitions = true,
                    .outages = true,
-                   .deaths = true,
-                   .sick_machines = true,
+                   .terminations = true,
+                   .faulty_machines = true,
                    .stalls = true,
                    .long_crashes = true,
                    .failing_reads = true,
--- a/tests/simulated_large_cluster_test.cc
+++ b/tests/simulated_large_cluster_test.cc
@@ -1,4 +1,4 @@
-// Simulated days of clusters of up to some thousand machines.
+// Simulated days of clusters with up to 2000 machines.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -18,7 +18,7 @@
 using simulation::SmallSettings;
 using simulation::SmallType;
 
-// One day of five controllers and arrays of up to 600 tasks, on up to `capacity` machines.
+// One day of five controllers and array jobs of up to 600 tasks, on up to `capacity` machines.
 struct LargeDay {
   static config::Settings Settings() {
     config::Settings settings = SmallSettings();
@@ -77,26 +77,26 @@
     }
     return *controllers.begin()->second;
   }
-  // Calls `f` for every `step`-th machine that `pick` chooses and that is alive, for `most` at
-  // most.
-  void ForEachAgent(size_t step, size_t most, const std::function<bool(size_t i)>& pick,
+  // Calls `f` for every `step`-th machine that is alive and that `pick` selects, for at most
+  // `max_count` machines.
+  void ForEachAgent(size_t step, size_t max_count, const std::function<bool(size_t i)>& pick,
                     const std::function<void(const std::string&, simulation::SimulatedAgent&)>& f) {
     size_t i = 0;
     for (auto& [id, w] : world.agents) {
-      if (most > 0 && i % step == 0 && pick(i) && w->alive()) {
+      if (max_count > 0 && i % step == 0 && pick(i) && w->alive()) {
         f(id, *w);
-        --most;
+        --max_count;
       }
       ++i;
     }
   }
-  void CutOff(const std::string& agent, double for_s) {
-    for (const auto& node : world.nodes) world.network.Cut(node, agent, for_s, true);
+  void CutOff(const std::string& agent, double duration_s) {
+    for (const auto& node : world.nodes) world.network.Cut(node, agent, duration_s, true);
   }
   void CrashAll() {
     for (auto& [name, c] : controllers) c->Crash(4);
   }
-  // Plays the day to its end; expects that no rule was broken and all jobs are done.
+  // Runs the day until `end`, and expects no breach and all jobs done.
   void ExpectAllJobsDoneBy(double end) {
     world.clock.RunUntil(end);
     EXPECT_TRUE(test::NoBreaches(world));
@@ -116,8 +116,8 @@
 
 const auto kAny = [](size_t) { return true; };
 
-// Controllers crash, one and all; the leader is partitioned; the state service becomes slow and has
-// an outage; machines die.
+// A day with a slow key-value store and a store outage, a crash of the leader and one of all
+// controllers, a partition of the leader, and terminated machines.
 TEST(LargeClusterTest, ALargeDay) {
   LargeDay day(21, 1000, 60);
   SimulatedEnvironment& world = day.world;
@@ -139,7 +139,7 @@
   EXPECT_GT(world.agents.size(), 300u);
 }
 
-// A third of all machines die or are partitioned at once while all controllers crash.
+// A third of the machines terminate or are partitioned at the time at which all controllers crash.
 TEST(LargeClusterTest, AThirdOfTheMachinesFailsWithAllControllers) {
   LargeDay day(22, 600, 40);
   day.world.clock.At(60, [&] {
@@ -156,7 +156,7 @@
   day.ExpectAllJobsDoneBy(330);
 }
 
-// A zone is partitioned for longer than a lease, with an outage of the state service in the middle.
+// A zone is partitioned for longer than an agent lease, with a store outage during the partition.
 TEST(LargeClusterTest, AZoneIsPartitionedForLongerThanALeaseInAnOutage) {
   LargeDay day(23, 600, 40);
   day.world.clock.At(60, [&] {
@@ -168,7 +168,7 @@
   day.ExpectAllJobsDoneBy(330);
 }
 
-// Six in ten machines are reclaimed without notice while two controllers are stalled.
+// Six in ten machines are reclaimed without notice while two controllers stall.
 TEST(LargeClusterTest, MostMachinesAreReclaimedWhileControllersStall) {
   LargeDay day(24, 600, 40);
   day.world.clock.At(60, [&] {
@@ -186,8 +186,8 @@
   day.ExpectAllJobsDoneBy(360);
 }
 
-// Twice as many machines and as much work as the large day, all submitted at once, with all
-// controllers crashing under it. (Threefold takes half a minute to play and shows no more.)
+// About twice as many machines and jobs as ALargeDay, with a crash of all controllers and a later
+// one of the leader. Three times as many take half a minute to simulate and show nothing more.
 TEST(LargeClusterTest, TwiceTheLargeDay) {
   LargeDay day(25, 2000, 110);
   day.world.clock.At(60, [&] { day.CrashAll(); });
--- a/tests/simulated_leader_faults_test.cc
+++ b/tests/simulated_leader_faults_test.cc
@@ -1,4 +1,4 @@
-// Simulated days of one job whose leader loses its agents or the state service.
+// Simulated days with one job, in which the leader loses its agents or the key-value store.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -49,8 +49,9 @@
   std::vector<std::unique_ptr<SimulatedController>> controllers;
 };
 
-// A leader that lost all agents, but not the state service, kept the leadership until every agent's
-// lease had expired, and all tasks with them. Now another controller takes the agents over in time.
+// A leader that can reach the key-value store but no agents must resign. Otherwise it stays leader
+// until the leases of all agents expire, and all tasks are lost. Another controller must take over
+// the agents before that.
 TEST(LeaderFaultsTest, ALeaderWithoutAgentsResigns) {
   OneJob day(11, 30, 60);
   SimulatedEnvironment& world = day.world;
@@ -65,13 +66,14 @@
   });
   world.clock.RunUntil(200);
   EXPECT_TRUE(test::NoBreaches(world));
-  EXPECT_EQ(world.rule_checker.starts(), 30u);  // every task ran once: none was lost
+  EXPECT_EQ(world.rule_checker.starts(), 30u);  // no task was lost and restarted
   EXPECT_EQ(world.rule_checker.done_jobs(), 1u);
   for (auto& c : controllers) EXPECT_EQ(c->resignations() > 0, c->name() == old_leader);
 }
 
-// A leader without a socket for reads kept its lease over the connection that it had, and went on
-// answering agents for a minute without learning that a job was cancelled: its tasks ran on.
+// A leader that has no socket left for reads can still renew its lease over an open connection. If
+// it keeps answering heartbeats, it renews the agents' leases without reading cancellations, and
+// the tasks of a cancelled job run on, once for a minute.
 TEST(LeaderFaultsTest, ALeaderThatCannotReadLetsAgentLeasesExpire) {
   OneJob day(13, 30, 400);
   for (auto& c : day.controllers) {
@@ -89,7 +91,8 @@
   EXPECT_TRUE(test::NoBreaches(day.world));
 }
 
-// It also resigns in favour of a controller that can read, long before that.
+// A leader that cannot read the store resigns in favour of a controller that can, before the
+// agents' leases expire.
 TEST(LeaderFaultsTest, ALeaderThatCannotReadResigns) {
   OneJob day(14, 30, 60);
   day.world.clock.At(20, [&] {
@@ -103,8 +106,8 @@
   EXPECT_EQ(day.world.rule_checker.done_jobs(), 1u);
 }
 
-// In an outage of several leases, all tasks were lost when the agents' leases expired. The leader
-// continues as long as every peer promises not to lead.
+// In a store outage of several leases, the agents' leases must not expire, which would lose all
+// tasks. The leader continues as long as every peer promises not to lead.
 TEST(LeaderFaultsTest, ALongOutageLosesNoTasks) {
   OneJob day(12, 240, 20);
   SimulatedEnvironment& world = day.world;
@@ -115,8 +118,8 @@
   world.clock.At(58, [&] { during = world.rule_checker.starts(); });
   world.clock.RunUntil(300);
   EXPECT_TRUE(test::NoBreaches(world));
-  EXPECT_GT(during, before);                     // work went on
-  EXPECT_EQ(world.rule_checker.starts(), 240u);  // and no task ran twice
+  EXPECT_GT(during, before);                     // tasks start during the outage
+  EXPECT_EQ(world.rule_checker.starts(), 240u);  // every task started exactly once
   EXPECT_EQ(world.rule_checker.done_jobs(), 1u);
 }
 
--- a/tests/simulation_helpers.h
+++ b/tests/simulation_helpers.h
@@ -1,4 +1,4 @@
-// What tests that play simulated days share.
+// Helpers for tests that run simulated days.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,7 +10,8 @@
 
 namespace mosspath::test {
 
-// Succeeds if the simulation broke no rule; otherwise lists the breaches, one a line.
+// Succeeds if the rule checker has recorded no breach. The failure message lists one breach per
+// line.
 inline ::testing::AssertionResult NoBreaches(const simulation::SimulatedEnvironment& world) {
   const std::vector<std::string>& breaches = world.rule_checker.breaches();
   if (breaches.empty()) return ::testing::AssertionSuccess();
