--- a/simulation/availability.cc
+++ b/simulation/availability.cc
@@ -34,7 +34,7 @@
 config::Settings AvailabilityScenario::SettingsFor(uint64_t seed, bool lease_shards) {
   config::Settings settings = SmallSettings();
   settings.lease_shards = lease_shards;
-  settings.memory_mb = 2;  // 40,000 tasks
+  settings.memory_mb = 2;  // a budget of 40,000 tasks
   settings.teams = {{"desk", 0, 0, 0, 0}, {"archive", 0, 0, 0, 0}, {"tight", 0, 12, 0, 0}};
   settings.objectives = {{"wait", "search", 8, 0.9, 1}, {"finished", "nightly", 120, 0.9, 1}};
   if (ShapeOf(seed) == Shape::kSlowHeartbeats) {
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -17,7 +17,7 @@
 constexpr double kSlowStoreFactor = 10;
 constexpr double kSlowLinkFactor = 150;
 constexpr size_t kAffectedMachineStride = 10;  // every tenth machine
-// An inbound cut shorter than a few agent leases can't be told from a slow machine.
+// An inbound cut shorter than a few agent leases is indistinguishable from a slow machine.
 constexpr double kInboundCutFactor = 6;
 constexpr double kMaxWriteDelayS = 12;  // from sending a store write to its application
 constexpr double kMaxDuplicateDelayLeases = 3;
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -54,7 +54,7 @@
     for (int i = 0; i < kManyTeams; ++i) settings.teams.push_back({NameOfTeam(i), 0, 0, 0, 0});
   }
   settings.objectives = {{"wait", "urgent", 10, 0.9, 1}, {"finished", "nightly", 120, 0.9, 1}};
-  settings.memory_mb = 0.3;  // 6,000 tasks
+  settings.memory_mb = 0.3;  // a budget of 6,000 tasks
   return settings;
 }
 
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -10,10 +10,9 @@
 namespace {
 
 // Time limits of the users' rules, in seconds.
-constexpr double kAnsweredWithinS =
-    75;                                // for status answers and critical replicas, after all faults
-constexpr double kPlacedWithinS = 90;  // for a waiting task while a machine has room for it
-constexpr double kBegunWithinS = 240;  // for the largest jobs of a class
+constexpr double kAnsweredWithinS = 75;  // for status answers and critical replicas after faults
+constexpr double kPlacedWithinS = 90;    // for a waiting task while a machine has room for it
+constexpr double kBegunWithinS = 240;    // for the largest jobs of a class
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
@@ -46,7 +45,7 @@
 }
 
 void RuleChecker::OnStatusAnswered(const std::string& id, int http_status, wire::JobState state,
-                                   double asked_at, double now) {
+                                   double sent_at, double now) {
   if (http_status != 200 && http_status != 404) return;
   Job& job = jobs_[id];
   if (job.accepted_at && now > faults_until_) {
@@ -67,7 +66,7 @@
   const bool ended = state == wire::JobState::kDone || state == wire::JobState::kCancelled;
   // A job has one final state. A query that is sent after the user received that state must not
   // return an earlier one.
-  if (job.final_state && (ended ? *job.final_state != state : asked_at >= job.final_state_at)) {
+  if (job.final_state && (ended ? *job.final_state != state : sent_at >= job.final_state_at)) {
     AddBreach("went_back: " + id + " is reported in a contradictory or older state");
   }
   if (ended && !std::exchange(job.final_state, state)) job.final_state_at = now;
@@ -114,9 +113,9 @@
                                  const std::string& zone, bool spot) {
   const wire::JobSpec& spec = job.spec;
   const std::string name = wire::TaskName(task);
-  if (const auto on = job.running.find(task.index); on != job.running.end()) {
-    AddBreach("ran_twice: " + name + " runs on " + on->second.machine + " and starts on " +
-              machine);
+  if (const auto running_task = job.running.find(task.index); running_task != job.running.end()) {
+    AddBreach("ran_twice: " + name + " runs on " + running_task->second.machine +
+              " and starts on " + machine);
   }
   if (spec.types && !Contains(*spec.types, type)) {
     AddBreach("wrong_place: " + name + " on type " + type);
@@ -151,9 +150,9 @@
   const auto found = jobs_.find(task.job);
   if (found == jobs_.end()) return;
   Job& job = found->second;
-  const auto on = job.running.find(task.index);
-  if (on == job.running.end() || on->second.machine != machine) return;
-  job.running.erase(on);
+  const auto running_task = job.running.find(task.index);
+  if (running_task == job.running.end() || running_task->second.machine != machine) return;
+  job.running.erase(running_task);
   ResourceUse& use = use_by_team_[job.spec.team];
   use.cpus -= job.spec.cpus;
   use.gpus -= job.spec.gpus;
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -33,9 +33,9 @@
   void OnAccepted(const std::string& id, double now);
   // A submission of the job is refused permanently; for an accepted job this is a breach.
   void OnRefused(const std::string& id);
-  // The user receives the answer to a status query or cancellation that was sent at `asked_at`.
+  // The user receives the answer to a status query or cancellation that was sent at `sent_at`.
   void OnStatusAnswered(const std::string& id, int http_status, wire::JobState state,
-                        double asked_at, double now);
+                        double sent_at, double now);
   void OnCancellationRequested(const std::string& id) { jobs_[id].cancellation_requested = true; }
   // The cancellation or the completion of the job is durable and confirmed.
   void OnCancellationConfirmed(const std::string& id, double now);
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -120,11 +120,11 @@
 void SimulatedUsers::QueryStatus(size_t user) {
   SimulatedController* controller = Connect(users_[user]);
   if (controller == nullptr) return;
-  const double asked_at = world_.clock.now();
-  const auto on_answer = [this, user, asked_at](int http_status, wire::JobState state) {
+  const double sent_at = world_.clock.now();
+  const auto on_answer = [this, user, sent_at](int http_status, wire::JobState state) {
     const double now = world_.clock.now();
-    if (now - asked_at > kStatusTimeoutS) return;
-    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, asked_at, now);
+    if (now - sent_at > kStatusTimeoutS) return;
+    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, sent_at, now);
   };
   world_.network.Send(kUsersHost, controller->name(), [this, user, controller, on_answer] {
     controller->OnStatusQuery(users_[user].spec.id, on_answer);
@@ -158,10 +158,10 @@
   });
   SimulatedController* controller = Connect(users_[user]);
   if (controller == nullptr) return;
-  const double asked_at = world_.clock.now();
-  const auto on_answer = [this, user, answered, asked_at](int http_status, wire::JobState state) {
+  const double sent_at = world_.clock.now();
+  const auto on_answer = [this, user, answered, sent_at](int http_status, wire::JobState state) {
     if (std::exchange(*answered, true)) return;
-    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, asked_at,
+    world_.rule_checker.OnStatusAnswered(users_[user].spec.id, http_status, state, sent_at,
                                          world_.clock.now());
     if (http_status == 200) return;
     world_.clock.After(kRetryAfterS, [this, user] { SendCancellation(user); });
--- a/tests/simulated_days_test.cc
+++ b/tests/simulated_days_test.cc
@@ -91,10 +91,10 @@
   }
 
   void Cancel(const std::string& id) {
-    SimulatedController& asked = Any();
-    if (!world.store.up() || !asked.up()) return;
+    SimulatedController& controller = Any();
+    if (!world.store.up() || !controller.up()) return;
     if (const uint64_t revision = world.Cancel(id); revision != 0) {
-      asked.LearnCancelled(id, revision);
+      controller.LearnCancelled(id, revision);
       world.rule_checker.OnCancellationConfirmed(id, world.clock.now());
     }
   }
