--- a/tests/heartbeat_model_test.cc
+++ b/tests/heartbeat_model_test.cc
@@ -1,7 +1,8 @@
-// A model whose events are walked in every order: one machine that nothing may reach, one that is
-// healthy, two leaders one after the other, one task. Heartbeats are duplicated; answers and
-// commands are lost or delayed. The leaders are the real decision classes. The task must never run
-// on both machines.
+// Bounded model check: a breadth-first search over the orders of the events below. The model has
+// one task, a machine with a faulty network, a healthy machine, and two leaders in succession. On
+// the faulty network, heartbeats are duplicated, answers are lost, and commands are lost or
+// delayed. The leaders are instances of the real Scheduler. The task must never run on both
+// machines.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
@@ -26,17 +27,19 @@
 using fakes::PlainAgent;
 
 enum class Event {
-  kHeartbeat,                // the machine sends a heartbeat, and is answered
-  kHeartbeatAnswerLost,      // it sends one; the answer is lost
-  kCommands,                 // direct commands reach it, and their outcome the leader
-  kCommandOutcomeLost,       // they reach it; their outcome is lost
-  kCommandsDelayed,          // they are delayed
-  kDelayedCommandsArrive,    // the delayed ones arrive, whoever leads by then
-  kDuplicateFirstHeartbeat,  // its first heartbeat arrives again
-  kDuplicateLastHeartbeat,   // its last one does
-  kOtherHeartbeat,           // the other machine sends a heartbeat, and gets its commands
-  kTimePasses,               // a third of a lease passes
-  kElect,                    // another leader is elected
+  // Events of the partitioned machine.
+  kHeartbeat,                // the machine sends a heartbeat and receives the answer
+  kHeartbeatAnswerLost,      // the machine sends a heartbeat; the answer is lost
+  kCommands,                 // direct commands arrive; the leader receives their outcome
+  kCommandOutcomeLost,       // direct commands arrive; their outcome is lost
+  kCommandsDelayed,          // direct commands are delayed; their outcome is undetermined
+  kDelayedCommandsArrive,    // the oldest delayed commands arrive, also under a later leader
+  kDuplicateFirstHeartbeat,  // the leader receives the first heartbeat again
+  kDuplicateLastHeartbeat,   // the leader receives the last heartbeat again
+  // Other events.
+  kHealthyHeartbeat,  // the healthy machine sends a heartbeat and receives its commands
+  kTimePasses,        // a third of an agent lease passes
+  kElect,             // the second leader is elected
   kEvents
 };
 
@@ -45,7 +48,7 @@
   Model() : settings_(simulation::SmallSettings()), derived_(settings_) {
     Elect(10);
     Step(Event::kHeartbeat);
-    Step(Event::kOtherHeartbeat);
+    Step(Event::kHealthyHeartbeat);
     for (int i = 0; i < 2; ++i) MakeRecordsDurable();
     job_ = test::MakeJobSpec(kTask.job, "free", /*tasks=*/1);
     job_.image = "img";
@@ -55,22 +58,23 @@
     leader_->Place(now_);
   }
 
-  // Returns false if the event cannot happen in this state.
+  // Applies the event. Returns false if the event cannot happen in this state.
   bool Step(Event event) {
     now_ += 0.6;
     for (PlainAgent* agent : {&partitioned_, &healthy_})
       agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
-    const bool happens = Happens(event);
+    const bool applied = Apply(event);
     for (PlainAgent* agent : {&partitioned_, &healthy_})
       agent->ExpireLeaseIfDue(now_, settings_.agent_lease_s);
     leader_->Tick(now_);
     MakeRecordsDurable();
-    return happens;
+    return applied;
   }
   bool RunsTwice() const { return partitioned_.Has(kTask) && healthy_.Has(kTask); }
   bool HasStarted() const { return partitioned_.Has(kTask) || healthy_.Has(kTask); }
 
-  // The state as text: all that may decide what follows, and times only as far as they matter.
+  // Returns a text that identifies the state: everything that affects later steps, with times
+  // relative to now and rounded to seconds, so that equivalent states compare equal.
   std::string State() const {
     std::string out = fmt::format("{} {} {}", elections_, delayed_commands_.size(),
                                   first_heartbeat_ ? first_heartbeat_->sequence : 0);
@@ -119,7 +123,8 @@
     agent.token = answer.token;
     agent.Execute(answer.commands);
   }
-  // Executes the commands if the agent accepts them.
+  // Executes the commands unless their fencing token is stale or their agent epoch differs. Returns
+  // whether the agent accepted the commands.
   static bool ExecuteIfAccepted(PlainAgent& agent, const CommandBatch& batch) {
     if (batch.fencing_token < agent.token || batch.agent_epoch != agent.epoch) return false;
     agent.token = batch.fencing_token;
@@ -130,7 +135,8 @@
     bool any = false;
     for (const CommandBatch& batch : leader_->TakeCommands(now_)) {
       PlainAgent& agent = batch.machine == partitioned_.id ? partitioned_ : healthy_;
-      const bool for_this_machine = (&agent == &partitioned_) == (event != Event::kOtherHeartbeat);
+      const bool for_this_machine =
+          (&agent == &partitioned_) == (event != Event::kHealthyHeartbeat);
       any = any || for_this_machine;
       if (for_this_machine && event == Event::kCommandsDelayed) {
         delayed_commands_.push_back(batch);
@@ -148,7 +154,7 @@
     }
     return any;
   }
-  bool Happens(Event event) {
+  bool Apply(Event event) {
     switch (event) {
       case Event::kHeartbeat:
       case Event::kHeartbeatAnswerLost:
@@ -173,12 +179,12 @@
         leader_->OnHeartbeat(*duplicate, now_);
         return true;
       }
-      case Event::kOtherHeartbeat:
+      case Event::kHealthyHeartbeat:
         SendHeartbeat(healthy_, true);
         DeliverCommands(event);
         return true;
       case Event::kTimePasses:
-        // The other machine sends heartbeats all the while.
+        // The healthy machine continues to send heartbeats.
         for (int i = 0; i < 3; ++i) {
           now_ += settings_.agent_lease_s / 9;
           for (PlainAgent* agent : {&partitioned_, &healthy_})
@@ -222,27 +228,27 @@
   constexpr size_t kMaxStates = 40'000;
   spdlog::set_level(spdlog::level::off);
   std::set<std::string> seen;
-  std::vector<std::vector<Event>> walks{{}};
+  std::vector<std::vector<Event>> paths{{}};
   size_t started = 0;
-  for (size_t at = 0; at < walks.size() && seen.size() < kMaxStates; ++at) {
-    const std::vector<Event> walk = walks[at];
+  for (size_t at = 0; at < paths.size() && seen.size() < kMaxStates; ++at) {
+    const std::vector<Event> path = paths[at];
     for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
       Model model;
-      for (const Event earlier : walk) model.Step(earlier);
+      for (const Event earlier : path) model.Step(earlier);
       if (!model.Step(static_cast<Event>(event))) continue;
       if (!seen.insert(model.State()).second) continue;
       std::string events;
-      for (const Event earlier : walk) events += fmt::format("{} ", static_cast<int>(earlier));
+      for (const Event earlier : path) events += fmt::format("{} ", static_cast<int>(earlier));
       ASSERT_FALSE(model.RunsTwice()) << events << event;
       started += model.HasStarted() ? 1 : 0;
-      if (walk.size() + 1 >= kMaxEvents) continue;
-      walks.push_back(walk);
-      walks.back().push_back(static_cast<Event>(event));
+      if (path.size() + 1 >= kMaxEvents) continue;
+      paths.push_back(path);
+      paths.back().push_back(static_cast<Event>(event));
     }
   }
   spdlog::set_level(spdlog::level::info);
   RecordProperty("states", static_cast<int>(seen.size()));
-  std::cout << "states " << seen.size() << ", walks " << walks.size() << '\n';
+  std::cout << "states " << seen.size() << ", paths " << paths.size() << '\n';
   EXPECT_GT(seen.size(), 5'000u);
   EXPECT_GT(started, seen.size() / 4);
 }
