--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -1,7 +1,7 @@
-// A model whose events are walked in every order: the last task of a job has ended, and the
-// leader's completion meets a cancellation at another controller, and queries and a repeated
-// submission at a third, without any other fault. The controllers' decisions are the real ones
-// (jobs/job_index).
+// Exhaustive model check: a search over every order of the events below. The last task of a job has
+// ended. The leader's completion races with a cancellation at a second controller, and with queries
+// and a repeated submission at a third controller. No other faults occur. The controllers use the
+// real JobIndex. Users must never be told two different final states, or that an ended job is live.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -21,26 +21,36 @@
 const std::string kKey = "job/" + kId;
 
 enum class Event {
-  kSendCompletion,        // the leader sends the completion
-  kCommitCompletion,      // it is committed
-  kCompletionAnswered,    // the leader gets the answer
-  kSendCancellation,      // the canceller reads the job's state, and sends its change
-  kCommitCancellation,    // that is committed
-  kCancellationAnswered,  // the canceller gets the answer, and its user is told
-  kQuery,                 // a user asks a third controller
-  kQueryReadsLive,        // which reads all changes
-  kQueryReadsFinal,       // reads the final record
-  kQueryAnswered,         // and answers
-  kResubmit,              // the job is submitted again there: it is known, or its change is sent
-  kCommitResubmission,    // that is committed, which it must not be
-  kLeaderReads,           // the leader reads the next change that it has not read
+  // The leader completes the job.
+  kSendCompletion,      // the leader sends the transaction
+  kCommitCompletion,    // the state service commits or rejects the transaction
+  kCompletionAnswered,  // the leader receives the answer
+  // The canceller, the second controller, cancels the job.
+  kSendCancellation,      // the canceller reads the job's status and sends the transaction
+  kCommitCancellation,    // the state service commits or rejects the transaction
+  kCancellationAnswered,  // the canceller receives the answer and reports it to its user
+  // A user queries the job at the third controller.
+  kQuery,            // the query arrives
+  kQueryReadsLive,   // the controller reads all changes
+  kQueryReadsFinal,  // the controller reads the final record
+  kQueryAnswered,    // the controller answers the query
+  // A user submits the job again at the third controller.
+  kResubmit,            // the controller finds the job in its index, or sends the transaction
+  kCommitResubmission,  // the state service must reject the transaction
+  // A controller reads the next change of the state service.
+  kLeaderReads,
   kCancellerReads,
   kThirdReads,
   kEvents
 };
 
-// The guards that are in force: all, or all but one.
-enum class Guard { kAll, kNoFinalCondition, kLiveWithoutRead, kIgnoresOwnCancellation };
+// The guards that the model applies: all of them, or all but one.
+enum class Guard {
+  kAll,
+  kNoFinalCondition,       // transactions that end the job are committed unconditionally
+  kLiveWithoutRead,        // a query does not read all changes before it is answered
+  kIgnoresOwnCancellation  // the canceller does not apply its own cancellation to its index
+};
 
 class Model {
  public:
@@ -53,6 +63,7 @@
     for (auto& controller : controllers_) Read(controller);
   }
 
+  // Applies the event. Returns false if the event cannot happen in this state.
   bool Step(Event event) {
     Controller& leader = controllers_[0];
     Controller& canceller = controllers_[1];
@@ -77,13 +88,13 @@
         if (cancel_stage_ != 0) return false;
         if (reported_before_cancellation_ == std::nullopt)
           reported_before_cancellation_ = reported_;
-        auto known = canceller.index.FindEnded(kId);
-        if (!known) {
+        auto job_status = canceller.index.FindEnded(kId);
+        if (!job_status) {
           ReadAll(canceller);
-          known = canceller.index.StatusAfterRead(kId);
+          job_status = canceller.index.StatusAfterRead(kId);
         }
-        if (!known) known = FinalNow(canceller);
-        const auto step = canceller.index.PlanCancellation(kId, *known, canceller.read);
+        if (!job_status) job_status = FinalNow(canceller);
+        const auto step = canceller.index.PlanCancellation(kId, *job_status, canceller.read);
         using Kind = JobIndex::CancelStep::Kind;
         if (step.kind == Kind::kReadAgain) return false;
         if (step.kind == Kind::kAnswer) {
@@ -109,7 +120,8 @@
           canceller.index.OnCancellationLearned(kId, final_->second, canceller.read);
         }
         Report(JobStatus::kCancelled, *reported_before_cancellation_);
-        if (canceller.index.FindLive(kId) != nullptr) breach_ = "told, and live here";
+        if (canceller.index.FindLive(kId) != nullptr)
+          violation_ = "reported as cancelled, but live at the canceller";
         cancel_stage_ = 4;
         return true;
       case Event::kQuery:
@@ -140,11 +152,11 @@
         return true;
       case Event::kResubmit:
         if (submit_stage_ != 0) return false;
-        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // then it is answered as a query is
+        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // a known job is answered like a query
         return true;
       case Event::kCommitResubmission:
         if (submit_stage_ != 1) return false;
-        if (!live_ && !final_) breach_ = "accepted twice";
+        if (!live_ && !final_) violation_ = "a repeated submission is accepted";
         submit_stage_ = 2;
         return true;
       case Event::kLeaderReads:
@@ -159,15 +171,17 @@
     return false;
   }
 
-  const std::string& breach() const { return breach_; }
+  // Returns the invariant that is violated; empty if none is.
+  const std::string& violation() const { return violation_; }
+  // Returns a text that identifies the state: everything that affects later steps.
   std::string State() const {
     std::string out = fmt::format("{} {} {} {} {} {} {} {}|", complete_stage_,
                                   complete_.has_value(), cancel_stage_, query_stage_, queries_,
-                                  submit_stage_, Text(query_status_), query_read_up_to_);
+                                  submit_stage_, StatusText(query_status_), query_read_up_to_);
     for (const auto& controller : controllers_) {
-      out += fmt::format(" {}{}{}{}", controller.read, Text(controller.index.FindEnded(kId)),
+      out += fmt::format(" {}{}{}{}", controller.read, StatusText(controller.index.FindEnded(kId)),
                          controller.index.FindLive(kId) != nullptr,
-                         Text(controller.index.StatusAfterRead(kId)));
+                         StatusText(controller.index.StatusAfterRead(kId)));
     }
     for (const auto* reported : {&reported_, &reported_before_query_}) {
       out += "|";
@@ -191,7 +205,7 @@
     uint64_t version = 0;
   };
 
-  static std::string Text(std::optional<JobStatus> status) {
+  static std::string StatusText(std::optional<JobStatus> status) {
     return status ? std::to_string(static_cast<int>(*status)) : "-";
   }
   void Change(const std::string& key, std::optional<wire::Json> value) {
@@ -200,13 +214,13 @@
         value ? std::optional(std::pair(*value, changes_.back().version)) : std::nullopt;
   }
   bool Commit(JobStatus end, const std::vector<RecordChange>& records) {
-    bool met = guard_ == Guard::kNoFinalCondition || !final_;
+    bool conditions_met = guard_ == Guard::kNoFinalCondition || !final_;
     for (const auto& record : records) {
-      met = met &&
-            (guard_ == Guard::kNoFinalCondition || (live_ ? live_->second : 0) == record.version);
+      conditions_met = conditions_met && (guard_ == Guard::kNoFinalCondition ||
+                                          (live_ ? live_->second : 0) == record.version);
     }
-    if (!met) return false;
-    // One transaction: both changes are read or neither.
+    if (!conditions_met) return false;
+    // Both changes belong to one transaction: a controller reads both or neither.
     Change(kKey, std::nullopt);
     Change("final/" + kId, EncodeFinalRecord(end));
     return true;
@@ -234,42 +248,45 @@
                                                   final_ ? final_->second : 0, controller.read,
                                                   controller.read);
   }
-  // `before`: what users had been told when this query began.
-  void Report(JobStatus known, const ReportedStatuses& before) {
-    if (known == JobStatus::kMissing) breach_ = "an accepted job is not known";
-    if (known == JobStatus::kLive && !before.empty())
-      breach_ = "told of its end, and then that it lives";
-    if (known == JobStatus::kDone || known == JobStatus::kCancelled) reported_.insert(known);
-    if (reported_.size() > 1) breach_ = "two ends are told";
+  // Reports a status to a user. `before` holds the final states that users had been told when this
+  // user's request began.
+  void Report(JobStatus job_status, const ReportedStatuses& before) {
+    if (job_status == JobStatus::kMissing) violation_ = "an accepted job is reported as missing";
+    if (job_status == JobStatus::kLive && !before.empty())
+      violation_ = "reported as ended, then as live";
+    if (job_status == JobStatus::kDone || job_status == JobStatus::kCancelled)
+      reported_.insert(job_status);
+    if (reported_.size() > 1) violation_ = "two final states are reported";
   }
 
   const Guard guard_;
   std::vector<LoggedChange> changes_;
+  // The records in the state service, with their versions.
   std::optional<std::pair<wire::Json, uint64_t>> live_;
   std::optional<std::pair<wire::Json, uint64_t>> final_;
   Controller controllers_[3];
   std::optional<std::vector<RecordChange>> complete_;
   std::vector<RecordChange> cancel_;
-  int complete_stage_ = 0;
-  int cancel_stage_ = 0;
-  int query_stage_ = 0;
+  int complete_stage_ = 0;  // 1: sent, 2: committed, 3: rejected
+  int cancel_stage_ = 0;    // 1: sent, 2: committed, 3: rejected, 4: reported to the user
+  int query_stage_ = 0;     // 1: reads the changes, 2: reads the final record, 3: has the status
   int queries_ = 0;
-  int submit_stage_ = 0;
+  int submit_stage_ = 0;  // 1: sent, 2: answered
   std::optional<JobStatus> query_status_;
   uint64_t query_read_up_to_ = 0;
   ReportedStatuses reported_;
   ReportedStatuses reported_before_query_;
   std::optional<ReportedStatuses> reported_before_cancellation_;
-  std::string breach_;
+  std::string violation_;
 };
 
-struct Walked {
+struct SearchResult {
   size_t states = 0;
-  std::set<std::string> breaches;
+  std::set<std::string> violations;
 };
 
-Walked Walk(Guard guard) {
-  Walked out;
+SearchResult Search(Guard guard) {
+  SearchResult out;
   std::set<std::string> seen;
   std::vector<Model> open{Model(guard)};
   while (!open.empty()) {
@@ -279,8 +296,8 @@
       Model to = from;
       if (!to.Step(static_cast<Event>(event)) || !seen.insert(to.State()).second) continue;
       ++out.states;
-      if (!to.breach().empty()) {
-        out.breaches.insert(to.breach());
+      if (!to.violation().empty()) {
+        out.violations.insert(to.violation());
         continue;
       }
       open.push_back(std::move(to));
@@ -290,17 +307,19 @@
 }
 
 TEST(JobEndModelTest, OneEndIsReportedInEveryOrder) {
-  const Walked walked = Walk(Guard::kAll);
-  EXPECT_TRUE(walked.breaches.empty()) << *walked.breaches.begin();
-  EXPECT_GT(walked.states, 1'000u);
-  RecordProperty("states", static_cast<int>(walked.states));
+  const SearchResult result = Search(Guard::kAll);
+  EXPECT_TRUE(result.violations.empty()) << *result.violations.begin();
+  EXPECT_GT(result.states, 1'000u);
+  RecordProperty("states", static_cast<int>(result.states));
 }
 
 TEST(JobEndModelTest, TheModelFailsWithoutEachGuard) {
-  EXPECT_TRUE(Walk(Guard::kNoFinalCondition).breaches.contains("two ends are told"));
   EXPECT_TRUE(
-      Walk(Guard::kLiveWithoutRead).breaches.contains("told of its end, and then that it lives"));
-  EXPECT_TRUE(Walk(Guard::kIgnoresOwnCancellation).breaches.contains("told, and live here"));
+      Search(Guard::kNoFinalCondition).violations.contains("two final states are reported"));
+  EXPECT_TRUE(
+      Search(Guard::kLiveWithoutRead).violations.contains("reported as ended, then as live"));
+  EXPECT_TRUE(Search(Guard::kIgnoresOwnCancellation)
+                  .violations.contains("reported as cancelled, but live at the canceller"));
 }
 
 }  // namespace
