--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -1,6 +1,8 @@
-// A model whose events are walked in every order: a job of two tasks on two machines, leaders one
-// after the other, and a state service that commits changes late, with an answer or without, after
-// newer ones and for earlier leaders. The leaders are the real decision classes.
+// Bounded model check: a breadth-first search over the orders of the events below. The model has a
+// job of two tasks, two machines, and successive leaders. The state service may commit a
+// transaction late: without an answer, after a newer transaction, or after the leader that sent it
+// was replaced. The leaders are instances of the real Scheduler. A task must neither run twice nor
+// lose its result, and the job must not be done before both tasks have ended.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
@@ -24,44 +26,47 @@
 
 using fakes::PlainAgent;
 
+// A transaction is committed when it is processed, unless one of its conditions does not hold.
 enum class Event {
-  kSendChange,        // the leader sends its pending records
-  kChangeAnswered,    // the last change is committed, and answered
-  kChangeTimesOut,    // the leader gives up waiting for its answer
-  kCommitOldest,      // the oldest change in flight is committed without an answer
-  kCommitNewest,      // the newest is
-  kReadVersions,      // the leader reads the versions of its packs
-  kFirstHeartbeat,    // the first machine sends a heartbeat, and is answered
-  kSecondHeartbeat,   // the second machine does
-  kFirstTaskEnds,     // the first task is done where it runs
-  kSecondTaskEnds,    // the second task is
-  kCompleteJob,       // the leader records that the job is done, which is answered
-  kCancel,            // the job is cancelled at another controller, and the leader reads it
-  kElect,             // another leader is elected, having read everything
-  kFirstMachineDies,  // the first machine ends, and is known to be deleted
+  kSendTransaction,      // the leader sends its pending records in one transaction
+  kTransactionAnswered,  // the last transaction is processed, and the leader receives the answer
+  kTransactionTimesOut,  // the leader stops waiting for the answer to the last transaction
+  kCommitOldest,         // the oldest timed-out transaction is processed without an answer
+  kCommitNewest,         // the newest timed-out transaction is processed without an answer
+  kReadVersions,         // the leader reads the versions of its packs
+  kFirstHeartbeat,       // the first machine sends a heartbeat and receives the answer
+  kSecondHeartbeat,      // the second machine sends a heartbeat and receives the answer
+  kFirstTaskEnds,        // the first task exits successfully on each machine that runs it
+  kSecondTaskEnds,       // the second task exits successfully on each machine that runs it
+  kCompleteJob,          // the leader records that the job is done, and is answered
+  kCancel,               // another controller cancels the job, and the leader reads it
+  kElect,                // another leader is elected and has read all records
+  kFirstMachineDies,     // the first machine is deleted, and the leader is notified
   kEvents
 };
 
 class Model {
  public:
-  // Without `conditions`, the state service commits changes whatever their conditions are.
+  // Without `conditions`, the state service ignores the conditions of transactions.
   explicit Model(bool conditions) : conditions_(conditions) {
-    job_ = test::MakeJobSpec("req-1", "free", /*tasks=*/2, /*cpus=*/5);  // one on each machine
+    job_ = test::MakeJobSpec("req-1", "free", /*tasks=*/2, /*cpus=*/5);  // one task per machine
     job_.image = "img";
     job_.priority = wire::Priority::kHigh;
     job_.estimated_run_s = 100;
     live_ = ++revision_;
     StartLeader();
-    // A record of one machine is in flight, unanswered, when the second machine comes.
+    // When the second machine registers, a transaction with the first machine's record is still in
+    // flight and has timed out.
     for (const Event event :
-         {Event::kFirstHeartbeat, Event::kFirstHeartbeat, Event::kSendChange,
-          Event::kChangeTimesOut, Event::kSecondHeartbeat, Event::kSecondHeartbeat,
-          Event::kSendChange, Event::kChangeAnswered, Event::kFirstHeartbeat,
+         {Event::kFirstHeartbeat, Event::kFirstHeartbeat, Event::kSendTransaction,
+          Event::kTransactionTimesOut, Event::kSecondHeartbeat, Event::kSecondHeartbeat,
+          Event::kSendTransaction, Event::kTransactionAnswered, Event::kFirstHeartbeat,
           Event::kSecondHeartbeat, Event::kFirstHeartbeat, Event::kSecondHeartbeat}) {
       Step(event);
     }
   }
 
+  // Applies the event. Returns false if the event cannot happen in this state.
   bool Step(Event event) {
     now_ += 0.6;
     for (PlainAgent* agent : {&first_, &second_})
@@ -70,28 +75,30 @@
     leader_->Tick(now_);
     return applied;
   }
-  // The invariant that is violated; empty if none is.
-  std::string Breach() const {
+  // Returns the invariant that is violated; empty if none is.
+  std::string Violation() const {
     for (uint32_t i = 0; i < 2; ++i) {
       if (first_alive_ && first_.Has({"req-1", i}) && second_.Has({"req-1", i})) return "ran twice";
     }
-    if (completed_ && ended_tasks_.size() < 2) return "done too early";
+    if (completed_ && ended_tasks_.size() < 2) return "done before both tasks ended";
     if (completed_ && cancelled_) return "done and cancelled";
     return lost_result_;
   }
+  // Returns how many transactions were committed after they had timed out.
   size_t late() const { return late_commits_; }
 
+  // Returns a text that identifies the state: everything that affects later steps.
   std::string State() const {
     std::string out =
         fmt::format("{} {} {} {} {} {} {}|", live_ != 0, completed_, cancelled_, first_alive_,
                     awaiting_answer_, in_flight_.size(), revision_ - token_);
     for (const auto& [key, pair] : pairs_) out += fmt::format(" {}={}", key, pair.first.dump());
-    for (const auto& change : in_flight_) {
+    for (const auto& transaction : in_flight_) {
       out += "|";
-      for (const auto& [key, value] : change.puts) {
-        out +=
-            fmt::format(" {}{}{}", key, value.dump(),
-                        pairs_.contains(key) && change.versions.at(key) == pairs_.at(key).second);
+      for (const auto& [key, value] : transaction.puts) {
+        out += fmt::format(
+            " {}{}{}", key, value.dump(),
+            pairs_.contains(key) && transaction.versions.at(key) == pairs_.at(key).second);
       }
     }
     for (const PlainAgent* agent : {&first_, &second_}) {
@@ -117,7 +124,7 @@
   }
 
  private:
-  struct Change {
+  struct Transaction {
     uint64_t leader = 0;
     std::map<std::string, uint64_t> versions;
     std::map<std::string, wire::Json> puts;
@@ -138,19 +145,19 @@
     }
     if (live_ != 0) leader_->AddJob(job_, live_, now_);
   }
-  bool Commit(const Change& change) {
+  bool Commit(const Transaction& transaction) {
     if (conditions_) {
-      if (change.leader != token_) return false;
-      for (const auto& [key, version] : change.versions) {
+      if (transaction.leader != token_) return false;
+      for (const auto& [key, version] : transaction.versions) {
         const auto it = pairs_.find(key);
         if ((it == pairs_.end() ? 0 : it->second.second) != version) return false;
       }
     }
     ++revision_;
-    for (const auto& [key, value] : change.puts) pairs_[key] = {value, revision_};
+    for (const auto& [key, value] : transaction.puts) pairs_[key] = {value, revision_};
     return true;
   }
-  // Whether the records in the state service show the task as done.
+  // Returns whether the records in the state service mark the task as done.
   bool IsDurable(uint32_t index) const {
     jobs::Job job(job_, 1, 0);
     for (const auto& [key, pair] : pairs_) {
@@ -168,11 +175,11 @@
     agent.token = answer.token;
     agent.Execute(answer.commands);
     for (const auto& command : answer.commands) {
-      // A result may be forgotten only if it is durable or its job has ended.
+      // An agent may forget a result only if the result is durable or the job has ended.
       const bool done = command.type == wire::CommandType::kForget &&
                         ended_.contains({command.task.index, command.attempt});
       if (done && live_ != 0 && !IsDurable(command.task.index))
-        lost_result_ = "a result is forgotten too early";
+        lost_result_ = "a result is forgotten before it is durable";
     }
     for (CommandBatch& batch : leader_->TakeCommands(now_)) {
       PlainAgent& target = batch.machine == first_.id ? first_ : second_;
@@ -208,44 +215,44 @@
 
   bool Apply(Event event) {
     switch (event) {
-      case Event::kSendChange: {
+      case Event::kSendTransaction: {
         if (awaiting_answer_ || in_flight_.size() >= 3) return false;
         const auto batch = leader_->TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes);
         if (batch.empty()) return false;
-        Change change{token_, {}, {}};
+        Transaction transaction{token_, {}, {}};
         for (const auto& write : batch.machines) {
-          change.versions["m" + std::to_string(write.pack)] = write.version;
-          change.puts["m" + std::to_string(write.pack)] = write.value;
+          transaction.versions["m" + std::to_string(write.pack)] = write.version;
+          transaction.puts["m" + std::to_string(write.pack)] = write.value;
         }
         for (const auto& write : batch.progress) {
-          change.versions["p" + std::to_string(write.pack)] = write.version;
-          change.puts["p" + std::to_string(write.pack)] = write.value;
+          transaction.versions["p" + std::to_string(write.pack)] = write.version;
+          transaction.puts["p" + std::to_string(write.pack)] = write.value;
         }
-        in_flight_.push_back(std::move(change));
+        in_flight_.push_back(std::move(transaction));
         awaiting_answer_ = true;
         return true;
       }
-      case Event::kChangeAnswered: {
+      case Event::kTransactionAnswered: {
         if (!awaiting_answer_) return false;
         awaiting_answer_ = false;
-        const Change change = in_flight_.back();
+        const Transaction transaction = in_flight_.back();
         in_flight_.pop_back();
-        if (Commit(change)) {
+        if (Commit(transaction)) {
           leader_->OnRecordsWritten(revision_, now_);
         } else {
           leader_->OnRecordsFailed();
         }
         return true;
       }
-      case Event::kChangeTimesOut:
+      case Event::kTransactionTimesOut:
         if (!awaiting_answer_) return false;
         awaiting_answer_ = false;
         leader_->OnRecordsFailed();
         return true;
       case Event::kCommitOldest:
       case Event::kCommitNewest: {
-        // A change that the leader waits for is committed by kChangeAnswered, or late once it timed
-        // out.
+        // Skips the transaction whose answer the leader awaits. kTransactionAnswered commits that
+        // one, or kTransactionTimesOut releases it for a late commit.
         const size_t n = in_flight_.size() - (awaiting_answer_ ? 1 : 0);
         if (n == 0 || (event == Event::kCommitNewest && n == 1)) return false;
         const auto it = event == Event::kCommitOldest
@@ -319,56 +326,56 @@
   wire::JobSpec job_;
   // The state service.
   uint64_t revision_ = 0;
-  uint64_t token_ = 0;  // the leader key's version
-  uint64_t live_ = 0;   // the version of the job's record; 0: ended
+  uint64_t token_ = 0;  // the version of the leader key
+  uint64_t live_ = 0;   // the version of the job's record; 0: the job has ended
   bool completed_ = false;
   bool cancelled_ = false;
   std::map<std::string, std::pair<wire::Json, uint64_t>> pairs_;  // packs and their versions
-  std::vector<Change> in_flight_;
+  std::vector<Transaction> in_flight_;
   // The leader.
   std::unique_ptr<Scheduler> leader_;
-  bool awaiting_answer_ = false;  // for the answer to the last change
+  bool awaiting_answer_ = false;  // whether the last transaction is unanswered
   int elections_ = 0;
   // The machines.
-  bool first_alive_ = true;  // of the first machine
+  bool first_alive_ = true;  // whether the first machine exists
   PlainAgent first_{.id = "vm-1", .lease_renewed_at = 1, .attempts = {}};
   PlainAgent second_{.id = "vm-2", .lease_renewed_at = 1, .attempts = {}};
-  std::set<std::pair<uint32_t, uint64_t>> ended_;  // task, attempt
+  std::set<std::pair<uint32_t, uint64_t>> ended_;  // by task index and attempt
   std::set<uint32_t> ended_tasks_;
   std::string lost_result_;
   size_t late_commits_ = 0;
 };
 
-struct Walked {
+struct SearchResult {
   size_t states = 0;
-  size_t late = 0;  // states after a change was committed late
+  size_t late = 0;  // states that follow a late commit
   std::string violation;
 };
 
-Walked Walk(bool conditions, size_t max_states, size_t max_events) {
-  Walked out;
+SearchResult Search(bool conditions, size_t max_states, size_t max_events) {
+  SearchResult out;
   spdlog::set_level(spdlog::level::off);
   std::set<std::string> seen;
-  std::vector<std::vector<Event>> walks{{}};
-  for (size_t next = 0; next < walks.size() && seen.size() < max_states && out.violation.empty();
+  std::vector<std::vector<Event>> paths{{}};
+  for (size_t next = 0; next < paths.size() && seen.size() < max_states && out.violation.empty();
        ++next) {
-    const std::vector<Event> walk = walks[next];
+    const std::vector<Event> path = paths[next];
     for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
       Model model(conditions);
-      for (const Event earlier : walk) model.Step(earlier);
+      for (const Event earlier : path) model.Step(earlier);
       if (!model.Step(static_cast<Event>(event))) continue;
       if (!seen.insert(model.State()).second) continue;
       out.late += model.late() > 0 ? 1 : 0;
-      if (const std::string breach = model.Breach(); !breach.empty()) {
-        out.violation = breach + ":";
-        for (const Event earlier : walk)
+      if (const std::string violated = model.Violation(); !violated.empty()) {
+        out.violation = violated + ":";
+        for (const Event earlier : path)
           out.violation += fmt::format(" {}", static_cast<int>(earlier));
         out.violation += fmt::format(" {}", event);
         break;
       }
-      if (walk.size() + 1 >= max_events) continue;
-      walks.push_back(walk);
-      walks.back().push_back(static_cast<Event>(event));
+      if (path.size() + 1 >= max_events) continue;
+      paths.push_back(path);
+      paths.back().push_back(static_cast<Event>(event));
     }
   }
   spdlog::set_level(spdlog::level::info);
@@ -377,16 +384,16 @@
 }
 
 TEST(LateWritesModelTest, NoTaskRunsTwiceIsLostOrDoneTooEarly) {
-  const Walked walked = Walk(true, 30'000, 8);
-  EXPECT_EQ(walked.violation, "");
-  std::cout << "states " << walked.states << ", after a late change " << walked.late << '\n';
-  EXPECT_GT(walked.states, 5'000u);
-  EXPECT_GT(walked.late, 100u);
+  const SearchResult result = Search(true, 30'000, 8);
+  EXPECT_EQ(result.violation, "");
+  std::cout << "states " << result.states << ", after a late commit " << result.late << '\n';
+  EXPECT_GT(result.states, 5'000u);
+  EXPECT_GT(result.late, 100u);
 }
 
-// Shows that the model finds what the conditions of changes prevent.
+// Verifies that the model detects a violation when transactions are committed unconditionally.
 TEST(LateWritesModelTest, TheModelFailsWithoutTransactionConditions) {
-  EXPECT_NE(Walk(false, 30'000, 9).violation, "");
+  EXPECT_NE(Search(false, 30'000, 9).violation, "");
 }
 
 }  // namespace
