--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -1,8 +1,10 @@
-// Every order of the events of the first meeting in docs/compound-failures.md.
+// Bounded model check: a breadth-first search over the orders of the events of the first compound
+// failure in docs/compound-failures.md.
 //
-// Three controllers, the state service, and an agent with one long task that is cancelled. The
-// controllers are the real decision classes; everything else is as plain as can be. Whatever the
-// order of events, the task has ended within cancel_s of the moment its user was told.
+// The model has three controllers, the state service, and an agent with one long task whose job is
+// cancelled. The controllers use the real Leadership and CancellationLog; the state service and the
+// agent are minimal models. In every order of events, the task must end within cancel_s after the
+// cancellation was confirmed to the user.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -27,29 +29,30 @@
 using Kind = Leadership::Step::Kind;
 
 enum class Event {
-  kAgentLeaseTime,  // half an agent's lease passes
-  kStoreLeaseTime,  // a part of a controller's lease passes
-  kRefuseLeader,    // the state service refuses the first leader alone, or no longer does
-  kOutage,          // it is down for all, or up again
-  kCancel,          // the second controller cancels the job and tells its user
-  kRestart,         // the second controller restarts at once, with nothing read
-  kDelayResponses,  // responses between controllers are delayed, or delivered
-  kPartitionThird,  // the third controller is partitioned from the others, or no longer
+  kAgentLeaseTime,  // half an agent lease passes
+  kStoreLeaseTime,  // a fraction of a store lease passes
+  kRefuseLeader,    // toggles whether the state service refuses the first controller (the first
+                    // leader) alone
+  kOutage,          // toggles whether the state service is down for all controllers
+  kCancel,          // the second controller cancels the job and confirms this to the user
+  kRestart,         // the second controller restarts at once and has read nothing yet
+  kDelayResponses,  // toggles whether promise responses are delayed; delivers the delayed ones
+  kPartitionThird,  // toggles whether the third controller is partitioned from the other two
   kEvents
 };
 
-// A guard that the model leaves out, to show that it is needed.
-enum class Without {
+// The guard that the model omits, to show that the guard is necessary.
+enum class OmittedGuard {
   kNothing,
-  kNewestCancellation,    // peers do not say which cancellations they may have reported
-  kCompleteLoad,          // a first page counts as a complete load
-  kLearnedCancellations,  // jobs whose cancellation was learned from peers are not ended
+  kNewestCancellation,    // peers do not send the cancellations that they may have confirmed
+  kCompleteLoad,          // a controller treats the first page that it reads as a complete load
+  kLearnedCancellations,  // the leader does not end jobs whose cancellation a peer has sent
 };
 
-// The controllers, the state service and the agent.
+// Simulates the controllers, the state service and the agent in steps of simulated time.
 class Model {
  public:
-  explicit Model(Without without) : without_(without) {
+  explicit Model(OmittedGuard omitted_guard) : omitted_guard_(omitted_guard) {
     for (size_t i = 0; i < controllers_.size(); ++i) StartController(i);
     RunFor(3);
   }
@@ -65,7 +68,7 @@
         return;
       case Event::kOutage:
         store_down_ = !store_down_;
-        // Every lease has its full time again.
+        // When an outage begins or ends, every store lease restarts with its full duration.
         for (auto& [id, until] : store_leases_) until = now_ + derived_.store_lease_s;
         return;
       case Event::kCancel:
@@ -87,21 +90,26 @@
         return;
     }
   }
+  // Returns whether the task ran for longer than allowed after the confirmed cancellation.
   bool IsViolated() const { return violated_; }
+  // Returns whether a leader that learned of a cancellation from a peer continues to lead while the
+  // state service is down.
   bool ContinuesInOutage() const { return learned_ && store_down_ && task_running_ && AnyMayAct(); }
+  // Returns a text that identifies the state: everything that affects later steps, with times
+  // relative to now, so that equivalent states compare equal.
   std::string State() const {
     std::string out = fmt::format(
         "{}{}{}{}{}{} {} {:.1f} {:.1f} {} |", leader_refused_, store_down_, delaying_responses_,
         third_partitioned_, task_running_, AnyMayAct(), delayed_responses_.size(),
         now_ - lease_renewed_at_, cancelled_ == 0 ? 0 : now_ - reported_at_, agent_token_);
     for (const Controller& controller : controllers_) {
-      out += fmt::format(
-          " {} {} {} {} {} {:.1f} {:.1f} {} {}", controller.leadership->token(),
-          controller.leadership->leader_token(), controller.loaded, controller.knows_cancellation,
-          controller.cancellations->newest() >= cancelled_,
-          std::min(99.0, controller.leadership->view_age_s(now_)),
-          std::min(9.0, now_ - controller.contact), controller.leadership->MayAct(now_),
-          controller.leadership->MakePromiseRequest().read_revision >= cancelled_);
+      out +=
+          fmt::format(" {} {} {} {} {} {:.1f} {:.1f} {} {}", controller.leadership->token(),
+                      controller.leadership->leader_token(), controller.loaded,
+                      controller.has_cancellation, controller.cancellations->newest() >= cancelled_,
+                      std::min(99.0, controller.leadership->view_age_s(now_)),
+                      std::min(9.0, now_ - controller.contact), controller.leadership->MayAct(now_),
+                      controller.leadership->MakePromiseRequest().read_revision >= cancelled_);
     }
     return out;
   }
@@ -111,10 +119,10 @@
     std::string name;
     std::optional<Leadership> leadership;
     std::optional<CancellationLog> cancellations;
-    double contact = -1e18;
-    int loaded = 0;                   // 1: a first page, 2: all
-    bool knows_cancellation = false;  // that the job is cancelled
-    uint64_t incarnation = 0;
+    double contact = -1e18;         // when the state service last answered
+    int loaded = 0;                 // 0: nothing was read, 1: the first page, 2: all keys
+    bool has_cancellation = false;  // whether this controller has read or received it
+    uint64_t incarnation = 0;       // the number of starts; responses to an earlier one are dropped
   };
 
   void StartController(size_t i) {
@@ -124,12 +132,12 @@
     controller.cancellations.emplace(100);
     controller.contact = -1e18;
     controller.loaded = 0;
-    controller.knows_cancellation = false;
+    controller.has_cancellation = false;
     ++controller.incarnation;
   }
   void LearnCancellation(Controller& controller, uint64_t revision) {
     controller.cancellations->Add("req-1", revision);
-    controller.knows_cancellation = true;
+    controller.has_cancellation = true;
   }
   bool AnyMayAct() const {
     return std::any_of(controllers_.begin(), controllers_.end(), [&](const Controller& controller) {
@@ -149,7 +157,7 @@
       RunAgent();
     }
   }
-  // The state service answers the controller.
+  // Processes one answer of the state service to the controller.
   void AnswerFromStore(Controller& controller) {
     controller.contact = now_;
     const uint64_t store_lease = controller.leadership->store_lease();
@@ -162,17 +170,18 @@
       controller.leadership->OnStoreLeaseRenewed(now_);
       store_leases_[store_lease] = now_ + derived_.store_lease_s;
     }
-    // Keys are read in the order of their names: the leader's comes long before all is known.
+    // Keys are read in the order of their names, so the leader key is read long before the load is
+    // complete.
     controller.leadership->OnLeaderKey(key_);
-    if (controller.loaded == 0 && without_ != Without::kCompleteLoad) {
+    if (controller.loaded == 0 && omitted_guard_ != OmittedGuard::kCompleteLoad) {
       controller.loaded = 1;
       return;
     }
-    if (controller.loaded < 2 && without_ != Without::kCompleteLoad)
+    if (controller.loaded < 2 && omitted_guard_ != OmittedGuard::kCompleteLoad)
       controller.cancellations->AssumeReportedUpTo(revision_);
     controller.loaded = 2;
     controller.leadership->OnLoaded(revision_ == 0);
-    if (cancelled_ != 0 && without_ != Without::kCompleteLoad)
+    if (cancelled_ != 0 && omitted_guard_ != OmittedGuard::kCompleteLoad)
       LearnCancellation(controller, cancelled_);
     controller.leadership->OnReadUpTo(now_, revision_);
     const auto step = controller.leadership->NextStep(now_);
@@ -180,7 +189,7 @@
       key_ = {controller.name, controller.leadership->store_lease(), ++revision_};
     }
     if (step.kind == Kind::kElected)
-      controller.knows_cancellation = controller.knows_cancellation || cancelled_ != 0;
+      controller.has_cancellation = controller.has_cancellation || cancelled_ != 0;
   }
   void ExpireStoreLeases() {
     for (auto it = store_leases_.begin(); it != store_leases_.end();) {
@@ -208,7 +217,7 @@
       if (!promise.well_formed) continue;
       wire::PromiseResponse response{promise.promised,
                                      peer.cancellations->Since(request.read_revision)};
-      if (without_ == Without::kNewestCancellation)
+      if (omitted_guard_ == OmittedGuard::kNewestCancellation)
         response.cancellations = {0, 0, request.read_revision, {}};
       const auto deliver = [this, i, round = *round, name = peer.name,
                             incarnation = controller.incarnation,
@@ -218,7 +227,7 @@
         std::vector<wire::CancellationLogSlice::Entry> learned;
         requester.leadership->OnPromiseResponse(round, name, wire::DecodePromiseResponse(encoded),
                                                 now_, learned);
-        if (without_ == Without::kLearnedCancellations) return;
+        if (omitted_guard_ == OmittedGuard::kLearnedCancellations) return;
         for (const auto& entry : learned) LearnCancellation(requester, entry.revision);
         learned_ = learned_ || !learned.empty();
       };
@@ -229,7 +238,8 @@
       }
     }
   }
-  // The agent sends a heartbeat to every controller that may act, at its interval.
+  // Expires the agent's lease, which stops the task, and sends a heartbeat to every controller that
+  // may act, once per heartbeat interval.
   void RunAgent() {
     if (now_ - lease_renewed_at_ > settings_.agent_lease_s) {
       task_running_ = false;
@@ -242,14 +252,14 @@
           continue;
         agent_token_ = controller.leadership->token();
         lease_renewed_at_ = now_;
-        if (controller.knows_cancellation) task_running_ = false;
+        if (controller.has_cancellation) task_running_ = false;
       }
     }
     violated_ = violated_ || (task_running_ && cancelled_ != 0 &&
                               now_ > reported_at_ + settings_.cancel_within_s);
   }
 
-  const Without without_;
+  const OmittedGuard omitted_guard_;
   const config::Settings settings_ = test::PeerSettings();
   const config::DerivedSettings derived_{settings_};
   double now_ = 0;
@@ -263,7 +273,7 @@
   Leadership::LeaderKey key_;
   uint64_t cancelled_ = 0;
   double reported_at_ = 0;
-  // Between controllers.
+  // Messages between controllers.
   bool delaying_responses_ = false;
   bool third_partitioned_ = false;
   std::vector<std::function<void()>> delayed_responses_;
@@ -276,36 +286,36 @@
   bool violated_ = false;
 };
 
-struct Walked {
+struct SearchResult {
   size_t states = 0;
-  size_t continued = 0;   // states in which a leader has learned, and continues in the outage
-  std::string violation;  // the events that led to one, if any did
+  size_t continued = 0;   // states in which ContinuesInOutage() holds
+  std::string violation;  // the events that led to a violation; empty if none was found
 };
 
-Walked Walk(Without without, size_t max_states, size_t max_steps) {
-  Walked out;
+SearchResult Search(OmittedGuard omitted_guard, size_t max_states, size_t max_steps) {
+  SearchResult out;
   std::set<std::string> seen;
-  std::vector<std::vector<Event>> walks{{}};
-  for (size_t at = 0; at < walks.size() && seen.size() < max_states; ++at) {
-    const std::vector<Event> walk = walks[at];
+  std::vector<std::vector<Event>> paths{{}};
+  for (size_t at = 0; at < paths.size() && seen.size() < max_states; ++at) {
+    const std::vector<Event> path = paths[at];
     for (int event = 0; event < static_cast<int>(Event::kEvents); ++event) {
-      Model model(without);
-      for (const Event earlier : walk) model.Step(earlier);
+      Model model(omitted_guard);
+      for (const Event earlier : path) model.Step(earlier);
       model.Step(static_cast<Event>(event));
       if (!seen.insert(model.State()).second) continue;
       out.continued += model.ContinuesInOutage() ? 1 : 0;
-      // What follows when nothing else happens.
+      // Time passes without further events, so that a late end of the task becomes visible.
       for (int i = 0; i < 5; ++i) model.Step(Event::kAgentLeaseTime);
       if (model.IsViolated()) {
-        for (const Event earlier : walk)
+        for (const Event earlier : path)
           out.violation += fmt::format("{} ", static_cast<int>(earlier));
         out.violation += fmt::format("{}", event);
         out.states = seen.size();
         return out;
       }
-      if (walk.size() + 1 >= max_steps) continue;
-      walks.push_back(walk);
-      walks.back().push_back(static_cast<Event>(event));
+      if (path.size() + 1 >= max_steps) continue;
+      paths.push_back(path);
+      paths.back().push_back(static_cast<Event>(event));
     }
   }
   out.states = seen.size();
@@ -313,18 +323,19 @@
 }
 
 TEST(LeadershipModelTest, CancelledTasksEndInTimeInEveryOrder) {
-  const Walked walked = Walk(Without::kNothing, 12'000, 9);
-  EXPECT_EQ(walked.violation, "");
-  RecordProperty("states", static_cast<int>(walked.states));
-  std::cout << "states " << walked.states << ", continued " << walked.continued << '\n';
-  EXPECT_GT(walked.states, 5'000u);
-  EXPECT_GT(walked.continued, 20u);
+  const SearchResult result = Search(OmittedGuard::kNothing, 12'000, 9);
+  EXPECT_EQ(result.violation, "");
+  RecordProperty("states", static_cast<int>(result.states));
+  std::cout << "states " << result.states << ", continued " << result.continued << '\n';
+  EXPECT_GT(result.states, 5'000u);
+  EXPECT_GT(result.continued, 20u);
 }
 
 TEST(LeadershipModelTest, TheModelFailsWithoutEachGuard) {
-  for (const Without without :
-       {Without::kNewestCancellation, Without::kCompleteLoad, Without::kLearnedCancellations}) {
-    EXPECT_NE(Walk(without, 12'000, 9).violation, "") << static_cast<int>(without);
+  for (const OmittedGuard omitted_guard :
+       {OmittedGuard::kNewestCancellation, OmittedGuard::kCompleteLoad,
+        OmittedGuard::kLearnedCancellations}) {
+    EXPECT_NE(Search(omitted_guard, 12'000, 9).violation, "") << static_cast<int>(omitted_guard);
   }
 }
 
