--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -31,8 +31,7 @@
 enum class Event {
   kAgentLeaseTime,  // half an agent lease passes
   kStoreLeaseTime,  // a fraction of a store lease passes
-  kRefuseLeader,    // toggles whether the state service refuses the first controller (the first
-                    // leader) alone
+  kRefuseLeader,    // toggles whether the state service refuses the first controller alone
   kOutage,          // toggles whether the state service is down for all controllers
   kCancel,          // the second controller cancels the job and confirms this to the user
   kRestart,         // the second controller restarts at once and has read nothing yet
@@ -43,7 +42,7 @@
 
 // The guard that the model omits, to show that the guard is necessary.
 enum class OmittedGuard {
-  kNothing,
+  kNone,
   kNewestCancellation,    // peers do not send the cancellations that they may have confirmed
   kCompleteLoad,          // a controller treats the first page that it reads as a complete load
   kLearnedCancellations,  // the leader does not end jobs whose cancellation a peer has sent
@@ -323,7 +322,7 @@
 }
 
 TEST(LeadershipModelTest, CancelledTasksEndInTimeInEveryOrder) {
-  const SearchResult result = Search(OmittedGuard::kNothing, 12'000, 9);
+  const SearchResult result = Search(OmittedGuard::kNone, 12'000, 9);
   EXPECT_EQ(result.violation, "");
   RecordProperty("states", static_cast<int>(result.states));
   std::cout << "states " << result.states << ", continued " << result.continued << '\n';
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -1,5 +1,7 @@
-// The real program against fakes of the outside services on loopback: the user API end to end, bad
-// input, crashed controllers. Waits for what must happen; asserts nothing about how long it takes.
+// End-to-end tests: run the real program on the loopback interface against fakes of the state
+// service and the cloud. They cover the user API, invalid input, crashed controllers and outages of
+// the state service. The tests wait for each expected state, up to a generous time limit, and check
+// no latencies.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <spawn.h>
@@ -16,7 +18,7 @@
 
 using nlohmann::json;
 
-constexpr double kPatienceS = 60;
+constexpr double kWaitLimitS = 60;
 
 std::string FreeAddress(asio::io_context& io) {
   asio::ip::tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
@@ -38,7 +40,7 @@
           std::make_unique<net::HttpClient>(io_, address_[i], net::HttpClient::Options{}));
     }
     for (int i = 0; i < kNodes; ++i) {
-      EXPECT_TRUE(Until([&] { return Ask(i, "GET", "/healthz").first == 200; }));
+      EXPECT_TRUE(WaitUntil([&] { return Request(i, "GET", "/healthz").first == 200; }));
     }
   }
   ~Loopback() override {
@@ -108,8 +110,8 @@
     pid_[i] = 0;
   }
 
-  std::pair<int, json> Ask(int node, const std::string& method, const std::string& path,
-                           const std::string& body = {}) {
+  std::pair<int, json> Request(int node, const std::string& method, const std::string& path,
+                               const std::string& body = {}) {
     bool done = false;
     net::HttpResult result;
     clients_[static_cast<size_t>(node)]->Send(method, path, body, 5, [&](net::HttpResult r) {
@@ -120,9 +122,9 @@
     return {result.status, json::parse(result.body, nullptr, false)};
   }
 
-  bool Until(const std::function<bool()>& condition) {
-    const double end = net::Now() + kPatienceS;
-    while (net::Now() < end) {
+  bool WaitUntil(const std::function<bool()>& condition) {
+    const double deadline = net::Now() + kWaitLimitS;
+    while (net::Now() < deadline) {
       if (condition()) return true;
       io_.run_for(std::chrono::milliseconds(50));
     }
@@ -136,8 +138,8 @@
             {"shore", nullptr},   {"together", false}, {"apart", false}, {"loaners", true},
             {"guess_s", 0.2},     {"tally_s", 0.0},    {"stow_s", 0.0},  {"dawn_s", nullptr}};
   }
-  std::string Stage(int node, const std::string& id) {
-    const auto [status, body] = Ask(node, "GET", "/api/jobs/" + id);
+  std::string JobStage(int node, const std::string& id) {
+    const auto [status, body] = Request(node, "GET", "/api/jobs/" + id);
     return status == 200 ? body.value("stage", "") : std::to_string(status);
   }
 
@@ -151,129 +153,133 @@
 };
 
 TEST_F(Loopback, JobsRunAndStayDoneThroughACrash) {
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 201);
-  EXPECT_EQ(Ask(1, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 200);
-  EXPECT_TRUE(Until([&] { return Stage(0, "req-000001") == "done"; }));
-  EXPECT_TRUE(Until([&] { return Stage(1, "req-000001") == "done"; }));
-  EXPECT_EQ(Ask(1, "POST", "/api/jobs/req-000001/cancel").second.value("stage", ""), "done");
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 201);
+  EXPECT_EQ(Request(1, "POST", "/api/jobs", Job("req-000001", 20).dump()).first, 200);
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(0, "req-000001") == "done"; }));
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-000001") == "done"; }));
+  EXPECT_EQ(Request(1, "POST", "/api/jobs/req-000001/cancel").second.value("stage", ""), "done");
 
-  EXPECT_EQ(Ask(1, "POST", "/api/jobs", Job("req-000002", 40).dump()).first, 201);
+  EXPECT_EQ(Request(1, "POST", "/api/jobs", Job("req-000002", 40).dump()).first, 201);
   Kill(0);
   Start(0);
-  EXPECT_TRUE(Until([&] { return Stage(0, "req-000002") == "done"; }));
-  EXPECT_EQ(Stage(0, "req-000001"), "done");
-  EXPECT_EQ(Stage(1, "req-999999"), "404");
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(0, "req-000002") == "done"; }));
+  EXPECT_EQ(JobStage(0, "req-000001"), "done");
+  EXPECT_EQ(JobStage(1, "req-999999"), "404");
 }
 
 // Users who poll often, also for jobs that have ended or were never submitted, must not use up the
-// reads of the state service.
+// read requests that the state service allows.
 TEST_F(Loopback, PollingNeedsNoStoreReads) {
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000011", 3).dump()).first, 201);
-  for (int node : {0, 1}) EXPECT_TRUE(Until([&] { return Stage(node, "req-000011") == "done"; }));
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", Job("req-000011", 3).dump()).first, 201);
+  for (int node : {0, 1})
+    EXPECT_TRUE(WaitUntil([&] { return JobStage(node, "req-000011") == "done"; }));
   const size_t before = state_.single_reads;
   for (int i = 0; i < 30; ++i) {
     for (int node : {0, 1}) {
-      EXPECT_EQ(Stage(node, "req-000011"), "done");
-      EXPECT_EQ(Stage(node, "req-888888"), "404");
+      EXPECT_EQ(JobStage(node, "req-000011"), "done");
+      EXPECT_EQ(JobStage(node, "req-888888"), "404");
     }
   }
   EXPECT_LT(state_.single_reads - before, 20u);
-  // An unknown job is remembered as such, and known as soon as it is submitted.
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-888888", 1).dump()).first, 201);
-  EXPECT_NE(Stage(1, "req-888888"), "404");
-  EXPECT_TRUE(Until([&] { return Stage(1, "req-888888") == "done"; }));
+  // A controller caches that a job is unknown; a submission of the job invalidates that entry.
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", Job("req-888888", 1).dump()).first, 201);
+  EXPECT_NE(JobStage(1, "req-888888"), "404");
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-888888") == "done"; }));
 }
 
 TEST_F(Loopback, CancelledStaysCancelled) {
   json job = Job("req-000003", 4);
   job["catch"] = "daemon";
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 201);
-  EXPECT_EQ(Ask(1, "POST", "/api/jobs/req-000003/cancel").second.value("stage", ""), "aborted");
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 201);
+  EXPECT_EQ(Request(1, "POST", "/api/jobs/req-000003/cancel").second.value("stage", ""), "aborted");
   for (int node : {0, 1}) {
-    EXPECT_EQ(Stage(node, "req-000003"), "aborted");
-    EXPECT_EQ(Ask(node, "POST", "/api/jobs", job.dump()).second.value("stage", ""), "aborted");
+    EXPECT_EQ(JobStage(node, "req-000003"), "aborted");
+    EXPECT_EQ(Request(node, "POST", "/api/jobs", job.dump()).second.value("stage", ""), "aborted");
   }
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs/req-000009/cancel").first, 404);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs/req-000009/cancel").first, 404);
 }
 
 TEST_F(Loopback, BadInputIsRefused) {
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", "nonsense").first, 400);
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", "[]").first, 400);
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", "{\"id\":\"\xff\"}").first, 400);
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", std::string(70'000, ' ')).first, 413);
-  EXPECT_EQ(Ask(0, "DELETE", "/api/jobs").first, 405);
-  EXPECT_EQ(Ask(0, "GET", "/nowhere").first, 404);
-  EXPECT_EQ(Ask(0, "GET", "/api/jobs/../../x").first, 404);
-  EXPECT_EQ(Ask(0, "POST", "/v1/report", "{}").first, 400);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", "nonsense").first, 400);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", "[]").first, 400);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", "{\"id\":\"\xff\"}").first, 400);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", std::string(70'000, ' ')).first, 413);
+  EXPECT_EQ(Request(0, "DELETE", "/api/jobs").first, 405);
+  EXPECT_EQ(Request(0, "GET", "/nowhere").first, 404);
+  EXPECT_EQ(Request(0, "GET", "/api/jobs/../../x").first, 404);
+  EXPECT_EQ(Request(0, "POST", "/v1/report", "{}").first, 400);
   json job = Job("req-000004", 1);
   job["house"] = "strangers";
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 422);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 422);
   job = Job("req-000004", 1);
   job["vcpus"] = 9.0;
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 422);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 422);
   job = Job("req-000004", 21);
   job["catch"] = "daemon";
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 422);  // more than the team's limit
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 422);  // more than the team's limit
   job = Job("req-000004", 0);
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 400);
-  // More tasks than the memory holds: later, not never.
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 400);
+  // A job that exceeds the memory's task budget is refused with the retryable status 429.
   for (int i = 100; i < 130; ++i) {
     const auto [status, body] =
-        Ask(0, "POST", "/api/jobs", Job("req-000" + std::to_string(i), 99'999).dump());
+        Request(0, "POST", "/api/jobs", Job("req-000" + std::to_string(i), 99'999).dump());
     if (status == 429) {
       EXPECT_NE(body.value("error", "").find("tasks of"), std::string::npos)
-          << body;  // which budget, and whose
+          << body;  // the error names the budget and its owner
       break;
     }
     EXPECT_EQ(status, 201);
-    EXPECT_NE(i, 129) << "never full";
-    EXPECT_EQ(Ask(0, "GET", "/api/jobs/req-000100").first, 200);
+    EXPECT_NE(i, 129) << "the budget was never full";
+    EXPECT_EQ(Request(0, "GET", "/api/jobs/req-000100").first, 200);
   }
-  // A known id is answered before anything is checked.
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs/req-000100/cancel").first, 200);
-  EXPECT_TRUE(
-      Until([&] { return Ask(0, "POST", "/api/jobs", Job("req-000004", 1).dump()).first != 429; }));
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", job.dump()).first, 200);
+  // A cancellation frees budget.
+  EXPECT_EQ(Request(0, "POST", "/api/jobs/req-000100/cancel").first, 200);
+  EXPECT_TRUE(WaitUntil(
+      [&] { return Request(0, "POST", "/api/jobs", Job("req-000004", 1).dump()).first != 429; }));
+  // The submission of a known id is answered before its specification is validated.
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 200);
 }
 
-// A team fills its whole budget; the controllers crash one after the other. The jobs that another
-// team submits meanwhile are accepted and done, and accepted jobs stay known.
+// One team fills its whole budget while the controllers crash one after the other. Jobs that
+// another team submits meanwhile must be accepted and run to completion. Accepted jobs must stay
+// known.
 TEST_F(Loopback, AFloodLeavesBudgetToAnotherTeamThroughCrashes) {
-  int flood = 0;
+  int accepted_flood_jobs = 0;
   const auto submit_flood_job = [&](int node) {
-    const std::string id = "req-001" + std::to_string(100 + flood);
-    const int status = Ask(node, "POST", "/api/jobs", Job(id, 99'999).dump()).first;
-    flood += status == 201 ? 1 : 0;
+    const std::string id = "req-001" + std::to_string(100 + accepted_flood_jobs);
+    const int status = Request(node, "POST", "/api/jobs", Job(id, 99'999).dump()).first;
+    accepted_flood_jobs += status == 201 ? 1 : 0;
     return status;
   };
   int refusals = 0;
   for (int i = 0; i < 200 && refusals < 3; ++i)
     refusals += submit_flood_job(i % kNodes) == 429 ? 1 : 0;
-  ASSERT_EQ(refusals, 3) << "never full";
+  ASSERT_EQ(refusals, 3) << "the budget was never full";
   for (int i = 0; i < kNodes; ++i) {
     Kill(i);
     const int other = (i + 1) % kNodes;
     json job = Job("req-00200" + std::to_string(i), 5);
     job["house"] = "u";
-    EXPECT_TRUE(
-        Until([&] { return Ask(other, "POST", "/api/jobs", job.dump()).first / 2 == 100; }));
+    EXPECT_TRUE(WaitUntil(
+        [&] { return Request(other, "POST", "/api/jobs", job.dump()).first / 2 == 100; }));
     EXPECT_NE(submit_flood_job(other), 201);
-    EXPECT_TRUE(Until([&] {
-      return Ask(other, "POST", "/api/jobs", Job("req-001100", 99'999).dump()).first == 200;
+    EXPECT_TRUE(WaitUntil([&] {
+      return Request(other, "POST", "/api/jobs", Job("req-001100", 99'999).dump()).first == 200;
     }));
-    EXPECT_TRUE(Until([&] { return Stage(other, "req-00200" + std::to_string(i)) == "done"; }));
+    EXPECT_TRUE(
+        WaitUntil([&] { return JobStage(other, "req-00200" + std::to_string(i)) == "done"; }));
     Start(i);
-    EXPECT_TRUE(Until([&] { return Ask(i, "GET", "/healthz").first == 200; }));
+    EXPECT_TRUE(WaitUntil([&] { return Request(i, "GET", "/healthz").first == 200; }));
   }
 }
 
-// The leader or all controllers restart within a tenth of a second, also during an election:
-// accepted jobs stay known everywhere, are done, and run once.
+// The leader or all controllers restart within a tenth of a second, also during an election.
+// Accepted jobs must stay known at every controller and run to completion, once.
 TEST_F(Loopback, NoJobIsLostWhenControllersRestartAtOnce) {
   std::vector<std::string> ids;
   const auto leader = [&] {
     for (int i = 0; i < kNodes; ++i) {
-      const json status = Ask(i, "GET", "/status.json").second;
+      const json status = Request(i, "GET", "/status.json").second;
       if (!status.is_object() || !status.contains("controllers")) continue;
       for (const auto& controller : status["controllers"]) {
         if (controller.value("leads", false))
@@ -285,8 +291,8 @@
   for (int round = 0; round < 6; ++round) {
     const std::string id = "req-00500" + std::to_string(round);
     ids.push_back(id);
-    EXPECT_TRUE(Until([&] {
-      return Ask(round % kNodes, "POST", "/api/jobs", Job(id, 10).dump()).first / 2 == 100;
+    EXPECT_TRUE(WaitUntil([&] {
+      return Request(round % kNodes, "POST", "/api/jobs", Job(id, 10).dump()).first / 2 == 100;
     }));
     const int first = leader();
     const bool all = round % 2 == 1;
@@ -297,55 +303,56 @@
     for (int i = 0; i < kNodes; ++i) {
       if (all || i == first) Start(i);
     }
-    if (round == 4) {  // and again during the election
+    if (round == 4) {  // a second restart during the election
       io_.run_for(std::chrono::milliseconds(60));
       Kill(first);
       Start(first);
     }
-    for (const auto& known : ids) {
+    for (const auto& job_id : ids) {
       for (int i = 0; i < kNodes; ++i) {
         std::string stage;
-        EXPECT_TRUE(Until([&] {
-          stage = Stage(i, known);
-          EXPECT_NE(stage, "404") << known << " at " << i;
+        EXPECT_TRUE(WaitUntil([&] {
+          stage = JobStage(i, job_id);
+          EXPECT_NE(stage, "404") << job_id << " at " << i;
           return stage == "queued" || stage == "running" || stage == "done";
-        })) << known
+        })) << job_id
             << " at " << i << ": " << stage;
       }
     }
   }
   for (const auto& id : ids) {
-    EXPECT_TRUE(Until([&] { return Stage(2, id) == "done"; })) << id;
-    for (int i = 0; i < kNodes; ++i) EXPECT_TRUE(Until([&] { return Stage(i, id) == "done"; }));
+    EXPECT_TRUE(WaitUntil([&] { return JobStage(2, id) == "done"; })) << id;
+    for (int i = 0; i < kNodes; ++i)
+      EXPECT_TRUE(WaitUntil([&] { return JobStage(i, id) == "done"; }));
   }
 }
 
 TEST_F(Loopback, AStoreOutageIsAnsweredAtOnceAndHeals) {
   state_.down = true;
-  EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job("req-000005", 1).dump()).first, 503);
-  EXPECT_EQ(Ask(0, "GET", "/api/jobs/req-000005").first, 503);
+  EXPECT_EQ(Request(0, "POST", "/api/jobs", Job("req-000005", 1).dump()).first, 503);
+  EXPECT_EQ(Request(0, "GET", "/api/jobs/req-000005").first, 503);
   state_.down = false;
-  EXPECT_TRUE(Until([&] {
-    const int status = Ask(0, "POST", "/api/jobs", Job("req-000005", 1).dump()).first;
+  EXPECT_TRUE(WaitUntil([&] {
+    const int status = Request(0, "POST", "/api/jobs", Job("req-000005", 1).dump()).first;
     return status == 201 || status == 200;
   }));
-  EXPECT_TRUE(Until([&] { return Stage(1, "req-000005") == "done"; }));
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-000005") == "done"; }));
 }
 
-// The first meeting in docs/compound-failures.md: the state service refuses the leader alone,
-// another controller confirms a cancellation, and then the state service is down for all. The
-// leader learns of the cancellation from its peer; these tasks are stopped, and the others
-// continue. (These agents keep their tasks whether they are answered or not, so nothing else can
-// stop a task.)
+// The first compound failure in docs/compound-failures.md: the state service refuses the leader
+// alone, another controller confirms a cancellation, and then the state service is down for all
+// controllers. The leader must receive the cancellation from its peer and stop the tasks of that
+// job. All other tasks must continue. The fake agents keep their tasks even if no heartbeat is
+// answered, so nothing else can stop a task.
 TEST_F(Loopback, ALeaderCutFromTheStoreLearnsOfCancellationsInAnOutage) {
   cloud_.long_jobs = {"req-000020", "req-000021"};
   for (const auto& id : cloud_.long_jobs) {
-    EXPECT_EQ(Ask(0, "POST", "/api/jobs", Job(id, 2).dump()).first, 201);
-    EXPECT_TRUE(Until([&] { return cloud_.running(id) == 2; }));
+    EXPECT_EQ(Request(0, "POST", "/api/jobs", Job(id, 2).dump()).first, 201);
+    EXPECT_TRUE(WaitUntil([&] { return cloud_.running(id) == 2; }));
   }
   int leader = -1;
-  EXPECT_TRUE(Until([&] {
-    const json status = Ask(0, "GET", "/status.json").second;
+  EXPECT_TRUE(WaitUntil([&] {
+    const json status = Request(0, "GET", "/status.json").second;
     const std::string name = status.is_object() ? status.value("leader", "") : "";
     leader = name.empty() ? -1 : name.back() - '0';
     return leader >= 0;
@@ -353,24 +360,26 @@
   ASSERT_GE(leader, 0);
   state_.refused = {static_cast<size_t>(leader)};
   const int other = (leader + 1) % kNodes;
-  EXPECT_TRUE(Until([&] {
-    return Ask(other, "POST", "/api/jobs/req-000020/cancel").second.value("stage", "") == "aborted";
+  EXPECT_TRUE(WaitUntil([&] {
+    return Request(other, "POST", "/api/jobs/req-000020/cancel").second.value("stage", "") ==
+           "aborted";
   }));
-  // On a slow machine another may be elected meanwhile; somebody must be, when it goes down.
-  EXPECT_TRUE(Until([&] { return state_.pairs().contains("mosspath/live/leader"); }));
+  // On a slow machine another controller may have been elected meanwhile. The outage must begin
+  // while a leader is elected.
+  EXPECT_TRUE(WaitUntil([&] { return state_.pairs().contains("mosspath/live/leader"); }));
   state_.down = true;
-  EXPECT_TRUE(Until([&] { return cloud_.running("req-000020") == 0; }));
+  EXPECT_TRUE(WaitUntil([&] { return cloud_.running("req-000020") == 0; }));
   EXPECT_EQ(cloud_.running("req-000021"), 2u);
   state_.down = false;
   state_.refused.clear();
   for (int i = 0; i < kNodes; ++i) {
-    EXPECT_TRUE(Until([&] { return Stage(i, "req-000020") == "aborted"; }));
-    EXPECT_TRUE(Until([&] { return Stage(i, "req-000021") == "running"; }));
+    EXPECT_TRUE(WaitUntil([&] { return JobStage(i, "req-000020") == "aborted"; }));
+    EXPECT_TRUE(WaitUntil([&] { return JobStage(i, "req-000021") == "running"; }));
   }
 }
 
-// Runs the program with arguments; returns its exit code and what it printed.
-std::pair<int, std::string> Program(asio::io_context& io, const std::string& arguments) {
+// Runs the program with the arguments. Returns its exit code and its output (stdout and stderr).
+std::pair<int, std::string> RunProgram(asio::io_context& io, const std::string& arguments) {
   const std::string out = ::testing::TempDir() + "mosspath-out-" + std::to_string(getpid());
   const std::string line = std::string(MOSSPATH_PROGRAM) + " " + arguments + " >" + out + " 2>&1";
   std::string shell = "/bin/sh", command_flag = "-c", text = line;
@@ -388,49 +397,49 @@
 TEST_F(Loopback, SubcommandsStatusAndSettings) {
   const std::string file = ::testing::TempDir() + "mosspath-job-" + std::to_string(getpid());
   std::ofstream(file) << Job("req-000010", 3).dump();
-  EXPECT_EQ(Program(io_, "submit --server " + address_[0] + " " + file),
+  EXPECT_EQ(RunProgram(io_, "submit --server " + address_[0] + " " + file),
             (std::pair<int, std::string>{0, "req-000010 queued\n"}));
-  EXPECT_TRUE(Until([&] { return Stage(1, "req-000010") == "done"; }));
-  EXPECT_EQ(Program(io_, "get --server " + address_[1] + " req-000010").second,
+  EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-000010") == "done"; }));
+  EXPECT_EQ(RunProgram(io_, "get --server " + address_[1] + " req-000010").second,
             "req-000010 done\n");
-  EXPECT_EQ(Program(io_, "get --server " + address_[1] + " req-777777").first, 3);
-  EXPECT_EQ(Program(io_, "cancel --json --server " + address_[1] + " req-000010").second,
+  EXPECT_EQ(RunProgram(io_, "get --server " + address_[1] + " req-777777").first, 3);
+  EXPECT_EQ(RunProgram(io_, "cancel --json --server " + address_[1] + " req-000010").second,
             "{\"id\":\"req-000010\",\"stage\":\"done\"}\n");
-  EXPECT_EQ(Program(io_, "get --server 127.0.0.1:1 req-000010").first, 1);
-  EXPECT_EQ(Program(io_, "get").first, 2);
-  EXPECT_EQ(Program(io_, "--config /nowhere").first, 2);
+  EXPECT_EQ(RunProgram(io_, "get --server 127.0.0.1:1 req-000010").first, 1);
+  EXPECT_EQ(RunProgram(io_, "get").first, 2);
+  EXPECT_EQ(RunProgram(io_, "--config /nowhere").first, 2);
 
-  // All controllers show the same leader; the page is for people.
+  // Every controller reports a leader. Without --json, the status is a text page.
   for (const auto& address : address_) {
-    EXPECT_TRUE(Until([&] {
-      const auto [code, text] = Program(io_, "status --json --server " + address);
+    EXPECT_TRUE(WaitUntil([&] {
+      const auto [code, text] = RunProgram(io_, "status --json --server " + address);
       const json j = json::parse(text, nullptr, false);
       return code == 0 && j.is_object() && !j.value("leader", "").empty();
     }));
   }
-  EXPECT_NE(Program(io_, "status --server " + address_[0]).second.find("Machines"),
+  EXPECT_NE(RunProgram(io_, "status --server " + address_[0]).second.find("Machines"),
             std::string::npos);
 
   EXPECT_EQ(
-      Program(io_, "settings --server " + peer_address_[0] + " set gamma=2.5 preemption=false")
+      RunProgram(io_, "settings --server " + peer_address_[0] + " set gamma=2.5 preemption=false")
           .first,
       0);
-  EXPECT_TRUE(Until([&] {
-    return Program(io_, "settings --server " + peer_address_[1] + " get")
+  EXPECT_TRUE(WaitUntil([&] {
+    return RunProgram(io_, "settings --server " + peer_address_[1] + " get")
                .second.find("gamma = 2.5") != std::string::npos;
   }));
-  const auto invalid = Program(io_, "settings --server " + peer_address_[1] + " set gamma=0.5");
+  const auto invalid = RunProgram(io_, "settings --server " + peer_address_[1] + " set gamma=0.5");
   EXPECT_EQ(invalid.first, 3);
   EXPECT_NE(invalid.second.find("gamma"), std::string::npos);
   net::HttpClient peer_client(io_, peer_address_[0], {});
   int status = 0;
   peer_client.Send("PUT", "/admin/v1/settings", R"({"version":1,"settings":{"gamma":3}})", 5,
                    [&](const net::HttpResult& r) { status = r.status; });
-  EXPECT_TRUE(Until([&] { return status != 0; }));
+  EXPECT_TRUE(WaitUntil([&] { return status != 0; }));
   EXPECT_EQ(status, 409);
-  // The user ports never expose these paths.
-  EXPECT_EQ(Ask(0, "GET", "/admin/v1/settings").first, 404);
-  EXPECT_EQ(Ask(0, "GET", "/metrics").first, 404);
+  // The user API does not expose the operator's paths.
+  EXPECT_EQ(Request(0, "GET", "/admin/v1/settings").first, 404);
+  EXPECT_EQ(Request(0, "GET", "/metrics").first, 404);
 }
 
 }  // namespace
