--- a/tests/builders.h
+++ b/tests/builders.h
@@ -1,7 +1,6 @@
-// Builders of the values that many tests start from: settings, machine types,
-// job specifications, heartbeats and task statuses. A builder sets what its
-// comment says and leaves everything else at its default, so that a test states
-// all that its outcome depends on.
+// Builders of test values: settings, machine types, job specifications, heartbeats, task statuses
+// and status snapshots. A builder sets the fields that its comment names and leaves all other
+// fields at their defaults, so that a test states every value that affects its outcome.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +13,12 @@
 
 namespace mosspath::test {
 
-// Bounds of one batch of records, in packs and in bytes of their values.
+// Limits of one batch of records: the number of packs, and the total size of their values.
 inline constexpr size_t kMaxBatchPacks = 100;
 inline constexpr size_t kMaxBatchBytes = 48u << 10;
 
-// Sets the limits of the state service and of the cloud that small clusters
-// have.
+// Sets the request and size limits of the state service and of the cloud to those of a small
+// cluster.
 inline void SetServiceLimits(config::Settings& settings) {
   settings.store_requests_per_s = 100;
   settings.store_writes_per_s = 25;
@@ -29,9 +28,8 @@
   settings.machine_list_lag_s = 3;
 }
 
-// A cluster of three controllers and two zones, with the teams "t" and "guest",
-// neither of which has a limit, and one objective: jobs of the class "aimed"
-// start within 900 s.
+// Returns the settings of a cluster of three controllers and two zones. The teams "t" and "guest"
+// have no limits. The single objective is that jobs of the class "aimed" start within 900 s.
 inline config::Settings SchedulerSettings() {
   config::Settings settings;
   settings.controller_count = 3;
@@ -45,7 +43,7 @@
   return settings;
 }
 
-// The machine type "box", without price, boot time or zones.
+// Returns the machine type "box", without price, boot time or zones.
 inline wire::MachineType BoxType(double cpus, double memory_gb) {
   wire::MachineType type;
   type.name = "box";
@@ -56,7 +54,7 @@
   return type;
 }
 
-// A job of `tasks` tasks that take `cpus` CPUs each, without an image.
+// Returns a job of `tasks` tasks that require `cpus` CPUs each, without an image.
 inline wire::JobSpec MakeJobSpec(const std::string& id, const std::string& team, uint32_t tasks,
                                  double cpus = 1) {
   wire::JobSpec spec;
@@ -67,7 +65,7 @@
   return spec;
 }
 
-// A heartbeat of a machine of the type "box", without tasks, address or zone.
+// Returns a heartbeat of a machine of the type "box", without tasks, address or zone.
 inline wire::Heartbeat MakeHeartbeat(const std::string& machine, uint64_t agent_epoch,
                                      uint64_t sequence, uint64_t fencing_token) {
   wire::Heartbeat heartbeat;
@@ -79,26 +77,26 @@
   return heartbeat;
 }
 
-// The status of an attempt that runs.
+// Returns the status of a running attempt.
 inline wire::TaskStatus Running(const wire::TaskId& task, uint64_t attempt) {
   return {task, attempt, wire::TaskState::kRunning, wire::ExitReason::kNone, false};
 }
-// The status of the attempt that `start` started, while it runs.
+// Returns the status of the attempt that the command `start` started, while the attempt runs.
 inline wire::TaskStatus Running(const wire::Command& start) {
   return Running(start.task, start.attempt);
 }
-// The status of the attempt that `start` started, once it has ended for
-// `reason`.
+// Returns the status of the attempt that the command `start` started, after the attempt has exited
+// for `reason`.
 inline wire::TaskStatus Exited(const wire::Command& start, wire::ExitReason reason) {
   return {start.task, start.attempt, wire::TaskState::kExited, reason, false};
 }
-// Ends the attempt for `reason`.
+// Marks the attempt as exited for `reason`.
 inline void MarkExited(wire::TaskStatus& status, wire::ExitReason reason) {
   status.state = wire::TaskState::kExited;
   status.exit_reason = reason;
 }
 
-// A status snapshot with one or two entries in each of its lists.
+// Returns a status snapshot with one or two entries in each of its lists.
 inline wire::StatusSnapshot SampleStatusSnapshot() {
   wire::StatusSnapshot snapshot;
   snapshot.leader = "hut-1";
