--- a/tests/heartbeat_model_test.cc
+++ b/tests/heartbeat_model_test.cc
@@ -1,6 +1,6 @@
 // Bounded model check: a breadth-first search over the orders of the events below. The model has
-// one task, a machine with a faulty network, a healthy machine, and two leaders in succession. On
-// the faulty network, heartbeats are duplicated, answers are lost, and commands are lost or
+// one task, a partitioned machine, a healthy machine, and two leaders in succession. Heartbeats of
+// the partitioned machine are duplicated, answers to it are lost, and commands to it are lost or
 // delayed. The leaders are instances of the real Scheduler. The task must never run on both
 // machines.
 #include <gtest/gtest.h>
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -31,8 +31,8 @@
   kSendTransaction,      // the leader sends its pending records in one transaction
   kTransactionAnswered,  // the last transaction is processed, and the leader receives the answer
   kTransactionTimesOut,  // the leader stops waiting for the answer to the last transaction
-  kCommitOldest,         // the oldest timed-out transaction is processed without an answer
-  kCommitNewest,         // the newest timed-out transaction is processed without an answer
+  kCommitOldest,         // the oldest transaction that the leader does not await is processed
+  kCommitNewest,         // the newest transaction that the leader does not await is processed
   kReadVersions,         // the leader reads the versions of its packs
   kFirstHeartbeat,       // the first machine sends a heartbeat and receives the answer
   kSecondHeartbeat,      // the second machine sends a heartbeat and receives the answer
@@ -84,7 +84,7 @@
     if (completed_ && cancelled_) return "done and cancelled";
     return lost_result_;
   }
-  // Returns how many transactions were committed after they had timed out.
+  // Returns how many transactions were committed without an answer to the leader.
   size_t late() const { return late_commits_; }
 
   // Returns a text that identifies the state: everything that affects later steps.
@@ -251,8 +251,8 @@
         return true;
       case Event::kCommitOldest:
       case Event::kCommitNewest: {
-        // Skips the transaction whose answer the leader awaits. kTransactionAnswered commits that
-        // one, or kTransactionTimesOut releases it for a late commit.
+        // Excludes the transaction whose answer the leader awaits. kTransactionAnswered processes
+        // that one. After a timeout or an election, the leader no longer awaits its answer.
         const size_t n = in_flight_.size() - (awaiting_answer_ ? 1 : 0);
         if (n == 0 || (event == Event::kCommitNewest && n == 1)) return false;
         const auto it = event == Event::kCommitOldest
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -219,7 +219,7 @@
   EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 422);  // more than the team's limit
   job = Job("req-000004", 0);
   EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 400);
-  // A job that exceeds the memory's task budget is refused with the retryable status 429.
+  // Jobs with more tasks than the memory can hold are refused with the retryable status 429.
   for (int i = 100; i < 130; ++i) {
     const auto [status, body] =
         Request(0, "POST", "/api/jobs", Job("req-000" + std::to_string(i), 99'999).dump());
