--- a/include/mosspath/scheduler/activity_tracker.h
+++ b/include/mosspath/scheduler/activity_tracker.h
@@ -21,11 +21,12 @@
  public:
   explicit ActivityTracker(const config::Settings& settings);
 
-  // Records an incident for the status page. If there are too many, the oldest is dropped.
+  // Records an incident for the status page. Drops the oldest incident if there are more than 20.
   void AddIncident(double now, std::string description);
-  // Called when a task of the job runs. Only its first start counts towards the objectives.
+  // Called when a task of the job has been started. Only the first start of a task counts towards
+  // the objectives.
   void OnTaskStarted(jobs::Job& job, uint32_t index, double now);
-  // Called when the job's completion is durable, which counts towards the objectives.
+  // Called once the job's completion is durable. Counts the job towards the objectives.
   void OnJobFinished(const jobs::Job& job, double now);
 
   // When a class or team last had a task started and a job finished.
@@ -35,9 +36,10 @@
   };
   const std::map<std::string, LastActivity>& classes() const { return classes_; }
   const std::map<std::string, LastActivity>& teams() const { return teams_; }
-  // Adds the progress, and the incidents with the newest first.
+  // Adds to the snapshot the progress towards the objectives, and the incidents, newest first.
   void FillSnapshot(double now, wire::StatusSnapshot& snapshot) const;
-  // Whether a log line with the load is due. If so, schedules the next one an interval later.
+  // Returns whether the log line that reports the load is due. If so, schedules the next log line
+  // one log interval after `now`.
   bool IsLogDue(double now);
 
  private:
--- a/include/mosspath/scheduler/ahead_delegation.h
+++ b/include/mosspath/scheduler/ahead_delegation.h
@@ -1,5 +1,5 @@
-// Delegates tasks to the holders of shards beyond the free capacity of their machines, so that a
-// holder has tasks to start as soon as capacity comes free. Pure.
+// Delegates more tasks to the holders of shards than fit into the free capacity of their machines,
+// so that a holder has tasks to start as soon as capacity comes free. Pure.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
   AheadDelegation(cluster::ClusterState& cluster, ShardLeases& shard_leases, StartGate& start_gate,
                   const MachineFilter& filter);
 
-  // Sets the limit on the work that waits with a holder, as a share of the CPUs that its machines
-  // offer.
+  // Sets the limit on the CPUs of the tasks that wait with a holder, as a share of the CPUs of the
+  // holder's machines.
   void SetShare(double share) { share_ = share; }
-  // Delegates pending tasks of the jobs, in the given order, to the holders that may still be
-  // delegated the most work.
+  // Delegates pending tasks of the jobs, which are taken in the given order. Each job's tasks go
+  // first to the holder to which the most CPUs of work may still be delegated.
   void Run(const std::vector<jobs::Job*>& waiting_jobs, double now);
 
  private:
-  // The holder of a shard, and the CPUs of work that may still be delegated to it.
+  // The holder of a shard, and the CPUs of the tasks that may still be delegated to this holder.
   struct Receiver {
     uint64_t lease = 0;
     double room_cpus = 0;
@@ -42,7 +42,8 @@
   // Delegates at most `max_tasks` tasks of the job, to the receivers in the given order.
   void DelegateJob(jobs::Job& job, size_t max_tasks, bool urgent, std::vector<Receiver>& receivers,
                    double now);
-  // Delegates tasks to one receiver while it has room. Returns the number of delegated tasks.
+  // Delegates at most `max_tasks` tasks of the job to one receiver while the receiver has room.
+  // Returns the number of delegated tasks.
   size_t DelegateTasks(jobs::Job& job, size_t max_tasks, bool urgent, Receiver& receiver);
 
   cluster::ClusterState& cluster_;
--- a/include/mosspath/scheduler/capacity_reservation.h
+++ b/include/mosspath/scheduler/capacity_reservation.h
@@ -1,10 +1,11 @@
 // Free capacity on on-demand machines that is reserved for urgent jobs that may not use spot
 // machines. No I/O; the time is an argument.
 //
-// Such jobs arrive all the time. Without a reservation, work that could have used spot machines
-// fills the on-demand ones. The reservation equals the arrivals of such jobs within a machine's
-// boot time: the next arrivals need that capacity before a machine that is rented on their arrival
-// has booted. Without recent arrivals nothing is reserved.
+// Such jobs arrive all the time. Without a reservation, jobs that could use spot machines would
+// fill the on-demand machines. The reservation equals the resources of the urgent jobs that arrived
+// within the last boot time of a machine (or a configured multiple of it): the next such jobs will
+// need about as much before a machine that is rented on their arrival has booted. Without recent
+// arrivals nothing is reserved.
 #pragma once
 
 #include <deque>
@@ -16,22 +17,24 @@
 
 namespace mosspath::scheduler {
 
-// Records arrivals, and accounts for the free capacity of on-demand machines during a pass. Not
-// thread-safe.
+// Records the arrivals of urgent jobs that may not use spot machines, and counts the free capacity
+// of on-demand machines during a placement pass. Not thread-safe.
 class CapacityReservation {
  public:
   // Returns whether capacity is reserved for jobs of this spec.
   static bool AppliesTo(const wire::JobSpec& spec) {
     return !spec.spot_allowed && spec.priority >= wire::Priority::kHigh;
   }
-  // Sets the window over which arrivals count, in boot times of the slowest machine type.
+  // Sets the window within which arrivals count towards the reservation, in boot times of the
+  // machine type that boots slowest.
   void SetBootTimes(double boot_times) { boot_times_ = boot_times; }
   void OnSubmitted(const wire::JobSpec& spec, double submitted_at);
   struct Resources {
     double cpus = 0;
     double memory_gb = 0;
   };
-  // Returns the resources of all tasks that arrived within the window.
+  // Returns the resources of all tasks of the jobs that arrived within the window, and removes
+  // earlier arrivals.
   Resources Reserved(double now, const cluster::MachineTypeCatalog& types);
 
   // --- One placement pass ---
@@ -39,9 +42,10 @@
     reserved_ = Reserved(now, types);
     free_ = {};
   }
-  // Counts the free capacity of a machine that accepts new tasks.
+  // Adds the free capacity of a machine that accepts new tasks, if it is an on-demand machine.
   void AddMachine(const cluster::Machine& machine);
-  // Returns whether a task may use capacity of the machine without cutting into the reservation.
+  // Returns whether a task may be placed on the machine. Only a task that may use spot machines is
+  // refused, if on an on-demand machine it would leave less free capacity than is reserved.
   bool MayTake(const wire::JobSpec& spec, const cluster::Machine& machine) const;
   // Counts a task that was allocated on the machine.
   void OnAllocated(const wire::JobSpec& spec, const cluster::Machine& machine);
--- a/include/mosspath/scheduler/command_batch.h
+++ b/include/mosspath/scheduler/command_batch.h
@@ -14,19 +14,21 @@
 struct CommandBatch {
   std::string machine;
   std::string address;  // host and port of the agent
-  // The agent executes the batch only in this epoch, and only if the token is no lower than any
-  // token that it has seen.
+  // The agent executes the batch only if `agent_epoch` is the agent's epoch and `fencing_token` is
+  // no lower than any token that the agent has received.
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
   std::vector<wire::Command> commands;
 };
 
 enum class CommandOutcome {
-  // Status 200, with the agent's heartbeat after the commands.
+  // The agent answered with status 200 and a heartbeat from after the execution of the commands.
   kExecuted,
-  // Status 409, or the batch was never sent: nothing was executed, and nothing will be.
+  // The agent answered with status 409, or the batch was never sent. No command of the batch has
+  // been or will be executed.
   kRefused,
-  // The batch may have been executed, or may still be until the machine's token or epoch rises.
+  // The agent may have executed the batch, or may still execute it until the machine's token or
+  // epoch rises.
   kUndetermined,
 };
 
--- a/include/mosspath/scheduler/command_outcome_handler.h
+++ b/include/mosspath/scheduler/command_outcome_handler.h
@@ -16,7 +16,8 @@
   CommandOutcomeHandler(SchedulerState& state, HeartbeatHandler& heartbeats, Reconciler& reconciler)
       : state_(state), heartbeats_(heartbeats), reconciler_(reconciler) {}
 
-  // Called once for each batch that was taken. `heartbeat` is the agent's answer, null without one.
+  // Called once for each batch that CommandPlanner::TakeBatches has returned. `heartbeat` is the
+  // heartbeat in the agent's answer, or null if there is none.
   void OnOutcome(const CommandBatch& batch, CommandOutcome outcome,
                  const wire::Heartbeat* heartbeat, double now);
 
--- a/include/mosspath/scheduler/command_planner.h
+++ b/include/mosspath/scheduler/command_planner.h
@@ -23,12 +23,14 @@
   // Returns the commands for the answer to the machine's periodic heartbeat, and marks their starts
   // as sent.
   std::vector<wire::Command> TakeHeartbeatCommands(cluster::Machine& machine, double now);
-  // Returns due probes, and commands that can be sent before the machines' next heartbeats: at most
-  // `max_batches` batches, and none to a machine with a batch in flight.
+  // Returns the probes that are due, and the commands that can be sent directly instead of with the
+  // answers to the machines' next heartbeats. Returns at most `max_batches` batches, and none for a
+  // machine with a batch in flight.
   std::vector<CommandBatch> TakeBatches(double now, size_t max_batches);
-  // Raises the token of machines where a start got no answer or where answers have no effect. An
-  // agent may execute an unanswered start until it receives a higher token. The revision of a later
-  // write by this leader serves as the token; it is lower than the token of any later leader.
+  // Raises the token of each machine that has not answered a start under its present token, or on
+  // which the answers to heartbeats have no effect. An agent may execute an unanswered start until
+  // it receives a higher token. The new token is the store revision of a later write by this
+  // leader, which is lower than the token of any later leader.
   void RaiseTokens();
 
  private:
--- a/include/mosspath/scheduler/deficit_queue.h
+++ b/include/mosspath/scheduler/deficit_queue.h
@@ -1,5 +1,6 @@
-// Waiting jobs whose team or class is below its fair-share floor. They go ahead of the common queue
-// order until the deficit is gone. No I/O.
+// The queue of the waiting jobs whose team or class uses fewer CPUs than its fair-share floor.
+// Their tasks are placed before the jobs in the common queue order until the deficit is gone. No
+// I/O.
 #pragma once
 
 #include <cstddef>
--- a/src/scheduler/activity_tracker.cc
+++ b/src/scheduler/activity_tracker.cc
@@ -8,7 +8,7 @@
 
 constexpr size_t kMaxIncidents = 20;
 constexpr size_t kMaxClasses = 100;
-// Agent leases from one log line with the load to the next.
+// Interval between two log lines that report the load, in agent leases.
 constexpr double kLogIntervalLeases = 0.5;
 
 }  // namespace
--- a/src/scheduler/ahead_delegation.cc
+++ b/src/scheduler/ahead_delegation.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The limit for urgent work is this multiple of the limit for other work.
+// Urgent tasks are delegated until the CPUs of the tasks that wait with a holder reach this
+// multiple of the limit for other tasks.
 constexpr double kUrgentAheadFactor = 2;
 constexpr double kMinTaskCpus = 0.1;  // a smaller task counts as this many CPUs
 
@@ -24,7 +25,8 @@
   if (receivers.empty()) return;
   for (Job* job : waiting_jobs) {
     if (job->pending.empty() || !IsDelegable(*job)) continue;
-    // Best-effort work runs only on idle capacity. Work that waits with a holder leaves none.
+    // Best-effort tasks run only on idle capacity, so they are not delegated ahead: the tasks that
+    // wait with a holder take all capacity that comes free.
     if (job->best_effort) continue;
     const size_t max_tasks = start_gate_.PlaceableTasks(*job);
     if (max_tasks == 0) continue;
--- a/src/scheduler/command_outcome_handler.cc
+++ b/src/scheduler/command_outcome_handler.cc
@@ -21,13 +21,14 @@
   const bool answered_by_target =
       heartbeat != nullptr && !from_other_machine && heartbeat->agent_epoch == batch.agent_epoch;
   if (outcome == CommandOutcome::kExecuted && !answered_by_target) {
-    outcome = CommandOutcome::kUndetermined;  // the answer is inconsistent, so it is discarded
+    outcome = CommandOutcome::kUndetermined;  // the answer does not show what the target executed
   }
   for (const wire::Command& command : batch.commands) {
     if (command.type != wire::CommandType::kStart) continue;
     OnStartOutcome(machine, command, outcome, heartbeat, now);
   }
-  // An answer to commands does not renew the lease, but otherwise counts like a periodic heartbeat.
+  // The heartbeat in the answer to commands does not renew the agent's lease. Otherwise it is
+  // handled like a periodic heartbeat.
   if (outcome != CommandOutcome::kExecuted ||
       !machine.IsNewer(heartbeat->agent_epoch, heartbeat->sequence) ||
       heartbeat->fencing_token != machine.fencing_token) {
@@ -47,7 +48,8 @@
   if (allocation.state != Allocation::State::kStartSent) return;
   switch (outcome) {
     case CommandOutcome::kExecuted:
-      // The heartbeat in the answer already reflects the start.
+      // The heartbeat in the answer already reflects the start, so the start is recorded as sent
+      // before this heartbeat.
       allocation.start_sent_sequence = heartbeat->sequence - 1;
       return;
     case CommandOutcome::kRefused:
--- a/src/scheduler/command_planner.cc
+++ b/src/scheduler/command_planner.cc
@@ -15,9 +15,10 @@
 
 namespace {
 
-// Keeps an answer to an agent well below the 64 KiB that a line may have.
+// Maximum number of commands in an answer or a batch. Keeps the message well below the 64 KiB limit
+// on the length of a line.
 constexpr size_t kMaxCommands = 400;
-// Heartbeat intervals without contact, after which no start is sent directly to a machine.
+// No start is sent directly to a machine without contact for this many heartbeat intervals.
 constexpr double kMaxContactAgeHeartbeats = 1.5;
 // The value of Machine::ignored_answers_token while no answer is suspected to be without effect.
 constexpr uint64_t kNoIgnoredAnswersToken = 0;
@@ -31,7 +32,7 @@
                      [](const auto& it) { return IsUnconfirmedStart(it.second); });
 }
 
-// Whether a start that got no answer was sent under the machine's present token.
+// Whether any start that got no answer was sent under the machine's present token.
 bool HasUnconfirmedStartUnderCurrentToken(const Machine& machine) {
   return std::any_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     return IsUnconfirmedStart(it.second) && it.second.start_sent_token == machine.fencing_token;
@@ -45,7 +46,8 @@
 std::vector<wire::Command> CommandPlanner::TakeHeartbeatCommands(Machine& machine, double now) {
   std::vector<wire::Command> commands;
   const bool may_start = machine.record_durable && state_.cluster.IsSchedulable(machine, now);
-  // Commands that end attempts are added first.
+  // Forget and stop commands are added before starts, so that the limit on commands delays starts
+  // first.
   for (auto& [key, allocation] : machine.allocations) {
     if (commands.size() >= kMaxCommands) break;
     const auto& [task, attempt] = key;
@@ -145,8 +147,9 @@
   }
 }
 
-// Requests a write of the machine's record if nothing was written since the present token was
-// issued.
+// Sets the machine's token to the store revision of the last write. If that revision is not higher
+// than the present token, requests a write of the machine's record instead: the token is raised by
+// a later call, when the record has been written.
 void CommandPlanner::RaiseToken(Machine& machine) {
   const uint64_t newest_revision = state_.durable_state.newest_revision();
   if (newest_revision <= machine.fencing_token) {
--- a/src/scheduler/deficit_queue.cc
+++ b/src/scheduler/deficit_queue.cc
@@ -9,12 +9,14 @@
 
 namespace {
 
-// Minimum CPUs that a task counts as; bounds the tasks ahead of jobs that need hardly any CPUs.
+// Each task counts as at least this many CPUs. This limits how many tasks are placed ahead for a
+// job whose tasks need hardly any CPUs.
 constexpr double kMinTaskCpus = 0.1;
 
-// By submission rather than by the common order: jobs that can meet no objective any more get their
-// turn too, and some jobs finish, instead of all of them progressing a little. Jobs in a crash loop
-// come last, so that they take no share while others wait.
+// Orders jobs by submission time rather than in the common queue order. Thus jobs that can no
+// longer meet any objective are placed too, and some jobs finish, whereas otherwise all jobs would
+// progress a little. Jobs in a crash loop come last, so that they use none of the deficit while
+// other jobs wait.
 bool Precedes(const Job* a, const Job* b) {
   if (a->crash_looping != b->crash_looping) return b->crash_looping;
   return a->submitted_at < b->submitted_at;
