--- a/include/mosspath/scheduler/durable_state.h
+++ b/include/mosspath/scheduler/durable_state.h
@@ -23,13 +23,13 @@
 
 namespace mosspath::scheduler {
 
-// The record of a machine. The handover revision rises with each handover of the machine. It lets a
-// holder distinguish a machine that it has returned from one that it was given again, as the holder
-// may miss the record in between.
+// The record of a machine. The handover revision rises with each handover of the machine. A holder
+// that returns a machine may be handed the same machine again without having read the record in
+// between. The higher handover revision then shows the holder that this is a new handover.
 struct MachineRecord {
   std::string address;             // of the machine's agent
-  uint64_t lease = 0;              // whose holder commands the machine; 0: the leader does
-  uint64_t handover_revision = 0;  // 0: written by a version that did not record it
+  uint64_t lease = 0;              // the holder of this lease commands the machine; 0: the leader
+  uint64_t handover_revision = 0;  // 0: no handover, or an earlier version's record
 };
 std::string EncodeMachineRecord(const MachineRecord& record);
 // Returns an empty record if the value is not a machine record.
@@ -51,8 +51,8 @@
 
   void LoadProgressPack(int pack, const wire::Json& value, uint64_t version);
   void LoadMachinesPack(int pack, const wire::Json& value, uint64_t version);
-  // Applies the loaded records of the job to `job`: its completed tasks, and whether its tasks may
-  // have been started. Returns the number of retries if the job was recorded as crash looping.
+  // Applies to `job` its loaded records: the completed tasks, and the start marker. Returns the
+  // number of retries if the job was recorded as crash looping.
   std::optional<uint32_t> RestoreJob(jobs::Job& job);
 
   // --- Changes ---
@@ -60,33 +60,34 @@
   void OnTaskDone(const jobs::Job& job, uint32_t index);
   void RecordCrashLoop(const std::string& job, uint32_t retries);
   void ClearCrashLoop(const std::string& job);
-  // Adds a start marker for the job, unless it has one. The marker records that tasks of the job
-  // may have been started; they may be started once it is durable.
+  // Adds a start marker for the job, unless the job has one. The marker records that tasks of the
+  // job may have been started. No task of the job may be started before the marker is durable.
   void RequestStartMarker(jobs::Job& job);
   void ForgetJob(const jobs::Job& job);
-  // Adds a record of the machine, unless it has one.
+  // Adds a record of the machine, unless the machine has one.
   void AddMachine(const std::string& id, const std::string& address);
-  // Records that the holder of the lease commands the machine as soon as the record is durable. If
-  // the lease is kNoLease, the leader commands the machine.
+  // Sets the machine's record to name `lease`. Once the record is durable, the holder of the lease
+  // commands the machine, or the leader if `lease` is kNoLease.
   void AssignMachine(cluster::Machine& machine, const std::string& address, uint64_t lease);
   // Removes an ended lease from the machine's record.
   void ClearExpiredLease(const std::string& id, const std::string& address) {
     machines_.Replace(id, EncodeMachineRecord({.address = address}));
   }
   void RemoveMachine(const std::string& id);
-  // Schedules another write of the machine's unchanged pack, for its store revision: the revision
-  // serves as a new fencing token.
+  // Schedules another write of the pack that contains the machine's record, without a change to the
+  // pack. The store revision of the write serves as a new fencing token.
   void RewriteMachine(const std::string& id) { machines_.Touch(id); }
-  // Returns whether records of machines wait to be written and no batch is in flight.
+  // Returns whether machine records have changed since they were last written and no batch is in
+  // flight.
   bool has_unwritten_machines() const { return machines_.dirty() && in_flight_.empty(); }
 
   // --- Writing ---
 
   // Returns the next batch to write, of at most `max_packs` packs and about `max_bytes` bytes.
-  // Returns an empty batch while one is in flight.
+  // Returns an empty batch while another batch is in flight.
   WriteBatch TakeBatch(size_t max_packs, size_t max_bytes, cluster::ClusterState& cluster);
-  // Ends the batch in flight, which was written at this store revision. Returns the ids of the
-  // machines whose records have become durable with it.
+  // Ends the batch in flight, which was written at the store revision `revision`. Returns the ids
+  // of the machines whose records the write has made durable.
   std::vector<std::string> OnBatchWritten(uint64_t revision, cluster::ClusterState& cluster);
   // Ends the batch in flight, which was not written. Its packs go into a later batch.
   void OnBatchFailed();
@@ -108,7 +109,7 @@
   };
   struct InFlightMachine {
     std::string id;
-    uint64_t record_change_number = 0;  // see cluster::Machine
+    uint64_t record_change_number = 0;  // see cluster::Machine::record_change_number
   };
   using Packs = std::set<int>;  // pack numbers
 
@@ -127,8 +128,9 @@
   void MarkTasksInFlight(const cluster::ClusterState& cluster);
   void ClearInFlight();
 
-  // Start markers are stored with the progress, but in small packs of their own, numbered from here
-  // on: a marker is written once, and that write must not include a full pack of progress.
+  // Start markers are stored with the progress, but in small packs of their own, which are numbered
+  // from kFirstMarkerPack: a marker is written once, and its write must not include a full pack of
+  // progress.
   static constexpr int kFirstMarkerPack = 1'000'000;
   kvstore::PackedMap& PackedMapOf(int pack) {
     return pack < kFirstMarkerPack ? progress_ : start_markers_;
@@ -141,8 +143,8 @@
   kvstore::PackedMap progress_;
   kvstore::PackedMap start_markers_;
   kvstore::PackedMap machines_;
-  // Loaded records by name, until RestoreJob is called for their job. A name has several records if
-  // several packs contain it.
+  // Loaded records by name, until RestoreJob is called for the job that they belong to. A name has
+  // several records if several packs contain a record of that name.
   std::map<std::string, std::vector<wire::Json>> unrestored_records_;
   std::set<Segment> dirty_segments_;  // changed, but not encoded into progress_ yet
   WriteBatch in_flight_;
--- a/include/mosspath/scheduler/failover.h
+++ b/include/mosspath/scheduler/failover.h
@@ -1,11 +1,12 @@
-// Recovery after a leader change: determines what the machines of earlier leaders run, before tasks
-// of earlier jobs may be started, and detects a partition between this controller and the agents.
-// Pure.
+// Recovery after a leader change: determines which tasks run on the machines of earlier leaders,
+// before tasks of earlier jobs may be started, and detects a partition between this controller and
+// the agents. Pure.
 //
 // Agents find a new leader only after their heartbeats to the old leader have timed out, so the new
-// leader probes them. A probe is a command batch without commands. The agent adopts the leader's
-// fencing token with it, and lists its tasks in the answer. From then on the agent rejects commands
-// of earlier leaders, so the answer is as conclusive as a heartbeat (rule 5 of docs/design.md).
+// leader probes them. A probe is a command batch without commands. An agent that executes a probe
+// adopts the new leader's fencing token and lists its tasks in the answer. From then on the agent
+// rejects commands of earlier leaders, so the list in the answer is as conclusive as the list in a
+// periodic heartbeat (rule 5 of docs/design.md).
 #pragma once
 
 #include <cstddef>
@@ -22,7 +23,7 @@
 
 namespace mosspath::scheduler {
 
-// Unanswered probes after which a machine counts as unresponsive.
+// A machine is treated as unresponsive after this many unanswered probes.
 inline constexpr int kMaxFailedProbes = 2;
 
 // Tracks the recovery of one term of leadership. The machines themselves belong to the cluster
@@ -35,24 +36,25 @@
   double began_at() const { return began_at_; }
   // Returns the end of this process's last stall, or the beginning of the term if there was none.
   double unstalled_since() const { return unstalled_since_; }
-  // Whether all machines that may run tasks of earlier leaders are reconciled, and all holders have
-  // claimed theirs.
+  // Whether all machines that may run tasks of earlier leaders are reconciled, and all awaited
+  // holders have claimed their machines and tasks.
   bool recovery_complete() const { return blocking_machines_ == 0 && awaited_leases_.empty(); }
 
   // Adds a machine whose tasks must be determined. `recovery_waits` is true if the machine stems
-  // from the predecessor's record, so that the recovery waits for it. If false, another controller
-  // commanded the machine until now, and only the tasks of that controller wait for it.
+  // from the predecessor's record; the recovery then waits for the machine. If false, another
+  // controller commanded the machine until now, and only the tasks of that controller wait for the
+  // machine.
   void AddMachine(cluster::Machine& machine, bool recovery_waits = true);
   // Makes the recovery wait until the holder of this lease has claimed its machines and tasks.
   void AwaitHolder(uint64_t lease) { awaited_leases_.insert(lease); }
   bool IsAwaiting(uint64_t lease) const { return awaited_leases_.contains(lease); }
-  // Called when the holder has claimed everything, or when its machines are probed instead. Returns
-  // whether this completes the recovery.
+  // Called when the holder has claimed all its machines and tasks, or when the leader probes the
+  // holder's machines instead. Returns whether this completes the recovery.
   bool OnHolderSynced(uint64_t lease) {
     return awaited_leases_.erase(lease) > 0 && recovery_complete();
   }
-  // Called when the tasks on the machine are determined, or when none of earlier leaders can be
-  // there. Returns whether this completes the recovery.
+  // Called when the tasks on the machine are determined, or when no task of an earlier leader can
+  // be on the machine any more. Returns whether this completes the recovery.
   bool OnMachineReconciled(cluster::Machine& machine);
 
   // Appends the probes that are due, until `batches` has `max_batches` elements.
@@ -66,13 +68,14 @@
                      const wire::Heartbeat* heartbeat, double now) const;
   // Whether agents may still be trying other controllers, so that the leader must probe them.
   bool agents_may_be_searching(double now) const { return now - began_at_ < agents_try_all_s_; }
-  // Returns the machines to delete because they delay the recovery, or a reconciliation, that is
-  // otherwise nearly complete.
+  // Returns the machines to delete: those that delay a recovery or a reconciliation which is
+  // otherwise nearly complete, and those that have not confirmed their token for a whole agent
+  // lease.
   std::vector<std::string> Stragglers(const cluster::Machines& machines,
                                       const TaskReconciliation& reconciliation, double now) const;
 
-  // Whether most agents have been silent at the same time for long enough that this controller must
-  // be partitioned from them.
+  // Whether so many agents have been silent at the same time, and for so long, that a partition
+  // between this controller and the agents is assumed.
   bool IsPartitionedFromAgents(const cluster::Machines& machines, double now);
   // Called after the process was stalled until `now`.
   void OnProcessStall(double now);
@@ -87,7 +90,7 @@
 
   const double began_at_;
   const double heartbeat_s_;
-  const double agents_try_all_s_;  // within which an agent has tried all controllers
+  const double agents_try_all_s_;  // time in which an agent tries all controllers
   const double probe_interval_s_;
   const double agents_find_leader_s_;
   const double agent_suspect_s_;
@@ -95,7 +98,7 @@
   double unstalled_since_;
   std::optional<double> partitioned_since_;
   size_t blocking_machines_ = 0;        // machines that the recovery still waits for
-  size_t total_blocking_machines_ = 0;  // machines that it has waited for since it began
+  size_t total_blocking_machines_ = 0;  // machines that it has waited for in this term
   std::set<uint64_t> awaited_leases_;
   size_t probes_in_flight_ = 0;
 };
--- a/include/mosspath/scheduler/fair_share.h
+++ b/include/mosspath/scheduler/fair_share.h
@@ -3,9 +3,10 @@
 //
 // A floor applies to the CPUs in use now; a group accrues no credit over time. The deficit of a
 // group (a team or a class) with waiting work is its floor less its current use, and tasks up to
-// the deficit are placed first. A group's share of service is use times time, so holding the floor
-// at every moment gives the same shares as start-time fair queueing gives over time. There is no
-// history to store: a new leader computes the floors from the cluster state (docs/admission.md).
+// the deficit are placed first. The service that a group receives is its CPU use added up over
+// time. A group that always uses its floor thus receives the same share as start-time fair queueing
+// would give it over time. There is no history to store: a new leader computes the floors from the
+// cluster state (docs/admission.md).
 //
 // Invariants:
 //   - the floors of all teams together are at most their guarantees plus the configured share of
@@ -26,22 +27,22 @@
 
 namespace mosspath::scheduler {
 
-// Computes the floors and deficits of all groups anew in each pass. CPUs are the only resource that
-// counts. Not thread-safe.
+// Computes the floors and deficits of all groups anew in each placement pass. Considers no resource
+// but CPUs. Not thread-safe.
 class FairShare {
  public:
   explicit FairShare(const std::vector<config::Team>& teams) : teams_(teams) {}
 
-  // `share`: share of the pool for the floors of all teams, and share of a team's CPUs for the
-  // floors of its classes; 0: no floors. `weights`: by team ("name") or class ("name/class"), 1 if
-  // absent; 0: no floor.
+  // `share` is the share of the pool's CPUs that the floors of all teams divide, and also the share
+  // of a team's CPUs that the floors of its classes divide; 0: no floors. `weights`: by team
+  // ("name") or class ("name/class"), 1 if absent; 0: no floor.
   void Configure(double share, std::map<std::string, double> weights) {
     share_ = share;
     weights_ = std::move(weights);
   }
 
-  // A pass begins with BeginPass, AddJob for each live job, then ComputeFloors. `startable`: the
-  // job has tasks that may start now.
+  // A pass begins with BeginPass, AddJob for each live job, then ComputeFloors. `startable` is true
+  // if the job has tasks that may start now.
   void BeginPass(double pool_cpus);
   void AddJob(const jobs::Job& job, bool startable);
   void ComputeFloors();
@@ -49,7 +50,7 @@
   // Returns the CPUs that the job's team or class may use ahead of others: the larger deficit.
   double DeficitCpus(const jobs::Job& job) const;
   bool has_deficit() const { return has_deficit_; }
-  // Counts a placed task of the job.
+  // Adds the CPUs of a newly placed task to the use of the job's team and class.
   void OnAllocated(const jobs::Job& job, double cpus);
   // Returns whether a task of the job may be preempted: its team and class stay at or above their
   // floors without it.
--- a/include/mosspath/scheduler/heartbeat_handler.h
+++ b/include/mosspath/scheduler/heartbeat_handler.h
@@ -38,10 +38,10 @@
   // Handles the end of a probe. `heartbeat` is null if no answer came.
   void OnProbeAnswer(cluster::Machine& machine, const CommandBatch& probe, CommandOutcome outcome,
                      const wire::Heartbeat* heartbeat, double now);
-  // Handles the answer to a batch that another machine executed, because that machine has reused
-  // the address of the intended one. A heartbeat under this leader's token counts like an answer to
-  // a batch of that machine's own. The machine may have no record, and may run the tasks that were
-  // meant for the intended one, so it must be added.
+  // Handles the answer to a batch that was executed by another machine than the intended one,
+  // because the other machine has reused the address. If the heartbeat carries this leader's token,
+  // it is handled like the answer to a batch for the machine that sent it. That machine may have no
+  // record, and may run the tasks that were meant for the intended machine, so it must be added.
   void OnUnexpectedMachine(const wire::Heartbeat& heartbeat, double now);
 
  private:
--- a/include/mosspath/scheduler/holder_sharding.h
+++ b/include/mosspath/scheduler/holder_sharding.h
@@ -17,31 +17,34 @@
 
 class HolderSharding {
  public:
-  // All outlive this object.
+  // The arguments must outlive this object.
   HolderSharding(SchedulerState& state, JobLifecycle& jobs, MachineLifecycle& lifecycle,
                  TaskMigration& migration)
       : state_(state), jobs_(jobs), lifecycle_(lifecycle), migration_(migration) {}
 
-  // Adds a job from the watch cache. This holder may place none of its tasks until the leader
-  // delegates them.
+  // Adds a job from the watch cache. This holder may place no task of the job until the leader
+  // delegates the task.
   void LoadJob(wire::JobSpec spec, uint64_t version, double submitted);
   // Adds a machine whose record assigns it to this holder. `token` is the record's revision, and
   // serves as the fencing token.
   void AcceptMachine(const std::string& id, const std::string& address, uint64_t token, double now);
-  // Returns whether the tasks of all assigned machines are known.
+  // Returns whether this holder has determined the tasks on all its machines.
   bool AllMachinesKnown() const;
   void OnLeaderMessage(const wire::ShardMessage& message, double now);
-  // Called before the job is removed. Its tasks are returned to the leader once they have ended.
+  // Called before the job is removed. The tasks of the job that this holder has or may have are
+  // returned to the leader once they have ended.
   void OnJobRemoved(const jobs::Job& job);
 
   // Returns the messages for a new leader: claims of all tasks that the holder has or may have, and
-  // the completions that are not known to be durable.
+  // the completions that the leader has not yet reported as durable.
   std::vector<wire::ShardMessage> AllClaims() const;
-  // Returns to the leader the tasks that have waited for capacity longer than `patience_s` seconds,
-  // and the machines that are lost or recalled. Waiting tasks stay while the leader is unreachable.
+  // Returns to the leader the waiting tasks of each job that is in a crash loop or was delegated no
+  // task for more than `patience_s` seconds, and the machines that are lost, or recalled and empty.
+  // Waiting tasks stay with this holder if `leader_hears` is false, that is, while the leader is
+  // unreachable.
   void ReturnExcess(double patience_s, bool leader_hears, double now);
-  // Returns a message with the CPUs of the waiting tasks, which include the leader's batches up to
-  // `applied_batch`.
+  // Returns a message with the CPUs of the tasks that wait with this holder. These include the
+  // tasks in the leader's batches up to number `applied_batch`.
   wire::ShardMessage MakeLoadMessage(uint64_t applied_batch) const;
   wire::ShardMessage MakeMachineStatus(const cluster::Machine& machine, double now) const;
 
@@ -53,10 +56,11 @@
   void OnRecallMachine(const std::string& machine);
   void OnSetDraining(const std::string& machine, uint64_t drain_level);
   bool IsMachineKnown(const std::string& machine) const;
-  // Whether the leader may delegate the task to this holder: the holder does not have it already.
+  // Whether the leader may delegate the task to this holder, because the holder does not have the
+  // task already.
   bool CanAccept(const jobs::Job& job, uint32_t index) const;
-  // If a copy of the task that is being stopped may still run here, makes that copy the task's
-  // allocation again. Returns whether there is one.
+  // If a copy of the task is being stopped but may still run on a machine of this holder, makes
+  // this copy the task's allocation again. Returns whether there is such a copy.
   bool ReclaimAllocation(jobs::Job& job, uint32_t index);
   void StopTask(const std::string& job, uint32_t index);
 
--- a/include/mosspath/scheduler/job_lifecycle.h
+++ b/include/mosspath/scheduler/job_lifecycle.h
@@ -22,7 +22,8 @@
   explicit JobLifecycle(SchedulerState& state) : state_(state) {}
 
   // Adds a job and restores its recorded progress, unless the job exists already. `version` is the
-  // version of its record, `submitted` a time of this controller's steady clock in seconds.
+  // version of the job's record. `submitted` is the time of submission in seconds on this
+  // controller's steady clock.
   void Add(wire::JobSpec spec, uint64_t version, double submitted);
   // Removes a job that is complete or cancelled, and stops its tasks that still run.
   void Remove(const std::string& id, double now);
@@ -31,7 +32,8 @@
   // Returns the ids of the jobs whose tasks are all done. Each job is returned once, and once more
   // after each `OnCompletionFailed`.
   std::vector<std::string> TakeCompleted();
-  // The write of the job's completion has failed: TakeCompleted returns the job again.
+  // Called when the write of the job's completion has failed. TakeCompleted then returns the job
+  // again.
   void OnCompletionFailed(const std::string& id);
 
  private:
--- a/include/mosspath/scheduler/job_ranking.h
+++ b/include/mosspath/scheduler/job_ranking.h
@@ -17,7 +17,7 @@
 
 namespace mosspath::scheduler {
 
-// Sorts the waiting jobs into the queue order, and starts each pass of the fair share with them.
+// Sorts the waiting jobs into the queue order, and computes the fair-share floors for each pass.
 class JobRanking {
  public:
   // The arguments outlive the ranking.
@@ -26,7 +26,7 @@
              FairShare& fair_share);
 
   // Returns all jobs with tasks that may start now, in queue order. Begins a new pass of the fair
-  // share, and sets the sort keys in each job.
+  // share, and sets the fields of each job that depend on its rank.
   std::vector<jobs::Job*> Rank(double now);
 
  private:
--- a/src/scheduler/durable_state.cc
+++ b/src/scheduler/durable_state.cc
@@ -65,7 +65,8 @@
 
 void DurableState::LoadProgressPack(int pack, const wire::Json& value, uint64_t version) {
   PackedMapOf(pack).Load(LocalPack(pack), value, version);
-  // The old pack of a segment that has moved to another pack may still contain its earlier state.
+  // Keeps all records of the same name: if the record of a segment has moved to another pack, the
+  // old pack may still contain an earlier state of the segment.
   for (const auto& [name, record] : value.items()) unrestored_records_[name].push_back(record);
 }
 
@@ -98,7 +99,7 @@
   dirty_segments_.insert({job.spec.id, index / jobs::kTasksPerSegment});
 }
 
-// The record is written together with other progress, so it costs no write of its own.
+// The record shares packs with other progress records, so it is written together with them.
 void DurableState::RecordCrashLoop(const std::string& job, uint32_t retries) {
   progress_.Set(jobs::CrashLoopRecordName(job), retries);
 }
@@ -130,8 +131,8 @@
 
 void DurableState::AssignMachine(cluster::Machine& machine, const std::string& address,
                                  uint64_t lease) {
-  // Between any two handovers of a machine there is a write, at least that of the machine's return,
-  // so the revision differs each time.
+  // Between two handovers of a machine, at least the record of the machine's return is written, so
+  // each handover has another revision.
   machine.handover_revision = newest_revision_;
   machines_.Replace(machine.id, EncodeMachineRecord({address, lease, machine.handover_revision}));
   machine.in_record = true;
@@ -153,7 +154,8 @@
   if (!in_flight_.empty()) return {};
   EncodeDirtySegments(cluster);
   BatchBudget budget{max_packs, max_bytes};
-  // Task starts wait for machine records, and then for start markers, so these are taken first.
+  // A task start waits for the record of the machine and then for the start marker of the job, so
+  // machine records are taken first, then start markers.
   TakeMachinePacks(budget, cluster);
   const Packs start_marker_packs = TakeStartMarkerPacks(budget);
   TakeProgressPacks(budget);
@@ -183,8 +185,8 @@
     if (!machine.in_record || machine.record_durable) continue;
     if (!packs.contains(machines_.PackOf(id))) continue;
     in_flight_machines_.push_back({id, machine.record_change_number});
-    // Once the record may be durable, the holder that it names may rely on being the only
-    // controller that answers the machine.
+    // Once the record may be durable, the holder named in the record may rely on being the only
+    // controller that answers the machine, so this controller stops answering the machine.
     machine.answers_suspended = machine.answers_suspended || machine.handover_lease != kNoLease;
   }
 }
@@ -252,9 +254,9 @@
   }
   std::vector<std::string> recorded;
   for (const InFlightMachine& written : in_flight_machines_) {
-    // A machine that was removed and added again while the batch was in flight counts as recorded,
-    // as the written pack contains it. A machine whose record was changed in that time does not:
-    // the written pack contains the old record.
+    // A machine that was removed and added again while the batch was in flight is durably recorded,
+    // as the written pack contains its record. A machine whose record was changed in that time is
+    // not: the written pack contains the old record.
     const auto it = cluster.machines.find(written.id);
     if (it == cluster.machines.end() || !it->second.in_record ||
         it->second.record_change_number != written.record_change_number) {
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -11,17 +11,18 @@
 
 namespace {
 
-// Heartbeat intervals without contact, after which a machine counts as silent.
+// A machine is silent after this many heartbeat intervals without contact.
 constexpr double kSilentHeartbeats = 2;
 // A partition is assumed if no more than one in this many counted machines is reachable.
 constexpr size_t kMachinesPerReachable = 4;
 // With fewer counted machines, no partition is assumed.
 constexpr size_t kMinMachinesForPartition = 2;
-// Heartbeat intervals for which the machines must stay unreachable before a partition is reported.
+// A partition is reported once the machines have stayed unreachable for this many heartbeat
+// intervals.
 constexpr double kMinPartitionHeartbeats = 0.5;
 constexpr size_t kMaxProbesInFlight = 128;
-// The largest share of the machines of a recovery, or of a reconciliation, that is deleted so that
-// it completes.
+// At most this share of the machines of a recovery, or of a reconciliation, is deleted so that the
+// recovery or the reconciliation completes.
 constexpr double kMaxStragglerShare = 0.03;
 
 }  // namespace
@@ -66,7 +67,7 @@
       continue;
     }
     // A machine is probed until its agent has found this leader. Without probes, the leader would
-    // neither see that tasks have ended there nor fill their place.
+    // not detect that tasks on the machine have ended, and would leave the freed capacity unused.
     const bool due = machine.token_confirmed
                          ? !HasReported(machine) && now - machine.last_contact_at > heartbeat_s_
                          : machine.awaits_recovery && now >= machine.next_probe_at;
@@ -102,9 +103,9 @@
 // ---------------------------------------------------------------------------- silent machines
 
 // A new leader starts no task of an earlier job before every machine that it took over is
-// reconciled. In a large cluster, the cloud has always just reclaimed a few machines. Once nearly
-// all machines are reconciled, the leader deletes the rest: the cloud answers at once, and a
-// deleted machine runs nothing.
+// reconciled. In a large cluster, a few of these machines never answer, because the cloud has just
+// reclaimed them. Once nearly all machines are reconciled, the leader deletes the rest: the cloud
+// answers a deletion at once, and a deleted machine runs no task.
 std::vector<std::string> Failover::Stragglers(const cluster::Machines& machines,
                                               const TaskReconciliation& reconciliation,
                                               double now) const {
@@ -119,9 +120,9 @@
     const bool nearly_complete = machine.blocks_recovery
                                      ? few_remaining
                                      : reconciliation.IsNearlyComplete(id, kMaxStragglerShare);
-    // The machine's heartbeats arrive, but the leader's answers seem not to reach it. A later
-    // answer may still do so. After a whole lease without an answer, the machine's tasks have
-    // ended.
+    // The machine's heartbeats arrive, but do not confirm the current token, so the leader's
+    // answers seem not to reach the agent. A later answer may still reach the agent. Once the agent
+    // has received no answer for a whole lease, its tasks have ended.
     if (machine.token_unconfirmed_since > 0) {
       const double unconfirmed_s = machine.TokenUnconfirmedFor(now);
       if (unconfirmed_s > agent_lease_over_s_ ||
@@ -156,11 +157,12 @@
 
 bool Failover::CountsForPartition(const Machine& machine, double now) const {
   if (machine.lost || machine.deleting || machine.missing_from_list || machine.failed) return false;
-  // The machine belonged to a holder that is gone, which may have been unable to reach it as well.
+  // The machine belonged to a holder that is gone, and that holder may have been unable to reach
+  // the machine as well.
   if (machine.awaits_recovery && !machine.blocks_recovery) return false;
   const bool reported = HasReported(machine);
   if (!reported && (machine.token_confirmed || !machine.awaits_recovery)) return false;
-  // The agent has just found this leader, and may not have had time to confirm its token.
+  // The agent has just found this leader, and may not have had time to confirm the leader's token.
   if (!machine.token_confirmed && machine.token_unconfirmed_since > 0 &&
       machine.TokenUnconfirmedFor(now) <= agent_suspect_s_) {
     return false;
--- a/src/scheduler/fair_share.cc
+++ b/src/scheduler/fair_share.cc
@@ -30,7 +30,8 @@
 }
 
 void FairShare::ComputeFloors() {
-  // Only groups that have jobs divide the share, so the part of an absent group goes to the others.
+  // Only groups that have jobs divide the share, so the part of a group without jobs goes to the
+  // other groups.
   double team_weight_sum = 0;
   for (const auto& [name, group] : team_groups_) team_weight_sum += Weight(name);
   std::map<std::string, double> class_weight_sums;
--- a/src/scheduler/gang_placement.cc
+++ b/src/scheduler/gang_placement.cc
@@ -5,7 +5,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Stands for an unlimited number of tasks, for a resource that the tasks do not use.
+// The number of tasks that fit by a resource which the tasks do not use: in effect unlimited.
 constexpr double kUnboundedTasks = 1e6;
 // Tolerance in tasks, for rounding errors in sums of fractional resources.
 constexpr double kRoundingTolerance = 1e-6;
@@ -22,7 +22,8 @@
   return static_cast<size_t>(tasks + kRoundingTolerance);
 }
 
-// Whether the candidates have free capacity for all pending tasks, and all of them may start.
+// Whether the candidates have free capacity for all pending tasks of the gang, and all these tasks
+// may be placed now.
 bool FitsWhole(const PlacementAttempt& attempt, const CandidateSet& set) {
   const size_t pending_tasks = attempt.job().pending.size();
   size_t fitting = 0;
--- a/src/scheduler/holder_role.cc
+++ b/src/scheduler/holder_role.cc
@@ -16,9 +16,10 @@
   machine.cordoned = false;
 }
 
-// Tasks that may be on machines which were handed over stay in reconciliation until those machines
-// are checked. A holder that returned such a task at once caused a second run: a leader that had
-// not yet received the cancellation started the task elsewhere.
+// A task of the job that may run on a machine handed over to this holder stays in reconciliation
+// until the machine's tasks are determined. When a holder returned such a task at once, the task
+// ran twice: the leader had not yet received the cancellation of the job and started the task on
+// another machine.
 void HolderRole::OnJobRemoved(const Job& job) { sharding_.OnJobRemoved(job); }
 
 // Only the leader records completed tasks in the store.
@@ -27,8 +28,8 @@
       {.kind = Kind::kTasksDone, .name = job.spec.id, .tasks = {index}});
 }
 
-// Claims a delegated task. It runs on a machine of this holder's shard, so no other controller can
-// have the task.
+// Claims a delegated task, an attempt of which was found on a machine of this holder's shard. No
+// other controller can have this task.
 void HolderRole::OnAttemptRecovered(Job& job, uint32_t index) {
   if (job.tasks[index].phase != TaskPhase::kDelegated) return;
   job.tasks[index].phase = TaskPhase::kPending;
--- a/src/scheduler/holder_sharding.cc
+++ b/src/scheduler/holder_sharding.cc
@@ -17,11 +17,13 @@
 
 namespace {
 
-// A machine drains if the `count` of kSetDraining is above the first value, and is also cordoned if
-// it is above the second.
+// The `count` of a kSetDraining message is a drain level. The machine drains if the level is above
+// kNotDraining, and is also cordoned if the level is above kDrainingOnly.
 constexpr uint64_t kNotDraining = 0;
 constexpr uint64_t kDrainingOnly = 1;
-// The `count` of kHandOverTasks from a leader of an earlier version, which sends no revision.
+// The `count` of a kHandOverTasks message for a machine that this holder has not returned since the
+// handover. ShardHolder replaces the handover revision in the message by this value, or by 1 if
+// this holder has returned the machine.
 constexpr uint64_t kNoHandoverRevision = 0;
 
 }  // namespace
@@ -97,8 +99,8 @@
 void HolderSharding::OnDelegateTasks(const ShardMessage& message, double now) {
   Job* job = state_.cluster.FindJob(message.name);
   if (job == nullptr) {
-    // The job has ended, or this holder's view does not show it yet. In the latter case the leader
-    // may delegate the tasks again.
+    // The job has ended, or this holder has not read the job's record yet. In the latter case the
+    // leader may delegate the returned tasks again.
     return SendToLeader(Kind::kReturnTasks, message.name, message.tasks);
   }
   for (const uint32_t index : message.tasks) {
@@ -114,8 +116,9 @@
   Job* job = state_.cluster.FindJob(message.job);
   if (job == nullptr) return;
   const std::string& machine = message.name;
-  // A leader that sends the handover revision does so after writing the machine's record. The tasks
-  // of the machine are then known here already, or the machine is gone.
+  // If this holder has already returned the machine, none of the tasks can be found on it here, and
+  // their reconciliation would never end. It is therefore ended at once, as for a machine whose
+  // tasks are already determined.
   const bool known = message.count != kNoHandoverRevision || IsMachineKnown(machine);
   const uint64_t reconciliation = state_.shard_leases.NextReconciliationId();
   for (const uint32_t index : message.tasks) {
@@ -163,8 +166,8 @@
   it->second.cordoned = drain_level > kDrainingOnly;
 }
 
-// A copy that is being stopped may still run. Until it has ended, no other copy may start, so the
-// task counts as placed on the copy's machine.
+// A copy of the task that is being stopped may still run. No other copy may start before this copy
+// has ended, so the task is treated as placed on this copy's machine.
 bool HolderSharding::ReclaimAllocation(Job& job, uint32_t index) {
   const wire::TaskId task{job.spec.id, index};
   for (auto& [id, machine] : state_.cluster.machines) {
@@ -181,7 +184,8 @@
   return false;
 }
 
-// The leader has the task on another controller's machines, or has recorded it as done.
+// The leader stops a task that is on another controller's machines or that the leader has recorded
+// as done.
 void HolderSharding::StopTask(const std::string& id, uint32_t index) {
   Job* job = state_.cluster.FindJob(id);
   if (job == nullptr || index >= job->spec.tasks) return;
@@ -292,7 +296,8 @@
     const bool recalled_and_empty = machine.recall_requested && machine.allocations.empty() &&
                                     !machine.command_in_flight && !machine.awaits_recovery;
     if (machine.lost || recalled_and_empty) {
-      // ShardHolder adds the handover revision to the count before it sends the message.
+      // The count is 1 if the machine is lost. ShardHolder adds the handover revision to the count
+      // before it sends the message.
       state_.shard_leases.SendToLeader({.kind = Kind::kMachineReturned,
                                         .name = it->first,
                                         .count = machine.lost ? uint64_t{1} : 0});
--- a/src/scheduler/job_lifecycle.cc
+++ b/src/scheduler/job_lifecycle.cc
@@ -24,8 +24,8 @@
   state_.cluster.changed_since_pass = state_.wants_scaling_plan = true;
 }
 
-// A job that was crash looping under an earlier leader still counts as crash looping, unless one of
-// its tasks is done.
+// A job that an earlier leader recorded as crash looping stays in the crash loop, unless one of its
+// tasks is done.
 void JobLifecycle::RestoreProgress(Job& job) {
   const auto retries = state_.durable_state.RestoreJob(job);
   if (!retries || job.done > 0) return;
--- a/src/scheduler/job_ranking.cc
+++ b/src/scheduler/job_ranking.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Share of its objective's time after which a low-priority job is ranked as normal priority.
+// A low-priority job is ranked as normal priority once it has waited for this share of the time
+// that its objective allows.
 constexpr double kLowPriorityAgingShare = 0.4;
 // Delay of a job's virtual deadline, in multiples of the time that the whole pool needs for the
 // job's remaining work.
@@ -20,7 +21,8 @@
 // Levels below all priorities.
 constexpr int kUnattainableLevel = -1;
 constexpr int kBestEffortLevel = -2;
-// Added to the priority band of jobs of teams within their guarantee; exceeds all other bands.
+// Added to the priority band of a job whose team is within its guarantee. Exceeds the bands of all
+// other jobs.
 constexpr int kGuaranteedBand = 16;
 
 struct UnfinishedResources {
@@ -29,8 +31,8 @@
 };
 
 // A low-priority job that has waited for kLowPriorityAgingShare of its objective's time is ranked
-// among jobs of normal priority; otherwise a steady load of these would starve it. It still
-// preempts nothing.
+// among jobs of normal priority; otherwise a steady load of normal-priority jobs would starve the
+// low-priority job. The job still preempts no other job.
 wire::Priority AgedPriority(const Job& job, const NextObjective& objective, double now) {
   const wire::Priority priority = job.spec.priority;
   const bool has_attainable_objective = !objective.unattainable && !objective.best_effort;
@@ -104,9 +106,10 @@
   if (job.best_effort) entry.level = kBestEffortLevel;
   if (objective.unattainable) {
     if (priority < wire::Priority::kHigh) entry.level = kUnattainableLevel;
-    // The job's completion time no longer matters, so it goes after all jobs that can meet an
-    // objective. Among such jobs the longest tasks go first: started last, they would keep machines
-    // in use, and delay the end of the whole workload.
+    // The job's completion time no longer matters, so the job follows the jobs that can meet an
+    // objective: all of them, or those of its own level if its priority is high. Among the jobs
+    // that can meet no objective, the jobs with the longest tasks go first: started last, long
+    // tasks would keep machines in use, and delay the end of the whole workload.
     entry.virtual_deadline = -ExpectedRunS(job);
   } else {
     entry.virtual_deadline = VirtualDeadline(job, objective, pool_cpus);
