--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -1,15 +1,19 @@
-// The cluster as this controller sees it: live jobs, machines, and the attempts that are or may be
-// on the machines. This class is the only owner of the counts derived from them, so that the counts
-// stay consistent. Does no I/O.
+// The state that this controller keeps of the cluster: the live jobs, the machines, and the
+// attempts that are or may be on the machines. For the machines that this controller commands, this
+// class keeps the counts derived from the jobs, machines and attempts consistent. (HolderSharding
+// also updates the counts by zone, when it stops an attempt or reclaims an attempt that is being
+// stopped.) Does no I/O.
 //
-// Invariants (docs/design.md, rule 3). An allocation counts from the moment its start may be sent
-// until its attempt is certainly no longer on the machine:
+// Invariants (docs/design.md, rule 3). An allocation uses resources from the moment when its start
+// may be sent until its attempt is certainly no longer on the machine:
 //   - the usage of a machine is the sum of its allocations, and so is the usage of a team;
 //   - a task is pending, placed, delegated or done; it is placed if a non-orphaned allocation holds
 //     it, or if it is withheld;
 //   - the counts of a job by zone are those of its placed tasks;
-//   - a task that another controller has is delegated and counts towards its team, until that
-//     controller returns it, or until all machines of that controller are known (docs/sharding.md).
+//   - a task that another controller has is delegated and charged to its team, until that
+//   controller
+//     returns the task, or until the tasks on all machines of that controller are determined
+//     (docs/sharding.md).
 #pragma once
 
 #include <map>
@@ -59,26 +63,27 @@
   }
   bool HasDuplicate(const wire::TaskId& task) const { return duplicates_.contains(task); }
   void ForgetDuplicates(const std::string& job);
-  // Withholds a placed task that may also run on an unknown machine. Without an allocation the task
-  // stays placed and charged to its team, and is not started again, until ReleaseWithheld.
+  // Withholds a placed task that may also run on an unknown machine. Until ReleaseWithheld, the
+  // task stays placed and charged to its team even without an allocation, and is not started again.
   void Withhold(const wire::TaskId& task);
-  // Ends the withholding, once it is known whether and where the task still runs.
+  // Ends the withholding. Called once this controller has determined whether and where the task
+  // still runs.
   void ReleaseWithheld(const wire::TaskId& task);
   // Whether new tasks may be placed on the machine.
   bool IsSchedulable(const Machine& machine, double now) const;
 
   Jobs jobs;
   Machines machines;            // commanded by this controller
-  Machines delegated_machines;  // commanded by holders, as they report them; without allocations
+  Machines delegated_machines;  // commanded by holders, which report them; have no allocations
   double began_at = -1e18;      // no earlier controller answered a machine after this time
   DelegatedTasks delegated_tasks;
   MachineTypeCatalog machine_types;
   QuotaUsage quota;
-  bool changed_since_pass = true;  // since the last pass over the waiting jobs
+  bool changed_since_pass = true;  // changed since the last pass over the waiting jobs
 
  private:
-  // Updates a task whose allocation was removed. A second copy that may still run becomes its
-  // allocation; otherwise the task becomes pending, unless it is withheld.
+  // Updates a task whose allocation was removed. A second copy that may still run becomes the
+  // task's allocation. Without such a copy, the task becomes pending, unless it is withheld.
   void OnAllocationRemoved(jobs::Job& job, uint32_t index);
 
   std::map<wire::TaskId, std::string> duplicates_;
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -1,6 +1,6 @@
-// A machine in the view of the controller that commands it: its agent's state, the attempts that
-// may be on it, and its resources. Times are seconds on this controller's steady clock. Does no
-// I/O.
+// The state that a controller keeps of a machine: the state of the machine's agent, the attempts
+// that may be on the machine, and the machine's resources. Times are seconds on this controller's
+// steady clock. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,14 @@
 struct Allocation {
   enum class State { kPlanned, kStartSent, kReported } state = State::kPlanned;
   // A heartbeat with a higher sequence shows whether the agent has executed the start. kNoHeartbeat
-  // while a start that was sent directly to the agent is unanswered: no heartbeat shows it then.
+  // while a start that was sent directly to the agent is unanswered, as no heartbeat then shows
+  // whether the agent has executed the start.
   uint64_t start_sent_sequence = 0;
   uint64_t start_sent_token = 0;
   bool start_sent_directly = false;  // the start was sent to the agent, not in a heartbeat's answer
-  double start_sent_at = 0;          // only of a start sent directly
-  // A start sent directly got no answer. The agent may still execute it until it has seen a higher
-  // token.
+  double start_sent_at = 0;          // set only for a start sent directly
+  // A start sent directly got no answer. The agent may still execute the start until it has
+  // received a higher token.
   bool start_unconfirmed = false;
   wire::TaskState reported = wire::TaskState::kFetching;
   wire::ExitReason exit_reason = wire::ExitReason::kNone;
@@ -33,12 +34,14 @@
   double grace_s = 0;
   uint64_t last_listed_in = 0;  // number of the last reconciled heartbeat that listed the attempt
   double stop_sent_at = -1e18;
-  // Sequence of the heartbeat whose answer had the command to forget the attempt; 0: none.
+  // Sequence of the heartbeat whose answer contained the command to forget the attempt; 0: none.
   uint64_t forget_sent_sequence = 0;
   double placed_at = 0;
   double running_since = 0;
-  bool recovered = false;     // started before this controller knew the attempt; run time unknown
-  bool orphaned = false;      // no live job, or a second copy: only to be stopped and forgotten
+  // The run time is unknown: the agent listed the attempt before this controller had an allocation
+  // for it, or this process was stalled during the attempt.
+  bool recovered = false;
+  bool orphaned = false;      // the job has ended, or this is a second copy; stopped and forgotten
   double expected_run_s = 0;  // expected run time
   // Resources charged to the machine and to the team's quota.
   double cpus = 0;
@@ -55,7 +58,7 @@
 
 using AllocationKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
 
-// The images on a machine in LRU order. The image of a task counts as present once the task is
+// The images on a machine in LRU order. The image of a task is treated as present once the task is
 // placed.
 class ImageCache {
  public:
@@ -85,7 +88,7 @@
   bool has_on_demand_work = false;  // runs work that requires an on-demand machine
   bool unresponsive = false;
   double idle_s = 0;
-  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to use still
+  double remaining_cpu_s = 0;  // CPU seconds that the machine's tasks are still expected to use
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
   friend bool operator==(const MachineStatusUpdate&, const MachineStatusUpdate&) = default;
 };
@@ -101,9 +104,9 @@
   uint64_t heartbeat_sequence = 0;
   uint64_t min_agent_epoch = 0;    // heartbeats of earlier agent epochs are ignored
   uint64_t fencing_token = 0;      // the token of the commands to this machine
-  bool token_confirmed = false;    // the agent has sent a heartbeat under that token
+  bool token_confirmed = false;    // the agent has sent a heartbeat under `fencing_token`
   bool command_in_flight = false;  // a direct command batch to the agent is unanswered
-  bool awaits_recovery = false;    // inherited from a leader or holder; its tasks are not known yet
+  bool awaits_recovery = false;    // taken over; the tasks on the machine are not determined yet
   // The agent's address according to the record, and the state of probes to that address.
   std::string recorded_address;
   double next_probe_at = -1e18;
@@ -116,20 +119,20 @@
   // The latest time at which any entitled controller may have answered a heartbeat with 200, which
   // renews the agent's lease.
   double lease_renewed_at = 0;
-  double epoch_seen_at = -1e18;  // when the agent epoch was first seen; it had begun by then
+  double epoch_seen_at = -1e18;  // first receipt of the agent epoch, which had begun by then
   // --- Whether answers reach the agent ---
-  // When a heartbeat was first answered with the current token, while the agent has not confirmed
-  // the token; 0 otherwise.
+  // When a heartbeat under another token was first answered with the current token; 0 once the
+  // agent has confirmed the current token.
   double token_unconfirmed_since = 0;
   int ignored_answers = 0;             // consecutive answers whose commands had no effect
   uint64_t ignored_answers_token = 0;  // the token under which answers had no effect; 0: none
   std::optional<double> reclaim_at;    // when the cloud reclaims the machine
   bool draining = false;               // takes no new tasks
-  bool cordoned = false;               // takes only urgent tasks that find no room elsewhere
+  bool cordoned = false;               // takes only urgent tasks that fit on no other machine
   bool quarantined = false;
-  bool lost = false;  // its agent's lease has expired, so no task runs on it
+  bool lost = false;  // the agent's lease has expired, so no task runs on the machine
   bool deleting = false;
-  bool failed = false;             // stopped, according to the cloud
+  bool failed = false;             // the cloud reports the machine as stopped
   bool missing_from_list = false;  // silent, and no longer in the cloud's list of machines
   double idle_since = 0;
   std::map<std::string, int> errors_by_job;  // failures since the last success, by job
@@ -139,24 +142,25 @@
   ImageCache image_cache;
 
   // --- Shards (docs/sharding.md) ---
-  uint64_t shard_lease = 0;     // the lease of the holder that commands it; 0: this controller does
-  uint64_t handover_lease = 0;  // being handed over under this lease, and takes no tasks; 0: none
-  bool blocks_recovery = false;  // inherited; recovery is not complete before its tasks are known
-  // The record of the handover may be durable. Its holder may then rely on being the only
-  // controller that answers the agent, so this controller does not answer.
+  uint64_t shard_lease = 0;     // lease of the holder that commands the machine; 0: this controller
+  uint64_t handover_lease = 0;  // handover under this lease in progress, no new tasks; 0: none
+  bool blocks_recovery = false;  // recovery waits until this machine's tasks are determined
+  // The record of the handover may be durable. The holder named in the record may then rely on
+  // being the only controller that answers the agent, so this controller does not answer.
   bool answers_suspended = false;
-  // An earlier holder may have used the current token, so no command is sent before it is raised.
+  // An earlier holder may have used the current token, so no command is sent before the token is
+  // raised.
   bool needs_new_token = false;
-  // An expired lease that the record still names, until the machine's tasks are known; 0: none.
+  // An expired lease that the record still names until the machine's tasks are determined; 0: none.
   uint64_t expired_lease = 0;
   uint64_t handover_revision = 0;     // identifies the handover; see scheduler/durable_state.h
   uint64_t record_change_number = 0;  // number of the last change of its record
-  bool recall_requested = false;      // its holder is to return it
+  bool recall_requested = false;      // the holder must return the machine to the leader
   double handover_not_before = -1e18;
   MachineStatusUpdate holder_status;  // the last status from its holder
   double holder_status_at = -1e18;    // when that status applied
 
-  bool in_record = false;               // its record is written, durable or not
+  bool in_record = false;               // the machine has a record, which may not be durable yet
   bool record_durable = false;          // its record is durable
   bool has_unconfirmed_starts = false;  // a direct start got no answer
   bool has_pending_commands = false;    // starts or stops may still have to be sent to the agent
@@ -164,8 +168,8 @@
   double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;  // of its type
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
 
-  // Seconds for which heartbeats have arrived without confirming the token that they were answered
-  // with.
+  // Returns for how many seconds the machine's heartbeats have not confirmed the token with which
+  // they were answered; 0 if the token is confirmed.
   double TokenUnconfirmedFor(double now) const {
     return token_unconfirmed_since > 0 ? now - token_unconfirmed_since : 0;
   }
--- a/include/mosspath/cluster/quota_usage.h
+++ b/include/mosspath/cluster/quota_usage.h
@@ -1,5 +1,5 @@
-// The usage of the teams against their quotas. A task counts from the moment its start may be sent
-// until it is certainly gone. Does no I/O.
+// The usage of the teams against their quotas. A task is charged from the moment when its start may
+// be sent until the task certainly no longer runs on any machine. Does no I/O.
 #pragma once
 
 #include <map>
@@ -22,8 +22,8 @@
   void Remove(const std::string& team, double cpus, double gpus);
   void AddUnknownTask() { ++unknown_tasks_; }
   bool IsUnlimited(const std::string& team) const;
-  // Returns how many more tasks of the job fit into its team's quota. `settled`: all tasks of
-  // earlier leaders that may still run are counted.
+  // Returns how many more tasks of the job fit into its team's quota. `settled` is true if all
+  // tasks of earlier leaders that may still run are charged.
   size_t Headroom(const jobs::Job& job, bool settled) const;
 
  private:
--- a/include/mosspath/jobs/job.h
+++ b/include/mosspath/jobs/job.h
@@ -1,4 +1,4 @@
-// A live job and the progress of its tasks, in the view of the leader or of a holder. Does no I/O.
+// A live job and the progress of its tasks, as the leader or a holder keeps them. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 namespace mosspath::jobs {
 
-// Delegated: the task is with another controller, or was never delegated to this one
-// (docs/sharding.md).
+// kDelegated: another controller has the task, or the leader has not delegated the task to this
+// holder (docs/sharding.md).
 enum class TaskPhase : uint8_t { kPending, kPlaced, kDone, kDelegated };
 
 struct Task {
   TaskPhase phase = TaskPhase::kPending;
   bool durable = false;        // its completion is in the state service
-  bool start_counted = false;  // its first start counts towards the objectives already
-  bool migrated = false;       // was stopped once to drain a machine
+  bool start_counted = false;  // its first start has been counted for the objectives
+  bool migrated = false;       // the task was stopped once to drain a machine
   uint16_t attempts = 0;       // number of attempts under the current token
 };
 
 struct Job {
   wire::JobSpec spec;
-  uint64_t version = 0;     // the revision of its acceptance
-  double submitted_at = 0;  // on this node's steady clock
+  uint64_t version = 0;     // the store revision of the job's acceptance
+  double submitted_at = 0;  // in seconds on this controller's steady clock
   std::vector<Task> tasks;
   TaskSet pending;
   std::set<uint32_t> done_not_durable;
@@ -44,7 +44,7 @@
   bool crash_looping = false;
   uint32_t retries = 0;
   double not_before = 0;              // no task is placed before this time
-  double last_delegated_at = -1e18;   // on a holder: when the leader last delegated tasks of it
+  double last_delegated_at = -1e18;   // on a holder: when the leader last delegated its tasks
   std::optional<size_t> home_shard;   // the shard whose machines its tasks prefer
   bool completion_in_flight = false;  // its completion is being written
   // The start marker is a record that tasks of the job may have been started, by this leader or an
@@ -56,8 +56,8 @@
   } start_marker = StartMarker::kNone;
   bool inherited_start_marker = false;  // an earlier leader wrote the start marker
   bool best_effort = false;             // low priority without an objective: uses idle capacity
-  bool can_meet_objective = false;      // it has an objective that can still be met
-  bool has_started = false;             // a task of it has run, under this leader or an earlier one
+  bool can_meet_objective = false;      // the job has an objective that can still be met
+  bool has_started = false;             // a task has run, under this leader or an earlier one
   // When its first tasks were placed ahead of other jobs because they were overdue.
   double first_placement_at = -1e18;
   // The scheduling order: higher bands first, then earlier virtual deadlines.
--- a/include/mosspath/jobs/job_index.h
+++ b/include/mosspath/jobs/job_index.h
@@ -4,11 +4,11 @@
 // simulation carry out the reads and changes.
 //
 // Invariants:
-//   - after a read that began with the query, the reported status is never older than any status
-//     that any controller has reported before;
+//   - after a read that began no earlier than the query, the reported status is never older than
+//     any status that any controller has reported before;
 //   - a job that has ended stays ended;
 //   - the change that cancels or completes a job is conditional on the job having no final record.
-//     So the first end wins, and there is only one.
+//     Each job thus has exactly one end, the first that is committed.
 #pragma once
 
 #include <cstdint>
@@ -51,19 +51,23 @@
   void OnLoaded(uint64_t read_revision) { ForgetReadCancellations(read_revision); }
 
   // --- Information from other sources ---
-  // The previous process may have confirmed cancellations up to this revision.
+  // Records that the previous process may have confirmed cancellations to users, up to `revision`.
   void AssumeReportedUpTo(uint64_t revision) { cancellations_.AssumeReportedUpTo(revision); }
-  // The job was cancelled at `revision`, which may not have been read yet. Its tasks must end now.
+  // Records that the job was cancelled at `revision`, which this controller may not have read yet.
+  // The job's tasks must end now.
   void OnCancellationLearned(const std::string& id, uint64_t revision, uint64_t read_revision);
   void OnEnded(const std::string& id, JobStatus end);
 
   // --- Queries ---
-  // The status of a job that is known to have ended; it needs no read, since the job stays ended.
+  // Returns the status of a job whose end is recorded here, otherwise nullopt. No read is needed
+  // for an ended job, since the job stays ended.
   std::optional<JobStatus> FindEnded(const std::string& id) const;
-  // The status after a read that began after the query; none: the job's final record must be read.
+  // Returns the job's status after a read that began after the query; nullopt: the job's final
+  // record must be read.
   std::optional<JobStatus> StatusAfterRead(const std::string& id) const;
-  // The status according to the job's final record `value`; null: there is none. Everything up to
-  // `revision_at_request` had been read when the read of the final record began.
+  // Returns the job's status according to its final record `value`; null: the job has no final
+  // record. Everything up to `revision_at_request` had been read when the read of the final record
+  // began.
   JobStatus StatusFromFinalRecord(const std::string& id, const wire::Json* value, uint64_t version,
                                   uint64_t revision_at_request, uint64_t read_revision);
 
@@ -103,13 +107,14 @@
   const Limits limits_;
   election::CancellationLog cancellations_;
   JobRecords records_;
-  // Jobs that are known to be cancelled at a revision that was not read yet. They have ended,
-  // whatever records are read before that revision; even their acceptance may not have been read.
+  // Cancelled jobs, with the revision of the cancellation, which this controller has not read yet.
+  // These jobs have ended, whatever the records before that revision contain. Even the acceptance
+  // of such a job may not have been read yet.
   std::unordered_map<std::string, uint64_t> unread_cancellations_;
   std::unordered_map<std::string, JobStatus> ended_;
   std::deque<std::string> ended_order_;
-  // Jobs that were queried and certainly do not exist; records read since would have shown them. So
-  // repeated queries for jobs that were never submitted don't each cost a read.
+  // Jobs that were queried and do not exist. A job is removed from this set when a record of the
+  // job is read. Repeated queries for a job that was never submitted thus don't each cost a read.
   std::unordered_set<std::string> missing_;
 };
 
--- a/include/mosspath/jobs/job_records.h
+++ b/include/mosspath/jobs/job_records.h
@@ -11,9 +11,9 @@
 //     The end also moves the job to `over` in each known record that contains it. So no record can
 //     be created for the job after its end, and a controller that has read everything up to the end
 //     has read all records that will ever contain the job;
-//   - a controller removes a job from `over` only after it has read that far, and only if no record
-//     contains the job any more.
-// So a controller that loads the records at any time finds no ended job live.
+//   - a controller removes a job from `over` of a record only after it has read everything up to
+//     that record's version, and only if no record contains the job in `jobs` any more.
+// Thus a controller that loads the records finds no ended job live, whenever it loads them.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 struct AcceptedJob {
   wire::JobSpec spec;
-  // The revision of its acceptance; the earliest if several records contain it.
+  // The store revision of the job's acceptance; the earliest if several records contain the job.
   uint64_t version = 0;
   // Seconds since the Unix epoch, by the clock of the controller that accepted it.
   double submitted_wall_s = 0;
@@ -56,8 +56,8 @@
     std::vector<std::string> accepted;
     std::vector<std::string> ended;
   };
-  // Applies a record as read from the state service; null: it was deleted. Throws if the record is
-  // malformed, and then changes nothing.
+  // Applies a record as read from the state service; null: the record was deleted. Throws if the
+  // record is malformed, and then changes nothing.
   Change OnRecord(const std::string& key, const wire::Json* value, uint64_t version);
 
   const AcceptedJob* Find(const std::string& id) const;
@@ -65,7 +65,7 @@
   // Returns the version of the record; 0 if there is no such record.
   uint64_t VersionOf(const std::string& key) const;
   // Returns the record changes that end these jobs. Omits jobs that are not live, and jobs of which
-  // not all records may have been read yet. `revision`: everything up to it has been read.
+  // not all records may have been read yet. This controller has read everything up to `revision`.
   std::vector<RecordChange> PlanEnd(const std::vector<std::string>& ids, uint64_t revision) const;
   // Returns at most `max_changes` changes that delete records without jobs to keep, and that update
   // records which contain ended jobs.
--- a/include/mosspath/kvstore/client.h
+++ b/include/mosspath/kvstore/client.h
@@ -1,5 +1,5 @@
-// The client of the state service: reads, transactions, watches and leases (as an etcd client). It
-// keeps this controller within its share of the state service's request rates.
+// The client of the state service: reads, transactions, watches and leases (as an etcd client). The
+// client keeps this controller within its share of the state service's request rates.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -47,7 +47,7 @@
   // Ends the lease before it expires. The result is not reported.
   void RevokeLease(uint64_t lease);
 
-  // Seconds until the request budget has room for a transaction with `changes` changes.
+  // Returns the seconds until the request budget has room for a transaction with `changes` changes.
   [[nodiscard]] double WriteDelay(double changes);
 
   // When the last request was sent that the state service answered other than with 503, in seconds
--- a/include/mosspath/kvstore/packed_map.h
+++ b/include/mosspath/kvstore/packed_map.h
@@ -30,7 +30,8 @@
   void Load(int pack, const wire::Json& value, uint64_t version);
   void Set(const std::string& item, wire::Json value);
   // Replaces the value of an item within its pack, so that the item is never stored in two packs.
-  // The pack may exceed its limit by the growth: a stored value may be larger than a full pack.
+  // The pack may then exceed its size limit by the growth of the item, as the state service accepts
+  // values larger than a full pack.
   void Replace(const std::string& item, wire::Json value);
   // `lazily`: does not mark the pack dirty; the stored pack keeps the item until its next write.
   void Erase(const std::string& item, bool lazily);
@@ -42,7 +43,8 @@
 
   bool dirty() const { return !dirty_.empty(); }
   // Returns dirty packs to write: at least one if any is dirty, at most `max_packs`, and about
-  // `max_bytes` together. They count as clean until MarkDirty.
+  // `max_bytes` together. The returned packs are no longer dirty; the caller calls MarkDirty for
+  // each pack whose write fails.
   std::vector<PackWrite> TakeDirty(size_t max_packs, size_t max_bytes);
   void MarkDirty(int pack) { dirty_.insert(pack); }
   // Records that the stored pack has reached `version`; earlier versions are ignored.
@@ -61,7 +63,7 @@
   std::map<int, Pack> packs_;
   std::map<std::string, int> pack_of_item_;
   std::set<int> dirty_;
-  int next_pack_ = 0;  // where the next TakeDirty begins
+  int next_pack_ = 0;  // the pack at which the next TakeDirty begins
 };
 
 }  // namespace mosspath::kvstore
--- a/include/mosspath/kvstore/request_budget.h
+++ b/include/mosspath/kvstore/request_budget.h
@@ -11,12 +11,13 @@
  public:
   explicit RequestBudget(const config::Settings& settings);
 
-  // Seconds until a transaction with `changes` changes may be sent.
+  // Returns the seconds until a transaction with `changes` changes may be sent.
   [[nodiscard]] double DelayForTransaction(double changes, double now);
   // Charges a transaction that is sent now.
   void TakeTransaction(double changes, double now);
-  // Charges a request without changes; false if the budget is exhausted. Callers send requests that
-  // this controller depends on (watches, lists, lease requests) regardless of the result.
+  // Charges a request without changes. Returns false if the budget is exhausted. Callers send
+  // requests that this controller depends on (watches, lists, lease requests) regardless of the
+  // result.
   bool TryTakeRequest(double now) { return requests_.TryTake(now); }
 
  private:
--- a/include/mosspath/kvstore/transaction_committer.h
+++ b/include/mosspath/kvstore/transaction_committer.h
@@ -34,7 +34,7 @@
   void Try(const std::shared_ptr<Attempt>& attempt);
   void Send(const std::shared_ptr<Attempt>& attempt, double now);
   void OnReply(const std::shared_ptr<Attempt>& attempt, const Reply& reply);
-  // Schedules a retry; false if the deadline leaves no time for one.
+  // Schedules a retry. Returns false if the deadline leaves no time for a retry.
   bool TryAgain(const std::shared_ptr<Attempt>& attempt);
   [[nodiscard]] TransactionResult ResultOf(const Reply& reply) const;
 
--- a/include/mosspath/kvstore/transport.h
+++ b/include/mosspath/kvstore/transport.h
@@ -26,7 +26,7 @@
   enum class Kind {
     kAnswered,
     kNotSent,   // the request was certainly not sent
-    kNoAnswer,  // no answer, or it is not JSON; the request may have been executed
+    kNoAnswer,  // no answer, or an answer that is not JSON; the request may have been executed
     kTooLarge,  // the answer exceeds the size limit; the request may have been executed
   };
   Kind kind = Kind::kNoAnswer;
@@ -47,7 +47,7 @@
     double timeout_s = 0;
   };
 
-  // Calls `on_malformed` for answers that are not JSON; it must outlive this object.
+  // `on_malformed` is called for each answer that is not JSON, and must outlive this object.
   explicit Transport(const net::OnMalformed& on_malformed) : on_malformed_(on_malformed) {}
 
   // Sends `request` over `connections`, which must outlive the request.
--- a/include/mosspath/kvstore/watch_cache.h
+++ b/include/mosspath/kvstore/watch_cache.h
@@ -50,8 +50,8 @@
   void OnLoaded();
   void StartWatch();
   void OnWatchResult(const WatchResult& result, uint64_t generation, double sent_at);
-  // Applies the events of `result`, whose request was sent at `sent_at`. False if there is no
-  // usable result.
+  // Applies the events of `result`, whose request was sent at `sent_at`. Returns false if there is
+  // no usable result.
   bool Apply(const WatchResult& result, double sent_at);
   void ReloadIfLoaded();
   void StartRead();
--- a/src/jobs/job_index.cc
+++ b/src/jobs/job_index.cc
@@ -71,14 +71,15 @@
   if (const auto ended = FindEnded(id)) return ended;
   if (records_.Find(id) != nullptr) return JobStatus::kLive;
   if (missing_.contains(id)) return JobStatus::kMissing;
-  return std::nullopt;  // ended, or never accepted
+  return std::nullopt;  // the job has ended, or was never accepted
 }
 
 JobStatus JobIndex::StatusFromFinalRecord(const std::string& id, const wire::Json* value,
                                           uint64_t version, uint64_t revision_at_request,
                                           uint64_t read_revision) {
   if (value == nullptr) {
-    // Records that were read since the request may have shown the job already.
+    // If records were read since the request, the job may have been accepted in the meantime, so it
+    // is not added to the missing jobs.
     if (revision_at_request == read_revision) {
       if (missing_.size() >= limits_.finals) missing_.clear();
       missing_.insert(id);
@@ -86,7 +87,8 @@
     return JobStatus::kMissing;
   }
   const JobStatus end = ParseFinalRecord(*value);
-  // This controller reports the end from now on, even if it has not read that revision yet.
+  // This controller reports the end from now on, even if it has not read the revision of the final
+  // record yet.
   if (end == JobStatus::kCancelled) OnCancellationLearned(id, version, read_revision);
   if (end != JobStatus::kUndetermined) OnEnded(id, end);
   return end;
--- a/src/jobs/job_records.cc
+++ b/src/jobs/job_records.cc
@@ -88,7 +88,7 @@
         live_.emplace(id, *job);
         change.accepted.push_back(id);
       }
-    } else if (live) {  // another record of a live job; a load reads records in any order
+    } else if (live) {  // the job was live already; a load reads its records in any order
       for (const AcceptedJob& job : accepted) {
         if (job.spec.id == id) known->second.version = std::min(known->second.version, job.version);
       }
--- a/src/kvstore/client.cc
+++ b/src/kvstore/client.cc
@@ -12,7 +12,7 @@
 constexpr double kListTimeouts = 2;
 
 // The outcome of a request that did not succeed. Without a usable answer the request may have been
-// executed; any answer is a refusal.
+// executed. An answer with a status other than success is a refusal.
 Outcome FailureOf(const Reply& reply) {
   return reply.kind == Reply::Kind::kAnswered ? Outcome::kRefused : Outcome::kUndetermined;
 }
@@ -92,8 +92,8 @@
                   [this, done = std::move(done)](const Reply& reply) {
                     WatchResult result;
                     // Changes that exceed the size limit of an answer only grow further, so all
-                    // keys must be listed again. (Otherwise a node that was partitioned for minutes
-                    // never catches up.)
+                    // keys must be listed again. (Otherwise a controller that was partitioned for
+                    // minutes never catches up.)
                     if (reply.Has(http_status::kGone) || reply.kind == Reply::Kind::kTooLarge) {
                       result.kind = WatchResult::Kind::kTooOld;
                     }
--- a/src/kvstore/codec.h
+++ b/src/kvstore/codec.h
@@ -1,4 +1,5 @@
-// The state service's HTTP targets and JSON bodies. No other file uses its field names.
+// The state service's HTTP targets and JSON bodies. Only codec.cc contains the service's field
+// names.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,11 @@
 inline constexpr const char* kTransactionTarget = "/multi";
 inline constexpr const char* kLeasesTarget = "/grants";
 [[nodiscard]] std::string GetTarget(const std::string& key);
-// The page of keys under `prefix` after the key `after`; empty: the first page.
+// Returns the target for the page of keys under `prefix` after the key `after`; empty: the first
+// page.
 [[nodiscard]] std::string ListTarget(const std::string& prefix, const std::string& after);
-// Changes after the revision `since`; the state service answers within `wait_s` seconds.
+// Returns the target for the changes after the revision `since`. The state service answers within
+// `wait_s` seconds.
 [[nodiscard]] std::string WatchTarget(const std::string& prefix, uint64_t since, double wait_s);
 [[nodiscard]] std::string LeaseTarget(uint64_t lease);
 [[nodiscard]] std::string RenewalTarget(uint64_t lease);
--- a/src/kvstore/packed_map.cc
+++ b/src/kvstore/packed_map.cc
@@ -79,7 +79,8 @@
   std::vector<PackWrite> writes;
   size_t taken_bytes = 0;
   while (!dirty_.empty() && writes.size() < max_packs) {
-    // Round robin, so that packs that are always dirty don't starve the others.
+    // Takes the packs round robin, so that packs that are always dirty don't starve the other
+    // packs.
     auto it = dirty_.lower_bound(next_pack_);
     if (it == dirty_.end()) it = dirty_.begin();
     const Pack& pack = packs_[*it];
--- a/src/kvstore/watch_cache.cc
+++ b/src/kvstore/watch_cache.cc
@@ -51,7 +51,8 @@
     retry_timer_.After(backoff_.Next(), [this, after] { LoadPage(after); });
     return;
   }
-  // The watch replays changes made during the load, since it begins at the first page's revision.
+  // The watch replays changes made during the load, since the watch begins at the revision of the
+  // first page.
   if (!revision_) revision_ = page.revision;
   for (const Event& event : page.items) handlers_.changed(event);
   if (page.more && !page.items.empty()) return LoadPage(page.items.back().key);
@@ -108,7 +109,7 @@
   } else {
     pause_s = backoff_.Next();
   }
-  if (generation != generation_) return;  // a new load began; it starts its own watch
+  if (generation != generation_) return;  // a new load has begun, which starts its own watch
   watch_timer_.After(pause_s, [this] { StartWatch(); });
 }
 
