--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -11,9 +11,8 @@
 //     it, or if it is withheld;
 //   - the counts of a job by zone are those of its placed tasks;
 //   - a task that another controller has is delegated and charged to its team, until that
-//   controller
-//     returns the task, or until the tasks on all machines of that controller are determined
-//     (docs/sharding.md).
+//     controller returns the task, or until the tasks on all machines of that controller are
+//     determined (docs/sharding.md).
 #pragma once
 
 #include <map>
