--- a/include/mosspath/scheduler/leader_role.h
+++ b/include/mosspath/scheduler/leader_role.h
@@ -1,4 +1,5 @@
-// The roles of a leader: without and with holders of shards. No I/O except logging.
+// The role of a leader that delegates nothing, and the role of a leader that delegates machines and
+// tasks to holders of shards. No I/O except logging.
 #pragma once
 
 #include "mosspath/scheduler/leader_sharding.h"
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -22,16 +22,18 @@
   // --- Leases ---
 
   // Opens the lease under which a controller holds the shard. `inherited`: an earlier leader
-  // granted it.
+  // granted the lease.
   void OpenLease(uint64_t lease, size_t shard, bool inherited);
   // Sets whether the holder exchanges messages with this leader. Only the holder of a ready lease
   // receives machines and tasks.
   void SetLeaseReady(uint64_t lease, bool ready);
-  // Closes a lease that has ended. Its holder may have commanded machines until `last_acted`.
+  // Closes a lease that has ended, and takes its machines back. The former holder may have
+  // commanded them until `last_acted`.
   void CloseLease(uint64_t lease, double last_acted);
-  // Returns the ended leases that still have machines whose tasks are not known.
+  // Returns the ended leases with machines that have not been reconciled since, so that it is not
+  // known which tasks are on these machines.
   std::set<uint64_t> ExpiredLeases() const;
-  // Called once the holder of that lease has certainly stopped commanding machines.
+  // Called once it is certain that the holder of the ended lease has stopped commanding machines.
   void OnHolderCeased(uint64_t lease, double now);
   // Returns the lease under which another controller commands the machine; kNoLease if this leader
   // commands it or the machine is unknown.
@@ -41,7 +43,8 @@
 
   // Handles a message of the lease's holder. Messages of closed leases are ignored.
   void OnHolderMessage(uint64_t lease, const wire::ShardMessage& message, double now);
-  // Queues messages to the holders with those of their reported completions that are durable now.
+  // Queues messages that name, to each holder, the task completions that the holder has reported
+  // and that are durable now.
   void SendDurableCompletions();
 
  private:
--- a/include/mosspath/scheduler/machine_filter.h
+++ b/include/mosspath/scheduler/machine_filter.h
@@ -32,8 +32,8 @@
   MachineFilter(const config::Settings& settings, const CapacityReservation& reservation)
       : settings_(settings), reservation_(reservation) {}
 
-  // Returns why the job's own constraints and recent failures exclude the machine, whatever its
-  // free capacity; nullopt if they don't.
+  // Returns the constraint or recent failure of the job that excludes the machine, or nullopt if
+  // none does. Ignores the machine's free capacity.
   std::optional<MachineRejection> CheckConstraints(const jobs::Job& job,
                                                    const cluster::Machine& machine,
                                                    double now) const;
--- a/include/mosspath/scheduler/machine_handover.h
+++ b/include/mosspath/scheduler/machine_handover.h
@@ -2,7 +2,7 @@
 // (docs/sharding.md). Pure.
 //
 // Invariant: at any time, the machine's record names the one controller that may command the
-// machine. That controller's fencing token for the machine is the revision of the record, or later.
+// machine. That controller's fencing token for the machine is at least the revision of the record.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +18,9 @@
   // `state` outlives this object.
   explicit MachineHandover(SchedulerState& state) : state_(state) {}
 
-  // Begins to hand machines over to the holders of their shards, together with the tasks that run
-  // there. Only a few at a time, since a machine starts no tasks during its handover.
+  // Begins to hand machines over to the holders of their shards, together with the tasks on the
+  // machines. Limits the handovers in progress, because a machine starts no tasks during its
+  // handover.
   void HandOverMachines(double now);
   // Completes a handover whose record is durable: from now on the holder commands the machine and
   // its tasks. Removes `machine` from the leader's machines.
@@ -28,8 +29,8 @@
   // the leader's machines.
   void RecallMachines(double now);
   // Moves a delegated machine back to the leader. The holder may have commanded the machine until
-  // `last_acted` under `past_lease`, which is kNoLease if the holder has returned the machine
-  // itself. `delegated` must be a copy, since the original is removed.
+  // `last_acted`. `past_lease`: the ended lease of the holder, or kNoLease if the holder has
+  // returned the machine. `delegated` must be a copy, because the original is removed.
   cluster::Machine& TakeBack(const cluster::Machine& delegated, uint64_t past_lease,
                              double last_acted);
 
@@ -43,7 +44,7 @@
   void SendHandedOverTasks(const cluster::Machine& machine, uint64_t lease,
                            ShardLeases::TasksByJob tasks_by_job);
   // --- Recalling ---
-  // The pending tasks that machines are recalled for.
+  // The pending tasks for which machines are recalled.
   struct UnplacedWork {
     double cpus = 0;
     const jobs::Job* oldest_job = nullptr;  // null if no task waits
--- a/include/mosspath/scheduler/machine_health.h
+++ b/include/mosspath/scheduler/machine_health.h
@@ -1,5 +1,5 @@
-// Detects machines that fail tasks or run them far slower than other machines, and crash looping
-// jobs, whose tasks fail on every machine until their users cancel them. Pure.
+// Detects machines on which tasks fail or run far slower than on other machines. Detects crash
+// looping jobs, whose tasks fail on every machine. Pure.
 #pragma once
 
 #include "mosspath/cluster/cluster_state.h"
@@ -31,14 +31,15 @@
   // Called when a task of the job succeeded on the machine. Returns whether the job was crash
   // looping.
   bool OnTaskSucceeded(cluster::Machine& machine, jobs::Job& job) const;
-  // Whether a task that has run for `ran_s` on a quarantined slow machine would end sooner if it
-  // was restarted elsewhere.
+  // Returns whether a task of the job, which has run for `ran_s` on the machine, should be
+  // restarted elsewhere: the machine is quarantined, and is so slow that a restarted task is likely
+  // to end sooner.
   bool ShouldRestartElsewhere(const cluster::Machine& machine, const jobs::Job& job,
                               double ran_s) const;
 
  private:
-  // Counts the failure, and quarantines the machine if its failures are more likely caused by the
-  // machine than by a job.
+  // Counts the failure, and quarantines the machine if the machine is a likelier cause of its
+  // failures than any one job.
   Verdict CountFailureAgainstMachine(cluster::Machine& machine, const jobs::Job& job) const;
 
   const double heartbeat_s_;
--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -19,7 +19,7 @@
 
   // --- Adding and updating machines ---
 
-  // Takes over a machine that a predecessor has recorded.
+  // Adds a machine from a record that an earlier leader wrote.
   void AddRecorded(const std::string& id, const MachineRecord& record);
   // Returns the machine that sent the heartbeat, after adding it if necessary and updating its
   // address.
@@ -27,34 +27,37 @@
   // Called with the epoch of the agent's heartbeat. All tasks of earlier epochs have ended,
   // so a new epoch removes their allocations.
   void OnAgentEpoch(cluster::Machine& machine, uint64_t agent_epoch, double now);
-  // Called when the tasks on the machine are determined, or when nothing can run there.
+  // Called when the machine has reported its tasks, or when it is certain that no task runs there.
   void OnMachineReconciled(cluster::Machine& machine);
   // Ends the wait of all reconciliations for the machine, which may be unknown. When a
-  // reconciliation waits for no further machine, its tasks that were found on none become pending.
+  // reconciliation waits for no further machine, those of its tasks that were found on no machine
+  // become pending.
   void EndReconciliations(const std::string& machine);
-  // Called when the machine's record has become durable at this store revision. The revision serves
-  // as the machine's new fencing token if the machine needs one.
+  // Called when the machine's record has become durable at this store revision. If the machine
+  // needs a new fencing token, the revision becomes that token.
   void OnRecordDurable(cluster::Machine& machine, uint64_t revision);
-  // Called when the machine's heartbeats arrive but the answers seem not to reach it. A heartbeat
-  // does not prove that answers arrive, and a single lost answer does not prove that they don't.
+  // Called when the machine's heartbeats arrive, but several answers to them seem to have been
+  // lost. A heartbeat does not prove that answers reach the machine, and a single lost answer does
+  // not prove that they fail to.
   void OnDeliveryFailureSuspected(cluster::Machine& machine);
 
   // --- Removing machines ---
 
-  // Marks machines as lost whose agents' leases have expired, whichever controller renewed the
-  // leases last, and removes their allocations.
+  // Marks each machine as lost whose agent's lease has expired, and removes its allocations. The
+  // expiry takes into account that another controller may have renewed the lease last.
   void ExpireLeases(double now);
   // Called when the cloud has deleted the machine.
   void OnMachineDeleted(const std::string& id, double now);
-  // Makes withheld tasks pending again once no other machine can have executed their unanswered
-  // start.
+  // Makes a withheld task pending again once it is certain that no other machine has executed the
+  // unanswered start of the task.
   void ReleaseRuledOutStarts();
 
  private:
   void AddDelegated(const std::string& id, const MachineRecord& record, size_t shard);
   void OnLeaseExpired(cluster::Machine& machine, double now);
   void OnDelegatedMachineDeleted(cluster::Machines::iterator machine);
-  // Removes all allocations of a machine that runs nothing any more but has not reported so.
+  // Removes all allocations of a machine on which no task runs any more, though the machine has not
+  // reported that.
   void EndAllocations(cluster::Machine& machine, double now);
   void WithholdUnconfirmedStarts(const cluster::Machine& machine);
 
--- a/include/mosspath/scheduler/machine_pool.h
+++ b/include/mosspath/scheduler/machine_pool.h
@@ -8,8 +8,8 @@
 namespace mosspath::scheduler {
 
 // Schedulable machines: first the machines that this controller commands, then the machines of the
-// holders that it delegates to, each group sorted by name. The cluster state owns the machines; the
-// pool is valid for one pass.
+// holders to which this controller delegates; each group is sorted by name. The cluster state owns
+// the machines; the pool is valid for one pass.
 using MachinePool = std::vector<cluster::Machine*>;
 
 // Returns the CPUs of all schedulable machines, whichever controller commands them.
--- a/include/mosspath/scheduler/machine_refill.h
+++ b/include/mosspath/scheduler/machine_refill.h
@@ -1,9 +1,10 @@
-// Places tasks on one machine whose resources came free, between placement passes. Pure.
+// Places waiting tasks on a machine as soon as some of its resources come free, between placement
+// passes. Pure.
 //
-// Takes the waiting jobs in their order, as a placement pass would if all other machines were full.
-// Among jobs with close virtual deadlines, a job whose image is on the machine goes first. This is
-// layer locality from the machine's side: when all machines are full, there is a choice of jobs but
-// not of machines.
+// The waiting jobs are tried in their order, as in a placement pass in which all other machines are
+// full. Among jobs with close virtual deadlines, a job whose image is on the machine goes first. A
+// placement pass uses layer locality to choose a machine for a job; while all other machines are
+// full, layer locality can only choose a job for the machine.
 #pragma once
 
 #include <cstddef>
@@ -37,10 +38,10 @@
   void PlaceDeficits(cluster::Machine& machine, const DeficitQueue& deficits, double now);
   void PlaceInOrder(cluster::Machine& machine, const std::vector<jobs::Job*>& waiting_jobs,
                     double now);
-  // Whether a task of the job may be placed on the machine now.
+  // Returns whether a task of the job may be placed on the machine now.
   bool CanPlace(jobs::Job& job, const cluster::Machine& machine, double now);
-  // Returns the job at `first`, or a later job of the same priority band whose virtual deadline is
-  // earlier once the image fetches are added.
+  // Returns the job at `first`, or a later job of the same priority band if its virtual deadline
+  // plus the cost of its image fetch is earlier.
   jobs::Job* ChooseByFetch(const std::vector<jobs::Job*>& waiting_jobs, size_t first,
                            const cluster::Machine& machine, double now);
 
--- a/include/mosspath/scheduler/overdue_first_tasks.h
+++ b/include/mosspath/scheduler/overdue_first_tasks.h
@@ -1,11 +1,12 @@
-// Jobs that have waited long and have not run any task: one task of each goes ahead of all other
-// work. No I/O; the time is an argument.
+// Jobs that have waited long without any task being started. One task of each such job goes ahead
+// of all other work. No I/O; the time is an argument.
 //
-// In the queue order alone, large jobs and jobs that can meet no objective come last for as long as
-// others arrive: at two to four times the load that the machines can carry, the largest job of a
-// class started after 500 s. Placing one task (or the gang) of each ahead of all other work bounds
-// that wait and leaves the order of all other tasks unchanged. The CPUs for first tasks are
-// bounded, so that a flood of jobs does not take the machines from urgent work.
+// By the queue order alone, large jobs and jobs that can meet no objective come last for as long as
+// other jobs arrive: at two to four times the load that the machines can carry, the largest job of
+// a class started only after 500 s. Placing one task (or the gang) of each overdue job ahead of all
+// other work bounds the wait for the first start, and leaves the order of all other tasks
+// unchanged. The CPUs for first tasks are bounded, so that a flood of jobs does not take the
+// machines from urgent work.
 #pragma once
 
 #include <vector>
@@ -24,11 +25,12 @@
   OverdueFirstTasks(const config::Settings& settings, const cluster::ClusterState& cluster)
       : settings_(settings), cluster_(cluster) {}
 
-  // Share of the pool's CPUs that may go to first tasks within one lease time.
+  // Sets the share of all schedulable machines' CPUs that first tasks may take within one agent
+  // lease time.
   void SetShare(double share) { share_ = share; }
 
-  // Collects the overdue jobs among the waiting ones, in order of submission, and computes how many
-  // CPUs their first tasks may still use.
+  // Collects the overdue jobs among `waiting_jobs`, in order of submission, and computes how many
+  // CPUs their first tasks may still take.
   void Refresh(const std::vector<jobs::Job*>& waiting_jobs, double now);
   void Clear() { jobs_.clear(); }
   void ForgetJob(const jobs::Job& job) { std::erase(jobs_, &job); }
@@ -40,7 +42,8 @@
   void OnAttempted(jobs::Job& job, double now);
 
  private:
-  // Returns the bound less the CPUs of first tasks placed within the last agent lease time.
+  // Returns the CPU bound, less the CPUs of one task of each job whose first task was placed within
+  // the last agent lease time.
   double RemainingCpus(double now) const;
 
   const config::Settings& settings_;
--- a/include/mosspath/scheduler/placement_attempt.h
+++ b/include/mosspath/scheduler/placement_attempt.h
@@ -1,9 +1,9 @@
 // One attempt to place tasks of one job in a placement pass: the stages that arrays, services and
 // gangs share. No I/O; the time is an argument.
 //
-// Each job has a home shard. Its tasks are placed there first; tasks for which the home shard has
-// no free capacity overflow to the machines of other shards. Jobs of high priority and above may
-// use cordoned machines as the last resort.
+// Each job has a home shard, and its tasks are first tried on the machines of that shard. Tasks
+// that find no free capacity there are tried on the machines of other shards. Jobs of high priority
+// and above may use cordoned machines as the last resort.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 namespace mosspath::scheduler {
 
-// The dependencies of an attempt, all of which outlive it.
+// The dependencies of an attempt. All of them outlive the attempt.
 struct PlacementStages {
   const cluster::ClusterState& cluster;
   const ShardMap& shard_map;
@@ -34,7 +34,8 @@
   LocalityPolicy policy;  // for the score stage
 };
 
-// Selects the machines that are tried together. Cordoned machines are tried regardless of shard.
+// Selects the machines that are tried together: those of one tier, in the home shard or outside it.
+// Cordoned machines are tried regardless of shard.
 struct PlacementScope {
   bool in_home_shard = true;
   MachineTier tier = MachineTier::kInService;
@@ -48,7 +49,7 @@
 };
 
 enum class PlacementOutcome {
-  kSettled,     // nothing more to try in this pass: all placed, or not waiting for capacity
+  kSettled,     // no task waits for capacity: all are placed, or may not start now
   kNoCapacity,  // some tasks found no machine with enough free capacity
 };
 
@@ -71,8 +72,8 @@
   size_t remaining() const { return remaining_; }
   cluster::Machine& MachineAt(size_t index) const { return *pool_[index]; }
   bool FitsInTier(const cluster::Machine& machine, MachineTier tier) const;
-  // Returns whether the machine's zone already has its maximum of tasks of a job that spreads over
-  // zones: half of them, rounded up.
+  // Returns whether the job spreads over zones and the machine's zone already has the maximum of
+  // its tasks: half of the job's tasks, rounded up.
   bool IsZoneFull(const cluster::Machine& machine) const;
   bool HasDurableStartMarker() { return stages_.start_gate.HasDurableStartMarker(job_); }
   // Binds the next pending task to the machine. Returns false if the job may start no more tasks.
--- a/include/mosspath/scheduler/preemption.h
+++ b/include/mosspath/scheduler/preemption.h
@@ -14,8 +14,8 @@
 
 namespace mosspath::scheduler {
 
-// Stops tasks of lower priority, those that lose the least work first, to free capacity for waiting
-// jobs. Only jobs of high priority and above preempt.
+// Frees capacity for waiting jobs by stopping tasks of lower priority, beginning with those that
+// lose the least work. Only jobs of high priority and above preempt.
 class Preemption {
  public:
   // The arguments outlive this object.
@@ -23,7 +23,8 @@
              const ServiceLevelObjectives& objectives, const StartGate& start_gate,
              const MachineFilter& filter, FairShare& fair_share);
 
-  // Requests stops of running tasks for the jobs, which are in queue order.
+  // Requests stops of running tasks to free capacity for the jobs. `ranked_jobs` are in queue
+  // order.
   void Run(const std::vector<jobs::Job*>& ranked_jobs, double now);
 
  private:
@@ -37,7 +38,7 @@
 
   // Returns the CPUs that will be freed by stops already requested.
   double StoppingCpus() const;
-  // Returns the seconds after its submission in which the job preempts nothing.
+  // Returns for how many seconds after the job's submission no task is stopped for the job.
   double PreemptionDelayS(const jobs::Job& job, double now) const;
   // Returns all tasks that may be stopped, the least loss first.
   std::vector<Victim> CollectVictims(double now);
--- a/include/mosspath/scheduler/provisioning_tracker.h
+++ b/include/mosspath/scheduler/provisioning_tracker.h
@@ -1,5 +1,5 @@
-// Tracks machines that are booting or deleted, and offers without capacity: the input of the
-// scaling planner besides the machines whose agents report. Pure.
+// Tracks machines that are booting or deleted, and offers for which the cloud has no capacity. The
+// scaling planner needs these besides the machines whose agents report. Pure.
 #pragma once
 
 #include <map>
@@ -12,8 +12,8 @@
 
 namespace mosspath::scheduler {
 
-// Tracks the machines of the cloud from their provisioning until their agents report, and again
-// after their deletion. Times are in seconds.
+// Tracks each machine from its provisioning until its agent reports, and again after its deletion.
+// Times are in seconds.
 class ProvisioningTracker {
  public:
   ProvisioningTracker(const config::Settings& settings, const config::DerivedSettings& derived);
@@ -21,7 +21,7 @@
   // A machine whose agent has not reported yet.
   struct BootingMachine {
     autoscaler::ScaleOutRequest offer;
-    double since = 0;  // start of its time limit: provisioned, or first listed as running
+    double since = 0;  // when it was provisioned, or first listed as running
     bool up = false;   // the cloud lists it as running
   };
   const std::map<std::string, BootingMachine>& booting() const { return booting_; }
@@ -37,20 +37,23 @@
   const std::map<autoscaler::MachineOffer, double>& closed_until() const { return closed_until_; }
   // The machine's agent reports.
   void OnMachineUp(const std::string& id) { booting_.erase(id); }
-  // The machine was deleted: its late heartbeats are ignored.
+  // The machine was deleted. is_deleted returns true from now on, so that late heartbeats are
+  // ignored.
   void OnMachineDeleted(const std::string& id, double now);
   bool is_deleted(const std::string& id) const { return deleted_at_.contains(id); }
-  // Applies the cloud's list of all machines, which was requested at `requested_at`: marks the
-  // machines that have failed or are missing, and adds those that are booting.
+  // Applies the cloud's list of all machines, which was requested at `requested_at`: marks machines
+  // that the list shows as failed or omits, and adds booting machines.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed,
                      const MachineMaps& all_machines, double requested_at, double now);
 
-  // Records an urgent job that needs this many CPUs at once. As many stay free for the next one.
+  // Records an urgent job that needs this many CPUs at once. The planner keeps as many CPUs free
+  // for the next urgent job.
   void OnUrgentJob(double submitted, double cpus) { urgent_jobs_.push_back({submitted, cpus}); }
-  // Returns the CPUs of the largest recent urgent job, and discards jobs that are not recent.
+  // Returns the CPUs of the largest recent urgent job, and discards urgent jobs that are not
+  // recent.
   double LargestBurstCpus(double now, const cluster::MachineTypeCatalog& types);
-  // Appends the booting machines to `machines`. The ids of those that have not come up within their
-  // time limit go to `given_up` instead.
+  // Appends the booting machines to `machines`. Machines that have not come up within their time
+  // limit are left out; their ids are appended to `given_up`.
   void AppendBootingMachines(double now, const cluster::MachineTypeCatalog& types,
                              std::vector<autoscaler::FleetMachine>& machines,
                              std::vector<std::string>& given_up) const;
--- a/include/mosspath/scheduler/reconciler.h
+++ b/include/mosspath/scheduler/reconciler.h
@@ -12,7 +12,8 @@
 namespace mosspath::scheduler {
 
 enum class HeartbeatKind {
-  // Sent at the agent's interval, after the answer to the last one has arrived or timed out.
+  // Sent at the agent's interval, after the answer to the previous periodic heartbeat has arrived
+  // or timed out.
   kPeriodic,
   // The answer to a command batch. The answer to a periodic heartbeat may still be in flight.
   kCommandAnswer,
@@ -25,8 +26,8 @@
       : state_(state), lifecycle_(lifecycle) {}
 
   // Updates the machine's allocations and their jobs from the tasks that the heartbeat lists. The
-  // caller has checked that the heartbeat is the machine's newest, and was made under the machine's
-  // current fencing token.
+  // caller has checked that the heartbeat is the newest of the machine, and that the agent made the
+  // heartbeat under the current fencing token of the machine.
   void Reconcile(cluster::Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatKind kind,
                  double now);
 
--- a/include/mosspath/scheduler/role.h
+++ b/include/mosspath/scheduler/role.h
@@ -1,6 +1,6 @@
 // The behavior of a scheduler that depends on the role of its controller: a leader without shard
 // holders, a leader with shard holders, or the holder of a shard. The components of the scheduler
-// call the current role instead of testing which one it is. No I/O except logging.
+// call the current role instead of testing which role it is. No I/O except logging.
 #pragma once
 
 #include <cstddef>
@@ -35,20 +35,21 @@
 
   // --- Jobs and tasks ---
 
-  // The job is about to be removed. The role accounts for the tasks that another controller
-  // has, or that may still run.
+  // The job is about to be removed. The role accounts for those of its tasks that are delegated to
+  // another controller, or that may still run.
   virtual void OnJobRemoved(const jobs::Job& job) = 0;
   // The task has just been marked as done.
   virtual void OnTaskDone(const jobs::Job& job, uint32_t index) = 0;
   // A machine reports a running attempt of the task that this scheduler has not started.
   virtual void OnAttemptRecovered(jobs::Job& job, uint32_t index) = 0;
-  // The job has been found to be crash looping (its tasks fail on every machine), or a retry of it
-  // has failed.
+  // The job has been found to be crash looping (its tasks fail on every machine), or a retry of a
+  // crash looping job has failed.
   virtual void OnCrashLoop(const jobs::Job& job) = 0;
   // A task of the crash-looping job has succeeded, which ends the crash loop.
   virtual void OnCrashLoopEnded(const jobs::Job& job) = 0;
-  // All machines of the reconciliation have been checked. `tasks` of its tasks were on none of them
-  // and are pending again, unless their job is over.
+  // All machines of the reconciliation have reported, or are certain to run nothing. `tasks`: how
+  // many of the tasks of the reconciliation were on none of these machines. They are pending again
+  // unless their job is over.
   virtual void OnReconciliationEnded(uint64_t reconciliation, size_t tasks) = 0;
 
   // --- Time and records ---
--- a/include/mosspath/scheduler/run_time_estimate.h
+++ b/include/mosspath/scheduler/run_time_estimate.h
@@ -5,9 +5,9 @@
 
 namespace mosspath::scheduler {
 
-// Returns the seconds that the attempt is expected to run from `now` on. An attempt that has nearly
-// reached or exceeded its estimate is expected to run for a fixed share of the estimate, so the
-// result is positive whenever the estimate is.
+// Returns for how many more seconds the attempt is expected to run after `now`. An attempt that has
+// nearly reached or exceeded its estimate is expected to run for a fixed share of the estimate, so
+// the result is positive whenever the estimate is.
 double RemainingRunS(const cluster::Allocation& allocation, double now);
 
 }  // namespace mosspath::scheduler
