--- a/include/mosspath/scheduler/scaling_coordinator.h
+++ b/include/mosspath/scheduler/scaling_coordinator.h
@@ -22,24 +22,24 @@
   ScalingCoordinator(SchedulerState& state, TaskMigration& migration)
       : state_(state), migration_(migration) {}
 
-  // Makes a plan for the present demand, marks the machines that drain, sends changes of delegated
-  // machines' drain level to their holders, and starts migrations. The caller adds and deletes
-  // machines as the returned plan says. The deletions include machines that are unreachable or
-  // never came up.
+  // Makes a plan for the present demand, marks the machines that drain, and starts migrations. If
+  // the drain level of a delegated machine changes, sends the new level to the machine's holder.
+  // The caller adds and deletes machines as the returned plan says. The plan also deletes machines
+  // that are unreachable or never came up.
   autoscaler::ScalingPlan Plan(double now);
 
  private:
   // Machines that are deleted regardless of the demand, by cause.
   struct MachinesToReplace {
-    // Silent for too long, or no longer run by the cloud. Whether a silent machine is deleted also
-    // depends on how many there are.
+    // Machines that are silent for too long, or that the cloud no longer runs. If many machines are
+    // unreachable, those that are only silent are kept for longer.
     std::set<std::string> unreachable;
-    // The last machines that delay a recovery or reconciliation which is otherwise nearly complete.
+    // The last few machines for which a nearly complete recovery or reconciliation still waits.
     std::vector<std::string> stragglers;
-    // Provisioned, but their agents have not reported within the time limit.
+    // Provisioned machines whose agents have not reported within the time limit.
     std::vector<std::string> never_booted;
   };
-  // Which new tasks a machine takes, in the values of ShardMessage::Kind::kSetDraining.
+  // Which new tasks a machine takes. The values are those of ShardMessage::Kind::kSetDraining.
   enum class DrainLevel : uint64_t { kNone = 0, kDraining = 1, kCordoned = 2 };
 
   // --- The planner's input ---
--- a/include/mosspath/scheduler/scheduler.h
+++ b/include/mosspath/scheduler/scheduler.h
@@ -124,7 +124,8 @@
   // Runs the periodic work, such as lease expiry and placement. Called a few times per heartbeat
   // interval.
   void Tick(double now);
-  // Runs a placement pass over the waiting jobs, if the cluster state has changed since the last.
+  // Runs a placement pass over the waiting jobs if the cluster state has changed since the last
+  // pass.
   void Place(double now) { state_.placer.Place(now); }
   // See ScalingCoordinator::Plan.
   autoscaler::ScalingPlan PlanScaling(double now) { return scaling_.Plan(now); }
@@ -140,10 +141,11 @@
   DurableState::WriteBatch TakeRecords(size_t max_packs, size_t max_bytes) {
     return state_.durable_state.TakeBatch(max_packs, max_bytes, state_.cluster);
   }
-  // Ends the batch in flight: it is durable at this store revision, or it was not written.
+  // End the batch in flight. OnRecordsWritten: the batch is durable at this store revision.
+  // OnRecordsFailed: the batch was not written.
   void OnRecordsWritten(uint64_t revision, double now);
   void OnRecordsFailed() { state_.durable_state.OnBatchFailed(); }
-  // Records the version that a watch event of the store shows for the pack.
+  // Record the version of the pack that a watch event of the store shows.
   void OnProgressVersion(int pack, uint64_t version) {
     state_.durable_state.OnProgressVersion(pack, version);
   }
@@ -177,7 +179,7 @@
     return state_.shard_leases.TakeMessages(lease);
   }
   // Returns the lease under which another controller commands the machine; kNoLease if this
-  // controller commands it or it is unknown.
+  // controller commands the machine or the machine is unknown.
   uint64_t LeaseOf(const std::string& machine) const { return leader_sharding_.LeaseOf(machine); }
 
   // --- Shards, as a holder: see HolderSharding ---
@@ -221,8 +223,8 @@
   // --- Status and tests ---
 
   wire::StatusSnapshot MakeSnapshot(double now) const { return reporter_.MakeSnapshot(now); }
-  // Return how many placement attempts of jobs were made so far, and how many candidate machines
-  // these examined.
+  // Return how many attempts to place tasks of a job were made so far, and how many candidate
+  // machines these attempts examined.
   uint64_t placement_attempts() const { return state_.placer.placement_attempts(); }
   uint64_t candidates_scored() const { return state_.placer.candidates_scored(); }
   const cluster::Machines& machines() const { return state_.cluster.machines; }
--- a/include/mosspath/scheduler/scheduler_state.h
+++ b/include/mosspath/scheduler/scheduler_state.h
@@ -69,9 +69,10 @@
   SchedulingPolicy policy;
   // The current role, owned by the Scheduler. Null only while the Scheduler is being constructed.
   Role* role = nullptr;
-  // Set if a scaling plan should be made soon instead of at the next interval: since the last plan
-  // jobs were added, machines came back from holders of shards, or probes of a machine have failed
-  // repeatedly, so that the plan may have to delete the machine to rule out tasks on it.
+  // Whether a scaling plan should be made soon instead of at the next interval. Set if, since the
+  // last plan, jobs were added, machines came back from holders of shards, or probes of a machine
+  // have failed repeatedly. In the last case the plan may have to delete the machine, to rule out
+  // that tasks run there.
   bool wants_scaling_plan = false;
 };
 
--- a/include/mosspath/scheduler/service_level_objectives.h
+++ b/include/mosspath/scheduler/service_level_objectives.h
@@ -24,12 +24,13 @@
   struct NextObjective {
     bool unattainable = false;    // the job can meet no objective any more
     double within_s = 0;          // time from submission to completion that meets the objective
-    bool for_task_start = false;  // the objective is for the starts of the job's tasks
+    bool for_task_start = false;  // the objective limits the starts of the job's tasks
     bool best_effort = false;     // neither the job nor its class has an objective
   };
   // Returns the earliest objective that the job can still meet if its tasks run as long as
-  // expected. An objective for starts counts with the expected run time added. If the job can meet
-  // none, `within_s` is that of its latest objective.
+  // expected. For an objective for starts, `within_s` is the time limit of the start plus the
+  // expected run time. If the job can meet no objective, `within_s` is that of its latest
+  // objective.
   NextObjective Next(const jobs::Job& job, double now) const;
 
  private:
--- a/include/mosspath/scheduler/service_placement.h
+++ b/include/mosspath/scheduler/service_placement.h
@@ -5,8 +5,9 @@
 
 namespace mosspath::scheduler {
 
-// Places replicas on distinct machines first, then on any machine with free capacity. Updates the
-// layer sizes and the free capacity in the candidate set as replicas are placed.
+// Places at most one replica on each machine first, and the remaining replicas on any machine with
+// free capacity. Updates the layer sizes and the free capacity in the candidate set as replicas are
+// placed.
 PlacementOutcome PlaceService(PlacementAttempt& attempt, CandidateSet& set, MachineTier tier);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/shard_leases.h
+++ b/include/mosspath/scheduler/shard_leases.h
@@ -1,6 +1,6 @@
-// The leader's accounting of the shards that other controllers hold: open leases, tasks and
-// messages to send to each holder, and the work that waits there. On a holder, the same class
-// queues the messages to the leader. Pure.
+// The leader's accounting of the shards that other controllers hold: the open leases, and for each
+// lease the tasks and messages to send to the holder and the work that waits on the holder. On a
+// holder, the same class queues the messages to the leader. Pure.
 #pragma once
 
 #include <cstddef>
@@ -30,20 +30,20 @@
     size_t shard = 0;
     // Whether the holder has claimed all its tasks and exchanges messages with this leader.
     bool ready = false;
-    // Batches of delegated tasks that TakeMessages has returned. A batch's number is the count at
-    // that time, so numbers start at 1.
+    // How many batches of delegated tasks TakeMessages has returned. The batches are numbered from
+    // 1 in this order.
     uint64_t batches_sent = 0;
-    // CPUs of the shard's machines that take new tasks, and CPUs of the tasks that wait for free
-    // capacity there, as the holder last reported.
+    // As of the holder's last load report: CPUs of the shard's machines that take new tasks, and
+    // CPUs of the delegated tasks that wait for free capacity on the holder.
     double cpus = 0;
     double waiting_cpus = 0;
-    // The last batch that the holder's reports include.
+    // The last batch whose tasks the holder's reports include.
     uint64_t applied_batch = 0;
-    // CPUs of the tasks that were delegated beyond the free capacity, by batch.
+    // CPUs of the tasks that were delegated beyond the free capacity of the shard, by batch.
     std::map<uint64_t, double> ahead_cpus_by_batch;
     // Delegated tasks that the next batch sends.
     TasksByJob unsent_tasks;
-    // Tasks that the holder has reported as done and whose completion is not durable yet, by job.
+    // Tasks that the holder has reported as done but whose completion is not durable yet, by job.
     std::map<std::string, std::set<uint32_t>> done_not_durable;
     std::vector<wire::ShardMessage> outbox;
   };
@@ -65,17 +65,17 @@
   std::map<uint64_t, Lease>& leases() { return leases_; }
   // Returns the lease of a shard whose holder is ready, or kNoLease.
   uint64_t ReadyLeaseOf(size_t shard) const;
-  // Delegates a task to the machine's holder, and counts the task against the machine: the holder
-  // is expected to place it there.
+  // Delegates a task to the machine's holder, and adds the task's resources to those in use on the
+  // machine, because the holder is expected to place the task there.
   void Delegate(cluster::Machine& machine, const jobs::Job& job, uint32_t index);
-  // Delegates a task beyond the free capacity, so that the holder has work as soon as capacity
-  // comes free.
+  // Delegates a task beyond the free capacity of the shard, so that the holder has work as soon as
+  // capacity comes free.
   void DelegateAhead(uint64_t lease, const jobs::Job& job, uint32_t index);
-  // Returns the CPUs of work that may still be delegated ahead; negative if too much waits already.
-  // `share`: the share of the shard's CPUs that work waiting there may amount to.
+  // Returns the CPUs of work that may still be delegated ahead; negative if too much work waits
+  // already. `share`: the limit on the waiting work, as a share of the CPUs in `lease.cpus`.
   double RoomAheadCpus(const Lease& lease, double share) const;
   // Applies the holder's report on a machine. The report includes all batches up to
-  // `applied_batch`; the resources of later batches are added to it.
+  // `applied_batch`; the resources of tasks in later batches are added to those in the report.
   void OnMachineStatus(cluster::Machine& machine, const cluster::MachineStatusUpdate& update,
                        uint64_t applied_batch, double now);
   // Queues a message to the holder. No effect if the lease is not open.
@@ -84,7 +84,7 @@
   // --- As a holder ---
 
   // Returns an id for the reconciliation of tasks that were handed over with their machine. A
-  // holder tracks no leases of others, so the id can't collide with a lease id.
+  // holder has no open leases in this object, so the id can't collide with a lease id.
   uint64_t NextReconciliationId() { return ++reconciliations_; }
   void SendToLeader(wire::ShardMessage message) { to_leader_.push_back(std::move(message)); }
 
--- a/include/mosspath/scheduler/shard_map.h
+++ b/include/mosspath/scheduler/shard_map.h
@@ -1,6 +1,6 @@
 // The partition of machines into shards. Each controller owns one shard. A machine belongs to a
-// shard of a controller in the machine's zone, or to any shard if the zone has no controller. The
-// shard follows from the machine's name and zone, so it is not stored. Pure.
+// shard of a controller in the machine's zone, or to any shard if the zone has no controller. Each
+// controller computes the shard from the machine's name and zone, so the shard is not stored. Pure.
 #pragma once
 
 #include <cstddef>
@@ -22,8 +22,8 @@
   const std::string& OwnerOf(size_t block) const { return owners_[block]; }
 
  private:
-  std::vector<std::string> owners_;  // by name, so all controllers use the same indexes
-  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // of the zone's controllers
+  std::vector<std::string> owners_;  // sorted by name, so all controllers use the same indexes
+  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // by the zone of their owner
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -27,15 +27,17 @@
             uint64_t token);
 
   // Sets the version above which jobs get a durable start marker before any of their tasks is
-  // started, whichever controller leads. kNever does not stop a leader that has begun to write
-  // markers: the leader's view of which controllers write them is empty while the view is reloaded,
-  // and a successor would take a job that was started without a marker for unstarted.
+  // started, whichever controller leads. A leader that has begun to write markers goes on even if
+  // kNever is set: while the leader reloads its view of the state service, that view shows no
+  // controller that writes markers. If the leader then started a job without a marker, its
+  // successor would treat the job as never started.
   void SetMarkersSince(uint64_t version);
 
-  // Whether no earlier leader can have started the job's pending tasks.
+  // Returns whether the job's pending tasks may be started: it is certain that none of them still
+  // runs because an earlier leader started it.
   bool IsStartable(const jobs::Job& job) const;
-  // Whether the job's start marker is durable or not needed. Otherwise requests that the marker is
-  // written, so callers check this last before a start.
+  // Returns whether the job's start marker is durable or not needed. If neither is the case,
+  // requests the write of the marker; callers therefore make this check last before a start.
   bool HasDurableStartMarker(jobs::Job& job);
   // Returns how many of the job's pending tasks the team's limit allows to be placed now. A crash
   // looping job runs one task at a time.
@@ -52,9 +54,9 @@
   bool markers_in_use_ = false;
 };
 
-// Whether tasks of the job may be delegated to the holders of shards. Jobs that need one view of
-// all machines stay with the leader: gangs, services, jobs with tasks that must be in one zone or
-// spread over zones, and crash looping jobs.
+// Returns whether tasks of the job may be delegated to the holders of shards. Only the leader
+// places jobs whose placement must take all machines into account: gangs, services, jobs with tasks
+// that must be in one zone or spread over zones, and crash looping jobs.
 bool IsDelegable(const jobs::Job& job);
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/status_reporter.h
+++ b/include/mosspath/scheduler/status_reporter.h
@@ -18,7 +18,7 @@
   // `state` outlives this object.
   explicit StatusReporter(SchedulerState& state) : state_(state) {}
 
-  // Returns jobs, queues, machines, progress and incidents as of `now`.
+  // Returns the jobs, queues, machines, progress and incidents as of `now`.
   wire::StatusSnapshot MakeSnapshot(double now) const;
   // Logs one line with the current load, if it is due.
   void LogLoadIfDue(double now);
@@ -34,8 +34,8 @@
     kMachinesBusy,
     kNoUsableMachine,
   };
-  // A queue of the snapshot while its sums are computed, with the number of its waiting tasks by
-  // reason.
+  // A queue of the snapshot whose sums are still being computed, and the number of its waiting
+  // tasks by reason.
   struct QueueSummary {
     wire::StatusSnapshot::Queue queue;
     std::map<WaitingReason, size_t> waiting_by_reason;
--- a/include/mosspath/scheduler/task_binder.h
+++ b/include/mosspath/scheduler/task_binder.h
@@ -14,13 +14,13 @@
 // task to the holder of the machine's shard.
 class TaskBinder {
  public:
-  // The arguments outlive the binder. `token`: fencing token of this leadership, the high bits of
-  // its attempt numbers.
+  // The arguments outlive the binder. `token`: fencing token of this leadership. The high bits of
+  // all attempt numbers are this token.
   TaskBinder(cluster::ClusterState& cluster, ShardLeases& shard_leases, FairShare& fair_share,
              CapacityReservation& reservation, uint64_t token);
 
-  // Binds the job's first pending task, which must exist. Returns false if that task has used up
-  // its attempt numbers; the job then starts no more tasks under this leadership.
+  // Binds the job's first pending task, which must exist. Returns false if all attempt numbers of
+  // that task have been used; the job then starts no more tasks under this leadership.
   bool Bind(jobs::Job& job, cluster::Machine& machine, double now);
 
  private:
--- a/include/mosspath/scheduler/task_migration.h
+++ b/include/mosspath/scheduler/task_migration.h
@@ -8,17 +8,17 @@
 
 namespace mosspath::scheduler {
 
-// Requests stops and withdraws planned starts in the scheduler state; placement then starts the
-// tasks elsewhere.
+// Requests stops of tasks and withdraws planned starts. Placement then starts these tasks on other
+// machines.
 class TaskMigration {
  public:
   // `state` outlives this object.
   explicit TaskMigration(SchedulerState& state) : state_(state) {}
 
-  // Requests the stop, with time for a checkpoint, of all tasks on a draining machine if all of
-  // them can be moved, they fit into the free capacity elsewhere, and the remaining run time of one
-  // of them is worth the cost of a move. The stopped tasks become pending and are placed like
-  // others.
+  // Requests the stop of all tasks on a draining machine, with time for a checkpoint. The tasks are
+  // stopped only if all of them can be moved, they fit into the free capacity of other machines,
+  // and the remaining run time of at least one of them is worth the cost of a move. The stopped
+  // tasks become pending and are placed like other pending tasks.
   void MigrateFromDraining(double now);
   // Withdraws planned starts from unschedulable machines. Requests the stop of tasks that must
   // write a checkpoint before their machine is reclaimed, or that should restart on a faster
@@ -26,7 +26,7 @@
   void LeaveUnschedulableMachines(double now);
 
  private:
-  // Whether all tasks of a machine can be moved, and whether that is worth its cost.
+  // Whether all tasks of a machine can be moved, and whether the move is worth its cost.
   enum class MigrationValue { kImpossible, kNotWorthwhile, kWorthwhile };
 
   // Returns the free CPUs on machines that accept new tasks, less the CPUs of pending tasks; the
@@ -38,8 +38,8 @@
   void StopTasks(cluster::Machine& machine);
   void WithdrawPlannedStarts(cluster::Machine& machine, double now);
   void StopEndangeredTasks(cluster::Machine& machine, double now);
-  // Returns whether the time until the machine is reclaimed may be too short for a checkpoint that
-  // begins any later.
+  // Returns whether a checkpoint of a task of the job must begin now, because a checkpoint that
+  // begins later may not be complete when the machine is reclaimed.
   bool MustSaveNow(const cluster::Machine& machine, const jobs::Job& job, double now) const;
 
   SchedulerState& state_;
--- a/include/mosspath/scheduler/task_placer.h
+++ b/include/mosspath/scheduler/task_placer.h
@@ -42,8 +42,8 @@
 // computed. Not thread-safe.
 class TaskPlacer {
  public:
-  // The arguments outlive the placer. `token`: fencing token of this leadership, the high bits of
-  // its attempt numbers.
+  // The arguments outlive the placer. `token`: fencing token of this leadership. The high bits of
+  // all attempt numbers are this token.
   TaskPlacer(const config::Settings& settings, cluster::ClusterState& cluster,
              const ServiceLevelObjectives& objectives, const Failover& failover,
              DurableState& durable_state, ShardLeases& shard_leases, uint64_t token);
@@ -51,10 +51,11 @@
   TaskPlacer(const TaskPlacer&) = delete;
   TaskPlacer& operator=(const TaskPlacer&) = delete;
 
-  // `delegate_ahead_share`: work that is delegated to shard holders beyond the free capacity of
-  // their machines, as a share of their CPUs.
+  // `delegate_ahead_share`: limit on the work that may wait on a shard holder for free capacity, as
+  // a share of the CPUs of the shard's machines.
   void SetPolicy(const LocalityPolicy& policy, double delegate_ahead_share);
-  // Share of the pool's CPUs that may go to overdue first tasks within one lease time.
+  // Sets the share of all schedulable machines' CPUs that overdue first tasks may take within one
+  // agent lease time.
   void SetFirstTaskShare(double share) { overdue_first_tasks_.SetShare(share); }
   FairShare& fair_share() { return fair_share_; }
   CapacityReservation& reservation() { return reservation_; }
@@ -65,8 +66,8 @@
   void Place(double now);
   // Places waiting tasks on a machine whose capacity was freed, without a placement pass.
   void Refill(cluster::Machine& machine, double now);
-  // Stops tasks of lower priority, least lost work first, to free capacity for waiting jobs of a
-  // higher priority.
+  // Frees capacity for waiting jobs by stopping tasks of lower priority, beginning with those that
+  // lose the least work.
   void Preempt(double now);
   // Removes the job from all queues. Called before the job is destroyed.
   void ForgetJob(const jobs::Job& job);
@@ -81,20 +82,21 @@
   }
   // Returns whether the job's tasks may be delegated to shard holders.
   bool IsDelegable(const jobs::Job& job) const { return scheduler::IsDelegable(job); }
-  // Returns the shard that the machine counts towards. All machines that a delegating leader or a
-  // holder commands count as one shard.
+  // Returns the shard of a machine that this controller commands. On a holder, and on a leader with
+  // shard holders, that is the shard of the controller itself, whatever the shard map says.
   size_t ShardOf(const cluster::Machine& machine) const;
 
-  // Jobs for which placement was attempted, and machines that were filtered for them, since
-  // construction.
+  // Return how many attempts to place tasks of a job were made since construction, and how many
+  // machines these attempts filtered.
   uint64_t placement_attempts() const { return placement_attempts_; }
   uint64_t candidates_scored() const { return candidates_scored_; }
 
  private:
   // Returns the machines of this pass.
   MachinePool CollectPool(double now);
-  // Adds a machine that has no record entry to the record, or hands it over to the ready holder of
-  // its shard. Returns whether this controller may use the machine in this pass.
+  // If the machine is not in the durable record, adds it to the record, or begins its handover if
+  // the holder of its shard is ready. Returns whether this controller may use the machine in this
+  // pass.
   bool RecordMachine(cluster::Machine& machine, double now);
   void BeginReservation(const MachinePool& pool, double now);
   void RankQueues(double now);
--- a/include/mosspath/scheduler/task_reconciliation.h
+++ b/include/mosspath/scheduler/task_reconciliation.h
@@ -18,12 +18,12 @@
   // the tasks were delegated. Returns false if there are no machines, and thus no running tasks.
   bool Begin(uint64_t reconciliation, const std::vector<std::string>& machines);
   // The machine has reported its tasks, or is certain to run none. Returns the ids of the
-  // reconciliations that waited only for this machine, and thus end.
+  // reconciliations that have waited for this machine only. These reconciliations end.
   std::vector<uint64_t> OnMachineReconciled(const std::string& machine);
   bool IsActive(uint64_t reconciliation) const { return pending_.contains(reconciliation); }
   bool empty() const { return pending_.empty(); }
   // Returns whether each reconciliation that waits for this machine waits for at most `max_share`
-  // of its machines, or for this machine alone. Returns false if none waits for it.
+  // of its machines, or for this machine alone. Returns false if no reconciliation waits for it.
   bool IsNearlyComplete(const std::string& machine, double max_share) const;
 
  private:
--- a/include/mosspath/scheduler/time_points.h
+++ b/include/mosspath/scheduler/time_points.h
@@ -1,4 +1,4 @@
-// Sentinel values for points in time of the controller's steady clock.
+// Sentinel values for times of the controller's steady clock.
 #pragma once
 
 namespace mosspath::scheduler {
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,12 +1,13 @@
 // Starts that a machine other than the intended one may have executed. A command batch is sent to
 // an address. If its answer is lost and the intended machine is gone, another machine that has
-// reused the address may run the task. The records of the intended machine can't show that. Pure.
+// reused the address may run the task. What the intended machine has reported can't show that.
+// Pure.
 //
 // Such a task is withheld until no other machine can run it. This is certain once the cloud's list
 // of machines, requested late enough to show all machines that were up when the batch was sent,
 // meets one of two conditions: no listed machine has that address, or each listed machine at that
-// address has confirmed a token above the batch's in a heartbeat that was reconciled
-// (docs/design.md, 16).
+// address has confirmed a fencing token higher than that of the batch, in a heartbeat that was
+// reconciled (docs/design.md, 16).
 #pragma once
 
 #include <map>
@@ -36,11 +37,11 @@
   void Add(const wire::TaskId& task, UnconfirmedStart start) { starts_[task] = std::move(start); }
   void Forget(const wire::TaskId& task) { starts_.erase(task); }
   bool empty() const { return starts_.empty(); }
-  // Takes the cloud's list of all machines, requested at `requested_at`. A list that was requested
-  // before the last one is ignored.
+  // Stores the cloud's list of all machines, which was requested at `requested_at`. Ignores a list
+  // that was requested before the stored list.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed, double requested_at);
-  // Removes and returns the tasks that no other machine can run. Adds to `suspects` the machines
-  // that must confirm a higher token before further tasks can be ruled out.
+  // Removes and returns the tasks that no machine other than the intended one can run. Adds to
+  // `suspects` the machines that must confirm a higher token before further tasks can be ruled out.
   std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& cluster,
                                          std::set<std::string>& suspects);
 
@@ -57,7 +58,7 @@
 
   const double list_lag_s_;
   std::map<wire::TaskId, UnconfirmedStart> starts_;
-  // From the last list.
+  // From the last machine list.
   double list_requested_at_ = kLongAgo;
   std::vector<ListedAddress> listed_machines_;
 };
--- a/include/mosspath/scheduler/unplaceable_specs.h
+++ b/include/mosspath/scheduler/unplaceable_specs.h
@@ -13,10 +13,12 @@
 // Valid for one placement pass.
 class UnplaceableSpecs {
  public:
-  // Records that the job's remaining tasks don't fit. Ignores jobs with constraints of their own,
-  // since these exclude machines that other jobs may use. The job outlives this object.
+  // Records that the job's remaining tasks don't fit. Ignores a job whose own constraints or recent
+  // failures exclude machines, because other jobs may fit on these machines. The job outlives this
+  // object.
   void Add(const jobs::Job& job);
-  // Returns whether a recorded spec needs no more than this one and may use the same machines.
+  // Returns whether a recorded spec shows that this spec's tasks don't fit: the recorded spec needs
+  // no more resources, and may use all machines that this one may use.
   bool Covers(const wire::JobSpec& spec) const;
 
  private:
--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -7,8 +7,8 @@
 using cluster::Machine;
 using jobs::Job;
 
-// Marks the current token. The machine gets no new tasks until it has reported under a higher
-// token, which it can only have received in an answer.
+// Marks the current fencing token. The machine gets no new tasks until it has reported under a
+// higher token, because it can have received that token only in an answer.
 void LeaderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.ignored_answers_token = machine.fencing_token;
 }
@@ -19,8 +19,9 @@
   return true;
 }
 
-// If the team has a limit, tasks of the job that holders of shards still have count towards that
-// limit until the holders return them. Without a limit the leader stops tracking them at once.
+// If the team has a limit, delegated tasks of the job are counted towards that limit until the
+// holders of shards return the tasks. If the team has no limit, the leader stops tracking these
+// tasks at once.
 void LeaderRole::OnJobRemoved(const Job& job) {
   cluster::ClusterState& cluster = state_.cluster;
   if (!cluster.quota.IsUnlimited(job.spec.team)) return;
--- a/src/scheduler/leader_sharding.cc
+++ b/src/scheduler/leader_sharding.cc
@@ -18,7 +18,8 @@
 
 namespace {
 
-// Limit on the retry count that is accepted from a holder's report on a crash-looping job.
+// Upper limit of a crash-looping job's retry count, in retries. A larger count in a holder's report
+// is reduced to this limit.
 constexpr uint64_t kMaxRetries = 1000;
 
 // The decoded `count` of a kMachineReturned message (wire/shard_frame.h).
@@ -103,8 +104,9 @@
   return taken_back;
 }
 
-// The record may already name the holder, so the holder may have sent commands to the machine and
-// started delegated tasks there. Returns the machines that must be probed for their tasks.
+// Aborts the handovers to the holder of the lease. The record of such a machine may already name
+// the holder, so the holder may have sent commands to the machine and started delegated tasks
+// there. Returns the machines that must be probed for their tasks.
 std::vector<std::string> LeaderSharding::AbortHandovers(uint64_t lease, double last_acted) {
   std::vector<std::string> aborted;
   for (auto& [id, machine] : state_.cluster.machines) {
@@ -167,8 +169,8 @@
   }
 }
 
-// The holder has tasks that this leader has not delegated: an earlier leader delegated them, or
-// they ran on the holder's machines when these were handed over.
+// Handles a claim of tasks that the holder has although this leader has not delegated them: an
+// earlier leader delegated them, or they ran on machines that were handed over to the holder.
 void LeaderSharding::OnClaim(uint64_t lease, const ShardMessage& message) {
   Job* job = state_.cluster.FindJob(message.name);
   std::vector<uint32_t> refused;
@@ -185,9 +187,9 @@
   }
 }
 
-// The job has ended, since this leader's view contains all jobs that were accepted before its
-// election. The task may still run, but its team and its resources are no longer known, so it
-// counts as a task of unknown quota use.
+// The job has ended: this leader has read all jobs that were accepted before its election and have
+// not ended since. The task may still run. Its team and its resources can no longer be looked up,
+// so the task is counted as one of unknown quota use.
 void LeaderSharding::OnClaimOfUnknownJob(uint64_t lease, const wire::TaskId& task) {
   cluster::ClusterState& cluster = state_.cluster;
   if (cluster.delegated_tasks.LeaseOf(task) != kNoLease) return;
@@ -196,7 +198,8 @@
   cluster.quota.AddUnknownTask();
 }
 
-// Returns false if the task is done or runs elsewhere.
+// Records a claimed task as delegated to the holder of the lease, if the task is pending or being
+// reconciled. Returns false if the task is done, or belongs to another controller or lease.
 bool LeaderSharding::AcceptClaim(uint64_t lease, Job& job, uint32_t index) {
   const wire::TaskId task{job.spec.id, index};
   cluster::ClusterState& cluster = state_.cluster;
@@ -210,10 +213,11 @@
   return cluster.delegated_tasks.LeaseOf(task) == lease || IsBeingHandedOver(task, lease);
 }
 
-// Returns whether the task is on a machine that the holder may already command, although the store
-// has not confirmed the write of the record to this leader yet. Without this check the task was
-// treated as a second copy: it was stopped there and started elsewhere before it had ended, so it
-// ran twice.
+// Returns whether the task is on a machine that is being handed over to the holder. The holder may
+// already command the machine, although this leader has not yet received the confirmation that the
+// record was written. Without this check, the claimed task was treated as a duplicate: the holder
+// was ordered to stop it, and it was started on another machine before it had ended, so it ran
+// twice.
 bool LeaderSharding::IsBeingHandedOver(const wire::TaskId& task, uint64_t lease) const {
   const cluster::Machines& machines = state_.cluster.machines;
   return std::any_of(machines.begin(), machines.end(), [&](const auto& it) {
@@ -224,8 +228,9 @@
   });
 }
 
-// The holder has claimed all tasks of its machines as of `known_revision`. This counts only if this
-// leader had been elected by then.
+// The holder has claimed all tasks of the machines that it commands by its view of the state
+// service up to `known_revision`. The message is ignored if that view is older than the election of
+// this leader.
 void LeaderSharding::OnSyncComplete(uint64_t lease, uint64_t known_revision) {
   if (known_revision >= state_.token && state_.failover.OnHolderSynced(lease)) {
     spdlog::info("scheduler: recovery_complete cause=holders_synced");
@@ -267,7 +272,8 @@
           held.outbox.push_back(std::move(message));
         }
       }
-      // The holder reads from the store which jobs have ended.
+      // Tasks of an ended job need no message: the holder reads from the store which jobs have
+      // ended.
       if (job == nullptr || not_durable.empty()) held.done_not_durable.erase(it);
       it = next;
     }
@@ -298,12 +304,13 @@
   state_.cluster.changed_since_pass = true;
 }
 
-// The machine is known to be empty, so it is not probed.
+// A returned machine is empty or lost, so the leader does not probe it for tasks.
 void LeaderSharding::OnMachineReturned(uint64_t lease, const ShardMessage& message, double now) {
   const Machine* found = FindDelegated(message.name, lease);
   if (found == nullptr) return;
-  // A holder sends a new leader all its returns. A machine may have been handed over again since
-  // then, with tasks, without the holder having read the new record. Such a return is outdated.
+  // A holder repeats all its returns to a new leader. Since a return, the machine may have been
+  // handed over to the holder again, with tasks, and the holder may not have read the new record
+  // yet. A return that belongs to an earlier handover is therefore ignored.
   const ReturnedMachine returned = DecodeReturnedMachine(message.count);
   if (returned.handover_revision < found->handover_revision) return;
   const Machine delegated = *found;
@@ -329,8 +336,8 @@
   held.cpus = 0;
   for (auto& [id, machine] : state_.cluster.delegated_machines) {
     if (machine.shard_lease != lease) continue;
-    // The holder reports only changes, so a machine that was reported idle is still idle. Without
-    // this extrapolation no delegated machine was ever deleted.
+    // The holder reports only changes of a machine, so a machine that was reported idle is still
+    // idle. Without this extrapolation of its idle time, no delegated machine was ever deleted.
     if (machine.holder_status.idle) {
       machine.holder_status.idle_s += now - machine.holder_status_at;
     }
--- a/src/scheduler/locality.cc
+++ b/src/scheduler/locality.cc
@@ -18,19 +18,21 @@
 }
 
 // The filter c_1 of the paper, except that a machine that holds the whole image always passes: the
-// cap limits how many bytes a machine accumulates, and a task there adds none. Without the
-// exception the huge images of one team made the cap exclude the machines that hold the layers of
-// other teams.
+// cap limits how many bytes a machine accumulates, and the task adds no bytes to such a machine.
+// Without the exception, when one team used huge images, the cap excluded the machines that hold
+// the layers of other teams.
 bool Passes(const Candidate& c, double total_gb, double cap) {
   return c.missing_gb <= 0 || Share(c, total_gb) <= cap;
 }
 
-// Heap order: the machine that holds the fewest bytes is the top, the lowest index among equals.
+// Heap order: the top is the machine that holds the fewest bytes, and among equals the machine with
+// the lowest index.
 bool HeapLess(const Candidate& a, const Candidate& b) {
   return a.held_gb != b.held_gb ? a.held_gb > b.held_gb : a.machine > b.machine;
 }
 
-// Returns the machines with capacity that pass the cap, or all those with capacity if none passes.
+// Returns the machines with capacity that pass the cap. If none passes, returns all machines with
+// capacity.
 std::vector<const Candidate*> EligibleMachines(const std::vector<Candidate>& candidates,
                                                double total_gb, size_t machine_count,
                                                const LocalityPolicy& policy) {
--- a/src/scheduler/machine_handover.cc
+++ b/src/scheduler/machine_handover.cc
@@ -14,13 +14,14 @@
 
 namespace {
 
-// Limit on the handovers in progress: this number, or this share of the leader's machines if that
-// is more.
+// Limit on the handovers in progress: this number of machines, or this share of the machines that
+// the leader commands, whichever is more.
 constexpr size_t kMinHandovers = 8;
 constexpr double kMaxHandoverShare = 0.125;
 // Limit on the recalls in progress, as a share of the delegated machines; at least one is allowed.
 constexpr double kMaxRecallShare = 0.125;
-// Machines are recalled for a job once it has waited for this many heartbeat intervals.
+// Machines are recalled once the oldest job that only the leader may place has waited for this many
+// heartbeat intervals.
 constexpr double kRecallPatienceHeartbeats = 0.5;
 
 size_t ShareOf(double share, size_t machines) {
@@ -146,11 +147,11 @@
 // The holder's fencing token for the machine is the revision of the record that assigned it. The
 // leader therefore sends the machine no commands until a later write of that record.
 //
-// Until the machine's tasks are known, its record keeps naming the ended lease, so that a new
-// leader takes into account that the former holder may still answer the machine's heartbeats.
-// Without this, a new leader counted the silence of such a machine from its own election only, and
-// declared the machine lost while the holder, partitioned together with it, still renewed the lease
-// of its agent: a task ran twice.
+// Until the machine has reported its tasks, its record keeps the id of the ended lease. A new
+// leader finds by this id that the former holder may still answer the machine's heartbeats. Without
+// this, a new leader counted the silence of such a machine from its own election only. It declared
+// the machine lost while the former holder, in the same network partition as the machine, still
+// renewed the lease of the machine's agent, and a task ran twice.
 Machine& MachineHandover::TakeBack(const Machine& delegated, uint64_t past_lease,
                                    double last_acted) {
   Machine machine;
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -11,26 +11,27 @@
 
 namespace {
 
-// Timed tasks of a job before further tasks of the job are compared with their mean run time.
+// A task is compared with the mean run time of its job only after this many tasks of the job have
+// been timed.
 constexpr uint32_t kMinTimedTasksOfJob = 3;
-// Timed tasks on a machine before it can be quarantined as slow; its slowdown is a moving average
-// over as many.
+// A machine can be quarantined as slow only after this many tasks on it have been compared. Its
+// slowdown is a moving average over as many tasks.
 constexpr int kMinTimedTasksOnMachine = 4;
-// A machine counts as slow if its tasks run more than this many times as long as elsewhere.
+// A machine is slow if its tasks run more than this many times as long as the mean of their jobs.
 constexpr double kSlowFactor = 2.5;
-// A task is restarted elsewhere if its expected remaining run time exceeds its job's mean run time
-// by this factor.
+// A task on a quarantined machine is restarted elsewhere if its expected remaining run time there
+// exceeds this many times the mean run time of its job.
 constexpr double kRestartFactor = 1.5;
-// Consecutive failed tasks before a machine counts as faulty.
+// A machine is faulty after this many failed tasks without a success in between.
 constexpr int kFailuresOfFaultyMachine = 3;
-// Different jobs that must have failed on a faulty machine, unless other tasks of the last
-// failed job have succeeded.
+// The failed tasks of a faulty machine must belong to at least this many jobs. A single job is
+// enough if other tasks of the job have succeeded, because the job itself then works.
 constexpr size_t kMinFailedJobs = 2;
-// Consecutive failed tasks of a job, and machines that they failed on, before it counts as crash
-// looping.
+// A job is crash looping after this many consecutive failed tasks, on at least this many machines,
+// if none of its tasks has succeeded.
 constexpr uint32_t kFailuresOfCrashLoop = 4;
 constexpr size_t kMinMachinesOfCrashLoop = 2;
-// The backoff between retries of a crash looping job: its upper limit in agent leases, and its
+// The backoff between retries of a crash looping job: the upper limit in agent leases, and the
 // growth factor per retry.
 constexpr double kMaxRetryPauseLeases = 16;
 constexpr double kRetryPauseGrowth = 2;
@@ -50,7 +51,8 @@
       verdict = Verdict::kMachineSlow;
     }
   }
-  // The run times of a slow machine would raise the mean that other machines are compared with.
+  // The run times of a slow machine would raise the mean run time with which other machines are
+  // compared.
   if (machine.quarantined) return verdict;
   job.timed_run_s += ran_s;
   ++job.timed_tasks;
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -28,14 +28,14 @@
   machine.fencing_token = state_.token;
   machine.recorded_address = record.address;
   state_.failover.AddMachine(machine);
-  // The record names a lease that this leader does not know. Its holder may go on commanding
-  // machines until its view of the store is too old.
+  // The record may name a lease that is not open under this leader. The holder of that lease may go
+  // on commanding the machine until the holder's view of the state service is too old.
   if (record.lease != kNoLease) machine.lease_renewed_at += state_.derived.shard_hold_s;
   machine.expired_lease = record.lease;
 }
 
-// The machine's holder reports the tasks on it. The machine can't be in `machines` as well, because
-// each machine has its record in exactly one pack.
+// Adds a machine that another controller commands. The holder reports the tasks on the machine. The
+// machine can't be in `machines` as well, because each machine has its record in exactly one pack.
 void MachineLifecycle::AddDelegated(const std::string& id, const MachineRecord& record,
                                     size_t shard) {
   Machine& machine = state_.cluster.delegated_machines[id];
@@ -51,8 +51,8 @@
 Machine& MachineLifecycle::FindOrAdd(const wire::Heartbeat& heartbeat, double now) {
   Machine& machine = state_.cluster.machines[heartbeat.machine];
   if (machine.address.empty()) {
-    // A machine that came from another controller already has a token, higher than that of the
-    // other controller.
+    // A machine that another controller has commanded already has a fencing token, which is higher
+    // than the token of that controller.
     if (machine.id.empty()) machine.fencing_token = state_.token;
     machine.id = heartbeat.machine;
     machine.type = heartbeat.type;
@@ -91,10 +91,10 @@
     spdlog::info("scheduler: agent_epoch_began machine={} epoch={}", machine.id, agent_epoch);
   }
   machine.agent_epoch = agent_epoch;
-  // An epoch lasts for a whole lease, even if none of its heartbeats is answered, so its expiry
-  // must not be counted from the last heartbeat answer alone. An epoch that was first seen in the
-  // answer to a command batch executed starts, and outlived the expiry that was counted that way:
-  // tasks ran twice.
+  // An agent epoch lasts for at least one agent lease, even if none of its heartbeats is answered.
+  // The expiry of the lease must therefore not be counted from the last heartbeat answer alone.
+  // When it was, an epoch that was first seen in the answer to a command batch had executed starts,
+  // and was still running when its lease was taken to have expired: tasks ran twice.
   machine.epoch_seen_at = now;
 }
 
@@ -184,15 +184,17 @@
 }
 
 void MachineLifecycle::EndAllocations(Machine& machine, double now) {
-  // A holder receives no machine lists, so it can't rule out such starts; docs/sharding.md
+  // The holder of a shard receives no machine lists. It can't rule out that another machine has
+  // executed an unconfirmed start, and could never release a withheld task; docs/sharding.md
   // describes the remaining risk.
   if (state_.role->ReceivesMachineLists()) WithholdUnconfirmedStarts(machine);
   state_.cluster.RemoveAllAllocations(machine, now);
   ReleaseRuledOutStarts();
 }
 
-// A start that was sent directly to an agent and got no answer may have been executed by another
-// machine that has reused the address. A task that was restarted elsewhere at once ran twice.
+// Withholds the tasks whose start was sent directly to the agent and got no answer: another machine
+// that has reused the address may have executed the start. Without this, such a task was restarted
+// elsewhere at once, and ran twice.
 void MachineLifecycle::WithholdUnconfirmedStarts(const Machine& machine) {
   for (const auto& [key, allocation] : machine.allocations) {
     const wire::TaskId& task = key.first;
--- a/src/scheduler/machine_refill.cc
+++ b/src/scheduler/machine_refill.cc
@@ -9,13 +9,14 @@
 
 namespace {
 
-// An image fetch may take at most this many times the job's age: a job that was just submitted
-// waits for a machine that has its image.
+// A job is placed only if its image fetch takes at most this many times the job's age. A job that
+// was just submitted therefore waits for a machine that has its image.
 constexpr double kMaxFetchPerAge = 2;
-// To save an image fetch, a job may be delayed by this many times the duration of the fetch.
+// To save an image fetch, a job with an earlier virtual deadline may be passed over if the
+// deadlines differ by less than this many times the duration of the fetch.
 constexpr double kMaxDelayPerFetch = 3;
 
-// The virtual deadline plus the cost of the image fetch to this machine.
+// Returns the virtual deadline plus the cost of the image fetch to this machine.
 double DeadlineWithFetch(const Job& job, const Machine& machine) {
   return job.virtual_deadline + kMaxDelayPerFetch * ImageFetchS(job, machine);
 }
--- a/src/scheduler/overdue_first_tasks.cc
+++ b/src/scheduler/overdue_first_tasks.cc
@@ -10,10 +10,11 @@
 
 namespace {
 
-// Requirement: each job, the largest of a class included, starts its first task within this time,
-// whatever the load.
+// Requirement: each job starts its first task within this time, whatever the load, even the largest
+// job of a class.
 constexpr double kFirstStartWithinS = 240;
-// Share of kFirstStartWithinS after which a first task goes ahead of all other work.
+// A job's first task goes ahead of all other work once the job has waited for this share of
+// kFirstStartWithinS.
 constexpr double kOverdueShare = 0.5;
 
 bool IsOverdue(const Job& job, double now) {
--- a/src/scheduler/placement_attempt.cc
+++ b/src/scheduler/placement_attempt.cc
@@ -117,7 +117,8 @@
   return scope.in_home_shard == (machine.shard == *job_.home_shard);
 }
 
-// The cap of layer locality, and each machine's share of the layers, are relative to the scope.
+// Also sums the machines and layers of the whole scope, because the cap of layer locality and each
+// machine's share of the layers are relative to the scope.
 CandidateSet PlacementAttempt::CollectCandidates(const PlacementScope& scope) {
   CandidateSet set;
   for (size_t i = 0; i < pool_.size(); ++i) {
@@ -142,7 +143,8 @@
 
 PlacementOutcome PlacementAttempt::PlaceOneByOne(const CandidateSet& set, MachineTier tier) {
   // A gang is placed whole or not at all. Its machines were filtered by the reservation as it stood
-  // before the gang; applying it to each task would leave a part of the gang placed.
+  // before the gang was placed. Applying the reservation to each task again could leave only a part
+  // of the gang placed.
   const bool respects_reservation = job_.spec.kind != wire::JobKind::kGang;
   LocalityPicker picker(set.candidates, set.scope_gb, set.scope_size, stages_.policy);
   while (remaining_ > 0) {
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -13,14 +13,17 @@
 
 namespace {
 
-// Share of its expected run time that a task without checkpoints may lose to preemption.
+// A task without checkpoints may be preempted only while it has run for at most this share of its
+// expected run time. The limit does not apply to preemption for a job of critical priority.
 constexpr double kMaxLossShare = 0.12;
-// Share of the time to an objective for starts after which a job preempts.
+// If the start objective of a job ends within one heartbeat interval of its submission, the job may
+// preempt once it has waited for this share of the time limit.
 constexpr double kStartDelayShare = 0.3;
-// Loss of a task that started too recently to have saved much work, in checkpoint durations.
+// Work that is lost with a task that started too recently to have saved much in checkpoints
+// (IsSettling), in checkpoint durations.
 constexpr double kSettlingLossCheckpoints = 2;
-// Weight that each level of priority adds to a loss: of equal losses, the task of lower priority is
-// stopped.
+// Weight that each level of priority adds to a loss. Of two tasks with equal losses, the task of
+// lower priority is therefore stopped first.
 constexpr double kLossWeightPerPriority = 2;
 
 double RunTimeS(const Allocation& allocation, double now) {
@@ -32,7 +35,7 @@
          allocation.state == Allocation::State::kReported;
 }
 
-// Seconds of work that the task loses when it is stopped now.
+// Returns the seconds of work that the task loses if it is stopped now.
 double LossS(const Job& job, double ran_s) {
   if (job.spec.checkpoint_interval_s <= 0) return ran_s;
   if (IsSettling(job, ran_s)) return kSettlingLossCheckpoints * job.spec.checkpoint_duration_s;
@@ -83,9 +86,10 @@
   return cpus;
 }
 
-// Tasks end all the time even when all machines are full. Until the next heartbeats most waiting
-// tasks get freed capacity, and a task stopped for one of them would lose its work for nothing. The
-// delay is therefore one heartbeat interval, unless a start objective ends within that interval.
+// Tasks end all the time even when all machines are full. Within one heartbeat interval, most
+// waiting tasks get capacity that was freed by tasks that ended; a task that was stopped for them
+// would lose its work for nothing. The delay is therefore one heartbeat interval. It is shorter if
+// the job has a start objective that ends within one heartbeat interval of its submission.
 double Preemption::PreemptionDelayS(const Job& job, double now) const {
   const ServiceLevelObjectives::NextObjective objective = objectives_.Next(job, now);
   const double start_within_s = objective.within_s - ExpectedRunS(job);
@@ -115,10 +119,11 @@
   if (victim.allocation->stop_requested) return false;
   const wire::JobSpec& victim_spec = victim.job->spec;
   if (victim_spec.priority >= job.spec.priority) return false;
-  // A task within its group's fair-share floor would be placed again at once.
+  // A task that keeps its group at or below the fair-share floor would be placed again at once.
   if (!fair_share_.MayPreempt(*victim.job, victim.allocation->cpus)) return false;
   if (!filter_.IsAllowedOn(job, *victim.machine, now)) return false;
-  // A task without checkpoints loses all its work, so it is stopped only while that is little.
+  // A task without checkpoints loses all its work. It is stopped only while that work is little,
+  // unless the waiting job is of critical priority.
   const bool loses_all = victim_spec.checkpoint_interval_s <= 0;
   if (!loses_all || job.spec.priority == wire::Priority::kCritical) return true;
   return RunTimeS(*victim.allocation, now) <= kMaxLossShare * ExpectedRunS(*victim.job);
