--- a/include/mosspath/admission/admission_controller.h
+++ b/include/mosspath/admission/admission_controller.h
@@ -1,20 +1,24 @@
 // Admission control of jobs: one budget of tasks for the whole service. Each controller applies it
 // to the same replicated view of the accepted jobs, so all controllers compute the same limits
-// without coordination. No I/O: view changes, requests and the time in; verdicts out.
+// without coordination. No I/O: changes of the view, requests and the time are the inputs, and
+// verdicts are the outputs. The view is what this controller has read of the state service, up to a
+// revision.
 //
-// Each team is assured a part of the budget by weight; kAssuredShare of the budget is assured in
-// all. The rest is allotted by a dynamic threshold (Choudhury and Hahne, 1998). A team's limit is
-// the larger of its assured part and its weight times the budget that is free beyond the unused
-// assured parts of the other teams. A class's limit is the weight of its priority, times its own
-// weight, times what its team's limit leaves. A team that floods therefore stops at its limit while
-// budget is left for others, and the more teams flood, the lower the limit of each.
+// Each team is assured a part of the budget, in proportion to its weight; the assured parts sum to
+// kAssuredShare of the budget. The rest is allotted by a dynamic threshold (Choudhury and Hahne,
+// 1998). A team's limit is the larger of its assured part and its weight times the budget that is
+// free beyond the unused assured parts of the other teams. A class's limit is the weight of its
+// priority, times its own weight, times what its team's limit leaves. A team that floods therefore
+// stops at its limit while budget is left for others, and the more teams flood, the lower the limit
+// of each.
 //
 // Invariants:
-//   - jobs that are accepted here and not yet in the view have at most this controller's share of
-//     the budget that the view shows free, or are a single job; the shares of all controllers sum
-//     to at most kPlannedFraction (admission_plan.h);
-//   - a team within its assured part is refused because of no other team's jobs in the view;
-//   - a team or class without accepted jobs may have one job, if the budget has room for it at all.
+//   - the tasks of jobs that this controller has accepted and its view does not show yet sum to at
+//     most this controller's share of the budget that the view shows free, or belong to a single
+//     job; the shares of all controllers sum to at most kPlannedFraction (admission_plan.h);
+//   - a team within its assured part is not refused because of other teams' jobs in the view;
+//   - a team or class without accepted jobs may have one job of any size for which the whole budget
+//     has room.
 #pragma once
 
 #include <cstdint>
@@ -28,8 +32,8 @@
 
 namespace mosspath::admission {
 
-// Returns the weight of a priority, in the limit of a class and in the fair queue among the classes
-// of a team. Under load, higher priorities are refused last.
+// Returns the weight of a priority. The weight is used in the limit of a class, and in the fair
+// queue among the classes of a team. Under load, higher priorities are refused last.
 double PriorityWeight(wire::Priority priority);
 
 struct AdmissionVerdict {
@@ -47,9 +51,10 @@
   AdmissionController(double budget, std::vector<std::string> teams, double min_retry_s,
                       double max_retry_s);
 
-  // Weights by team ("name") and class ("team/class"), 1 if absent; 0: one job at a time.
+  // Sets the weights by team ("name") and class ("team/class"). An absent weight is 1. A team or
+  // class of weight 0 may have one job at a time.
   void SetWeights(std::map<std::string, double> weights);
-  // Returns the tasks that the team may have accepted whatever other teams have.
+  // Returns how many accepted tasks the team may have, however many tasks other teams have.
   double Assured(const std::string& team) const;
 
   // --- Changes of the view ---
@@ -61,7 +66,8 @@
   void OnLoaded(uint64_t revision);
 
   // --- Requests ---
-  // `share`: this controller's share of the free budget. An admitted job is in flight.
+  // Decides on a request. `share`: this controller's share of the free budget. An admitted job is
+  // in flight from now on.
   AdmissionVerdict Request(const wire::JobSpec& spec, double share, double now);
   // The record of the in-flight job was written at `revision`.
   void OnDurable(const std::string& id, uint64_t revision);
@@ -97,7 +103,8 @@
   void AddTasks(const ClassKey& key, double tasks);
   void RemoveInFlight(const std::string& id);
   double Weight(const std::string& name) const;
-  // `excess_tasks`: by how many tasks the job exceeds the limit; determines the retry time.
+  // `excess_tasks`: by how many tasks the job exceeds the limit. The retry time is computed from
+  // it.
   AdmissionVerdict Refuse(const wire::JobSpec& spec, std::string reason, double excess_tasks,
                           double now) const;
 
--- a/include/mosspath/admission/admission_plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -1,13 +1,13 @@
 // Admission shares: the part of the free budget that each controller may fill before its view shows
-// what the other controllers accepted. The leader plans the shares by demand. A controller requests
-// its plan with each presence message, and the response carries the plan. No I/O; the time is an
-// argument.
+// the jobs that the other controllers have accepted. The leader plans the shares by demand. A
+// controller requests a plan in each of its presence messages, and the response contains the plan.
+// No I/O; the time is an argument.
 //
 // Invariants (docs/admission.md):
 //   - the shares in force on all controllers sum to at most kPlannedFraction at any instant. A
-//     controller counts the validity of a share from its *request*; the leader counts the same
-//     share for longer, and from its response. The leader raises a share only by what no other
-//     controller can still have in force;
+//     controller counts the validity of a share from its *request*; the leader counts the validity
+//     of the same share from its response, and for longer. The leader raises a share only by the
+//     part of kPlannedFraction that no other controller can still have in force;
 //   - a new leader grants no plan until all plans of earlier leaders have expired;
 //   - a controller without a plan uses MinimumShare, which every plan leaves to each controller.
 #pragma once
@@ -19,7 +19,8 @@
 
 namespace mosspath::admission {
 
-inline constexpr double kPlannedFraction = 0.5;  // the rest allows for lagging views
+inline constexpr double kPlannedFraction =
+    0.5;  // share of the free budget; the rest allows for lagging views
 
 // Returns the share that a controller may always fill, with or without a plan.
 double MinimumShare(size_t controllers);
--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -1,6 +1,6 @@
 // A fair queue of items by team and class: start-time fair queueing (Goyal, Vin and Cheng, 1996)
 // among teams with equal weights, and among the classes of a team with their weights. A long queue
-// of one team or class does not delay the turn of another. No I/O.
+// of one team or class does not delay the turn of another team or class. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -106,8 +106,9 @@
     }
     return {t, c};
   }
-  // Removes an idle team once virtual time has reached its start tag. Removed earlier, the team
-  // would lose the tag, and with its next item take a turn ahead of the other teams.
+  // Removes an idle team once virtual time has reached its start tag. If the team were removed
+  // earlier, its start tag would be lost, and its next item would take a turn ahead of the other
+  // teams.
   void OnRemoved(typename Teams::iterator t, size_t n) {
     size_ -= n;
     t->second.size -= n;
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -11,13 +11,15 @@
 
 // Share of the budget that is assured to all teams together.
 constexpr double kAssuredShare = 0.25;
-// Fraction of a controller's share that jobs of teams beyond their assured part may fill.
+// Fraction of a controller's share of the free budget that it may fill with jobs of teams beyond
+// their assured part.
 constexpr double kUnassuredShare = 0.5;
 // Time constant of the decay of `ended_tasks_`, in multiples of max_retry_s.
 constexpr double kEndRateWindowRetries = 8;
-// Bounds the memory of the counts: the names of classes are chosen by users.
+// Maximum number of entries in `counts_`. Users choose the names of classes, so the memory of the
+// counts must be bounded.
 constexpr size_t kMaxCounts = 1000;
-// Spread of the retry times of different jobs in either direction, as a share of the time.
+// Spread of the retry times of different jobs in either direction, as a share of the retry time.
 constexpr double kRetrySpread = 0.5;
 
 }  // namespace
@@ -82,7 +84,7 @@
 }
 
 void AdmissionController::OnAccepted(const wire::JobSpec& spec) {
-  // The view shows the job now, so it counts as live and no longer as in flight.
+  // The view shows the job now, so the job is live and no longer in flight.
   RemoveInFlight(spec.id);
   const Entry entry{{spec.team, spec.job_class}, static_cast<double>(spec.tasks)};
   if (!live_jobs_.emplace(spec.id, entry).second) return;
@@ -105,8 +107,8 @@
 }
 
 void AdmissionController::OnLoaded(uint64_t revision) {
-  // A job that was durable at `revision` and is not in the view has ended. No event will report it,
-  // so without this it would stay in flight forever.
+  // An in-flight job that was durable at `revision` but is not in the view has ended. No event
+  // reports that end, so the job would stay in flight forever if it were not removed here.
   for (auto it = in_flight_jobs_.begin(); it != in_flight_jobs_.end();) {
     const auto next = std::next(it);
     if (it->second.revision != 0 && it->second.revision <= revision) RemoveInFlight(it->first);
@@ -142,8 +144,8 @@
   const double team_tasks = TasksOf(spec.team);
   const bool within_assured = team_tasks + tasks <= Assured(spec.team);
   const double max_in_flight = (within_assured ? 1 : kUnassuredShare) * share * free_in_view;
-  // A job larger than the controller's share would never be admitted, so one such job may be in
-  // flight at a time.
+  // If no job is in flight, a job may exceed the controller's share and take all of the free
+  // budget. Otherwise a job larger than the share would never be admitted.
   if (const double excess_tasks =
           in_flight_ + tasks - (in_flight_ > 0 ? max_in_flight : free_in_view);
       excess_tasks > 0) {
@@ -183,7 +185,8 @@
 }
 
 void AdmissionController::OnDropped(const std::string& id) {
-  // A concurrent request for the same job may have succeeded and made the job durable.
+  // The job stays in flight if a concurrent request for the same job has succeeded and made the job
+  // durable.
   const auto it = in_flight_jobs_.find(id);
   if (it != in_flight_jobs_.end() && it->second.revision == 0) RemoveInFlight(id);
 }
--- a/src/admission/admission_plan.cc
+++ b/src/admission/admission_plan.cc
@@ -7,7 +7,8 @@
 namespace mosspath::admission {
 namespace {
 
-// Minimum share of a controller, as a fraction of an equal division of kPlannedFraction.
+// Minimum share of a controller, as a fraction of the share that it would have if kPlannedFraction
+// were divided equally.
 constexpr double kMinimumShareFraction = 0.25;
 
 }  // namespace
@@ -36,8 +37,8 @@
   if (it == controllers_.end() || now < plans_from_) return plan;
   it->second.demand = demand;
   it->second.requested_at = now;
-  // Each controller keeps the minimum share; the rest is divided in proportion to demand. The
-  // demand of a controller without a request within the life of a plan does not count.
+  // Each controller keeps the minimum share; the rest is divided in proportion to demand. Only the
+  // demand of controllers that have sent a request within the last `life_s_` seconds is included.
   double demand_sum = 0;
   double others_share = 0;
   for (auto& [name, c] : controllers_) {
@@ -50,8 +51,8 @@
   plan.version = ++version_;
   plan.life_s = life_s_;
   plan.share = std::max(minimum, std::min(target, kPlannedFraction - others_share));
-  // The controller counts the plan's life from its request, which was sent before now, but by its
-  // own clock, which may be slower.
+  // The controller counts the plan's life from its request, which was sent before `now`, but by its
+  // own clock, which may run slower than the clock of the leader.
   it->second.grants.push_back({plan.share, now + life_s_ * (1 + 2 * config::kMaxClockDrift)});
   return plan;
 }
--- a/src/admission/runnable.cc
+++ b/src/admission/runnable.cc
@@ -8,7 +8,7 @@
 
 constexpr double kRoundingTolerance = 1e-9;
 
-// Whether the machine type is allowed for the job and large enough for one of its tasks.
+// Returns whether the machine type is allowed for the job and large enough for one of its tasks.
 bool FitsType(const wire::MachineType& type, const wire::JobSpec& spec) {
   if (spec.types &&
       std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end()) {
--- a/src/scheduler/machine_handover.cc
+++ b/src/scheduler/machine_handover.cc
@@ -147,8 +147,8 @@
 // The holder's fencing token for the machine is the revision of the record that assigned it. The
 // leader therefore sends the machine no commands until a later write of that record.
 //
-// Until the machine has reported its tasks, its record keeps the id of the ended lease. A new
-// leader finds by this id that the former holder may still answer the machine's heartbeats. Without
+// Until the machine has reported its tasks, its record keeps the id of the ended lease. From this
+// id, a new leader infers that the former holder may still answer the machine's heartbeats. Without
 // this, a new leader counted the silence of such a machine from its own election only. It declared
 // the machine lost while the former holder, in the same network partition as the machine, still
 // renewed the lease of the machine's agent, and a task ran twice.
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -119,7 +119,7 @@
   if (victim.allocation->stop_requested) return false;
   const wire::JobSpec& victim_spec = victim.job->spec;
   if (victim_spec.priority >= job.spec.priority) return false;
-  // A task that keeps its group at or below the fair-share floor would be placed again at once.
+  // A task whose stop would put its group below the fair-share floor would be placed again at once.
   if (!fair_share_.MayPreempt(*victim.job, victim.allocation->cpus)) return false;
   if (!filter_.IsAllowedOn(job, *victim.machine, now)) return false;
   // A task without checkpoints loses all its work. It is stopped only while that work is little,
--- a/src/scheduler/provisioning_tracker.cc
+++ b/src/scheduler/provisioning_tracker.cc
@@ -13,21 +13,22 @@
 
 namespace {
 
-// Deleted machines whose late heartbeats are still recognized.
+// The tracker keeps the ids of at most this many deleted machines, to recognize their late
+// heartbeats.
 constexpr size_t kMaxDeletedMachines = 4096;
-// A machine that has not come up after this many boot times is deleted.
+// A booting machine is deleted if it has not come up after this many boot times of its type, plus
+// allowances for the lag of the cloud's list and for the first heartbeat.
 constexpr double kBootPatienceBoots = 2.5;
 // A machine that is up, but whose agent has not reached the leader after this many agent leases, is
 // deleted.
 constexpr double kUpPatienceLeases = 4;
-// An urgent job counts as recent for this many boot times or heartbeat intervals, whichever is
-// longer.
+// An urgent job is recent for this many boot times or heartbeat intervals, whichever is longer.
 constexpr double kRecentBoots = 2;
 constexpr double kRecentHeartbeats = 10;
-// The cloud's list may lag by this many times its usual lag.
+// The cloud's list may lag by up to this many times its usual lag.
 constexpr double kListLagFactor = 2;
-// A machine counts as missing from a list only if it was silent for this many heartbeat intervals
-// before the list was requested.
+// A machine that a list omits is marked as missing only if it was silent for this many heartbeat
+// intervals before the list was requested.
 constexpr double kMissingHeartbeats = 2;
 
 Machine* FindMachine(const ProvisioningTracker::MachineMaps& all_machines, const std::string& id) {
@@ -37,7 +38,8 @@
   return nullptr;
 }
 
-// Whether the machine is accounted for without its agent having to report to this controller.
+// Returns whether the machine need not be tracked as booting: its agent has reported, the recovery
+// already waits for it, or another controller commands it.
 bool IsAccountedFor(const Machine& machine) {
   return !machine.address.empty() || machine.awaits_recovery || machine.shard_lease != kNoLease;
 }
@@ -101,8 +103,9 @@
     machine.offer = {listed.type, listed.zone, listed.spot, 1};
     machine.since = now - listed.age_s;
   }
-  // The time limit of a machine that is up starts when the list first shows it running. Its age
-  // does not count, as its agent may just not have reached this leader yet.
+  // The time limit of a machine that is up starts when the list first shows it running. The age of
+  // the machine is ignored, because the agent of an old machine may only have had no time yet to
+  // reach this leader.
   if (listed.state == wire::MachineState::kRunning && !machine.up) {
     machine.up = true;
     machine.since = now;
@@ -110,8 +113,9 @@
   if (listed.state == wire::MachineState::kFailed) machine.since = kLongAgo;
 }
 
-// The list shows new machines late, but never omits a machine that it has shown while that machine
-// exists. So a silent machine that the list no longer shows has been reclaimed.
+// Marks the silent machines that the list omits. The cloud's list may show a new machine late, but
+// once it has shown a machine, it shows that machine for as long as the machine exists. A silent
+// machine that the list omits has therefore been reclaimed.
 void ProvisioningTracker::MarkMissing(const std::vector<wire::ListedMachine>& listed,
                                       const MachineMaps& all_machines, double requested_at) const {
   std::set<std::string> listed_ids;
--- a/src/scheduler/reconciler.cc
+++ b/src/scheduler/reconciler.cc
@@ -20,7 +20,8 @@
 
 namespace {
 
-// Consecutive answers without effect after which answers are suspected not to reach the machine.
+// After this many consecutive answers without effect, this controller suspects that its answers do
+// not reach the machine.
 constexpr int kMaxIgnoredAnswers = 2;
 
 // The value of Allocation::forget_sent_sequence while no answer contains a forget command for the
@@ -116,9 +117,10 @@
 
 // Returns whether the absence of the attempt from the heartbeat proves that the attempt is not on
 // the machine and that its start can't be executed any more. The agent makes its next periodic
-// heartbeat only after the answer to the last one has arrived or timed out. The answer to a command
-// batch can be made while the answer to a periodic heartbeat is still in flight, so it proves
-// nothing about the starts in that answer.
+// heartbeat only after the answer to the previous one has arrived or timed out, so a periodic
+// heartbeat proves it for starts in earlier answers. The heartbeat in the answer to a command batch
+// can be made while the answer to a periodic heartbeat is still in flight, so it proves nothing
+// about starts in that answer.
 bool Reconciler::WouldBeListed(const Pass& pass, const Allocation& allocation) {
   if (allocation.state == Allocation::State::kReported) return true;
   if (allocation.state != Allocation::State::kStartSent) return false;
@@ -198,7 +200,7 @@
   state_.cluster.Allocate(machine, key, std::move(allocation));
   if (is_duplicate) {
     // If the task was withheld because a start may have reached another machine, this attempt is
-    // the result of that start.
+    // the result of that start, and the task need not be withheld any more.
     state_.unconfirmed_starts.Forget(task);
     state_.cluster.ReleaseWithheld(task);
   }
--- a/src/scheduler/run_time_estimate.cc
+++ b/src/scheduler/run_time_estimate.cc
@@ -5,7 +5,8 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Minimum of the expected remaining run time, as a share of the estimate.
+// Minimum of the expected remaining run time, as a share of the estimated run time of the whole
+// attempt.
 constexpr double kMinRemainingShare = 0.25;
 
 }  // namespace
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -18,10 +18,11 @@
 
 namespace {
 
-// Unreachable machines are few if at most one machine in this many is unreachable.
-constexpr size_t kMachinesPerUnreachable = 10;
-// Agent leases of silence after which an unreachable machine is deleted, however many machines are
+// Unreachable machines are few if there is only one, or if at most one machine in this many is
 // unreachable.
+constexpr size_t kMachinesPerUnreachable = 10;
+// An unreachable machine is deleted after a silence of this many agent leases, however many
+// machines are unreachable.
 constexpr double kMaxSilentLeases = 4;
 
 // Appends `demand` with this number of waiting tasks.
@@ -43,7 +44,8 @@
   demand.gpus = spec.gpus;
   demand.memory_gb = spec.memory_gb;
   demand.urgent = spec.priority >= wire::Priority::kHigh || spec.kind == wire::JobKind::kGang;
-  // Tasks that must share a zone need machines in the zone of those that are already placed.
+  // Tasks that must share a zone need machines in the zone where tasks of the job are already
+  // placed.
   if (spec.single_zone) {
     for (const auto& [zone, tasks] : job.placed_by_zone) {
       if (tasks > 0) demand.zone = zone;
@@ -93,7 +95,8 @@
   std::vector<Demand> demand;
   for (const auto& [id, job] : state_.cluster.jobs) {
     if (job->pending.empty() || now < job->not_before) continue;
-    // A job that fails on every machine is retried, but no machines are added for it.
+    // A crash looping job is retried on the present machines. Machines are added for it only if
+    // this controller commands none.
     if (job->crash_looping && !state_.cluster.machines.empty()) continue;
     AppendJobDemand(*job, demand);
   }
@@ -109,8 +112,8 @@
     AppendDemand(std::move(task), waiting, expected_run_s, demand);
     return;
   }
-  // Tasks that must be spread over zones need machines in each zone that has not reached its
-  // maximum.
+  // Tasks that must be spread over zones need machines in each zone that does not have its maximum
+  // of the job's tasks yet.
   const uint32_t max_per_zone = (spec.tasks + 1) / 2;
   for (const auto& zone : state_.settings.zones) {
     const uint32_t placed = std::min(max_per_zone, PlacedInZone(job, zone));
@@ -121,8 +124,8 @@
   }
 }
 
-// Adds demand for the capacity that is reserved for urgent work that is likely to come next and may
-// not run on spot machines.
+// Adds demand for the reserved capacity. The reservation is for expected urgent work that may not
+// run on spot machines.
 void ScalingCoordinator::AppendReservedDemand(double now, ScalingInput& input) {
   const CapacityReservation::Resources reserved =
       state_.placer.reservation().Reserved(now, state_.cluster.machine_types);
@@ -148,8 +151,8 @@
     }
     FleetMachine described = DescribeOwnMachine(machine, now);
     if (machine.lost || (IsSilent(machine, now) && !described.schedulable)) {
-      // The plan must not count the machine's capacity. Deleting the machine ensures at once that
-      // its tasks no longer run.
+      // The plan must not include the machine's capacity. The machine is proposed for deletion,
+      // because once it is deleted it is certain that its tasks no longer run.
       described.schedulable = described.idle = false;
       unreachable.insert(id);
     }
@@ -207,8 +210,8 @@
 }
 
 bool ScalingCoordinator::IsIdle(const Machine& machine) const {
-  // A machine that is being handed over takes no tasks for a moment, which is no reason to delete
-  // it.
+  // A machine receives no new tasks while it is being handed over. It must not be deleted because
+  // of that.
   if (!machine.token_confirmed || machine.handover_lease != kNoLease) return false;
   return std::all_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
@@ -217,9 +220,9 @@
   });
 }
 
-// A recalled machine is needed for waiting work: without the second condition, the machine was
-// deleted as soon as it was idle. The third condition fails while tasks that were delegated after
-// the holder's last message may still be in transit to the holder.
+// A recalled machine is needed for waiting work: without the check of `recall_requested`, the
+// machine was deleted as soon as it was idle. The comparison of `used_cpus` fails while tasks that
+// were delegated after the holder's last message may still be in transit to the holder.
 bool ScalingCoordinator::IsHolderIdle(const Machine& machine) const {
   return machine.holder_status.idle && !machine.recall_requested &&
          machine.used_cpus <= machine.holder_status.used_cpus &&
@@ -227,8 +230,8 @@
 }
 
 bool ScalingCoordinator::HasOnDemandWork(const Machine& machine) const {
-  // The planner reads the value of on-demand machines only. The search is skipped for spot
-  // machines, as there are thousands.
+  // The planner reads this result for on-demand machines only. The search is skipped for spot
+  // machines, because there are thousands of them.
   if (machine.spot) return false;
   return std::any_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
@@ -296,8 +299,9 @@
   scale_in.insert(scale_in.end(), to_replace.never_booted.begin(), to_replace.never_booted.end());
 }
 
-// When many machines are silent, the network or a recent takeover is the likelier cause than the
-// machines, and their deletion would throw their tasks' work away.
+// Returns whether the unreachable machines are few, and neither a takeover nor a stall of this
+// process was recent. Otherwise the network, the takeover or the stall is a likelier cause of the
+// silence than the machines, and deleting the machines would lose the work of their tasks.
 bool ScalingCoordinator::AreFewUnreachable(size_t unreachable, double now) const {
   size_t known = 0;
   for (const auto& [id, machine] : state_.cluster.machines) known += machine.deleting ? 0 : 1;
--- a/src/scheduler/scheduler.cc
+++ b/src/scheduler/scheduler.cc
@@ -92,14 +92,14 @@
   const double stall_s = now - from;
   state_.failover.OnProcessStall(now);
   for (auto& [id, machine] : state_.cluster.machines) {
-    // The stall does not add to the time since the last contact. `lease_renewed_at` stays: the
-    // agent counts its lease from that renewal, whether this process runs or not.
+    // The stall must not add to the time since the last contact. `lease_renewed_at` is not moved,
+    // because the agent counts its lease from that renewal whether this process runs or not.
     if (from - machine.last_contact_at < state_.derived.agent_suspect_s) {
       machine.last_contact_at += stall_s;
     }
     machine.failed_probes = 0;
     // A task may have ended at any time during the stall, so its run time is unknown and must not
-    // count in the comparison of machines.
+    // be used to compare machines.
     for (auto& [key, allocation] : machine.allocations) allocation.recovered = true;
   }
   state_.cluster.changed_since_pass = true;
--- a/src/scheduler/scheduler_state.cc
+++ b/src/scheduler/scheduler_state.cc
@@ -2,7 +2,8 @@
 
 namespace mosspath::scheduler {
 
-// The task placer gets the member `settings`, not the argument `s`, as it keeps the reference.
+// The task placer keeps a reference to the settings, so it is given the member `settings` and not
+// the argument `s`.
 SchedulerState::SchedulerState(const config::Settings& s, const config::DerivedSettings& d,
                                uint64_t fencing_token, double now)
     : settings(s),
--- a/src/scheduler/service_level_objectives.cc
+++ b/src/scheduler/service_level_objectives.cc
@@ -5,9 +5,9 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Time within which a best-effort job is due, in agent lease times.
+// A best-effort job is due this many agent lease times after its submission.
 constexpr double kBestEffortLeases = 8;
-// Run time below which a task counts as settling, in checkpoint intervals.
+// A task is settling (IsSettling) until it has run for this many checkpoint intervals.
 constexpr double kSettlingCheckpointIntervals = 2;
 
 }  // namespace
--- a/src/scheduler/start_gate.cc
+++ b/src/scheduler/start_gate.cc
@@ -15,8 +15,8 @@
   markers_in_use_ = markers_in_use_ || version != kNever;
 }
 
-// High-priority jobs get no marker: each would have to wait for the write, and such jobs hardly
-// ever have to wait for room on machines.
+// Jobs of high priority and above get no marker: they rarely wait for capacity, so waiting for the
+// write of a marker would delay nearly every one of them.
 bool StartGate::NeedsStartMarker(const Job& job) const {
   return job.spec.priority < wire::Priority::kHigh && job.version > markers_since_;
 }
--- a/src/scheduler/task_binder.cc
+++ b/src/scheduler/task_binder.cc
@@ -12,11 +12,12 @@
 
 namespace {
 
-// An attempt number is the fencing token followed by the task's attempt count under that token, so
-// no number is reused and the numbers of later leaders are higher.
+// An attempt number is the fencing token, followed in this many low bits by the number of attempts
+// of the task under that token. No attempt number is therefore reused, and the numbers of later
+// leaders are higher.
 constexpr int kAttemptBits = 16;
 constexpr uint16_t kMaxAttempts = 0xffff;
-// Later than any time within one leadership.
+// A time in seconds that is later than any time within one leadership.
 constexpr double kDistantFuture = 1e18;
 
 Allocation MakeAllocation(const Job& job, double now) {
@@ -64,7 +65,8 @@
 bool TaskBinder::BindToMachine(Job& job, uint32_t index, Machine& machine, double now) {
   jobs::Task& task = job.tasks[index];
   if (task.attempts == kMaxAttempts) {
-    // Not expected within one leadership; the guard keeps an attempt number from being reused.
+    // No task is expected to have so many attempts within one leadership. Starting no more of them
+    // ensures that no attempt number is reused.
     job.not_before = kDistantFuture;
     return false;
   }
--- a/src/scheduler/task_migration.cc
+++ b/src/scheduler/task_migration.cc
@@ -14,9 +14,10 @@
 
 // A move is worthwhile if a task's remaining run time is more than this many times its move cost.
 constexpr double kMinRunPerMoveCost = 2;
-// Factor by which the time until a machine is reclaimed may be shorter than announced.
+// The time until a machine is reclaimed may be shorter than announced by up to this factor.
 constexpr double kNoticeErrorFactor = 2;
-// Heartbeat intervals that a stop may take to reach its task, in addition to the checkpoint.
+// A stop may take this many heartbeat intervals to reach its task. The duration of the checkpoint
+// is added to that time.
 constexpr double kStopDelayHeartbeats = 2;
 
 }  // namespace
@@ -64,8 +65,8 @@
 bool TaskMigration::IsMovable(const Job& job, const wire::TaskId& task,
                               const Allocation& allocation, double now) const {
   if (allocation.stop_requested || allocation.reported != wire::TaskState::kRunning) return false;
-  // Each task is moved at most once: the set of draining machines changes often, and each move
-  // costs the task run time.
+  // Each task is moved at most once. The set of draining machines changes often, and each move
+  // delays the task.
   if (job.tasks[task.index].migrated) return false;
   if (job.spec.checkpoint_interval_s <= 0 || job.spec.kind == wire::JobKind::kGang) return false;
   return !IsSettling(job, now - allocation.running_since);
--- a/src/scheduler/task_placer.cc
+++ b/src/scheduler/task_placer.cc
@@ -79,7 +79,7 @@
   return pool;
 }
 
-// A machine must be in the durable record before a task is started on it. A new machine is handed
+// A machine must be in the durable record before any task is started on it. A new machine is handed
 // over at once if the holder of its shard is ready.
 bool TaskPlacer::RecordMachine(Machine& machine, double now) {
   if (machine.in_record) return true;
@@ -121,8 +121,8 @@
 void TaskPlacer::PlaceInOrder(const MachinePool& pool, UnplaceableSpecs& unplaceable, double now) {
   bool objective_waits = false;
   for (Job* job : waiting_jobs_) {
-    // Small best-effort tasks would take all freed capacity before there is enough of it for a
-    // larger task with an objective.
+    // While a job with an objective waits, best-effort jobs are skipped: their small tasks would
+    // take all freed capacity before enough is free for a larger task of that job.
     if (job->best_effort && objective_waits) continue;
     const PlacementOutcome outcome = PlaceJob(*job, job->spec.tasks, pool, unplaceable, now);
     if (outcome == PlacementOutcome::kNoCapacity && job->can_meet_objective) objective_waits = true;
--- a/src/scheduler/unconfirmed_starts.cc
+++ b/src/scheduler/unconfirmed_starts.cc
@@ -26,7 +26,7 @@
                                             const cluster::ClusterState& cluster,
                                             std::set<std::string>& suspects) const {
   // A list that is requested after the maximum lag shows all machines that were up when the batch
-  // was sent, except those that are gone.
+  // was sent, except machines that no longer exist.
   const double max_lag_s = kMaxListLagFactor * list_lag_s_ * (1 + 2 * config::kMaxClockDrift);
   if (list_requested_at_ < start.sent_at + max_lag_s) return true;
   bool possible = false;
@@ -36,13 +36,14 @@
   return possible;
 }
 
-// Whether the listed machine may have executed the start instead of the intended machine.
+// Returns whether the listed machine may have executed the start instead of the intended machine.
 bool UnconfirmedStarts::MayHaveExecuted(const UnconfirmedStart& start, const ListedAddress& listed,
                                         const cluster::ClusterState& cluster,
                                         std::set<std::string>& suspects) {
   if (listed.address != start.address && !listed.address.empty()) return false;
   if (listed.machine == start.machine) return false;
-  // A machine that another controller commands by now was handed over under a later token.
+  // A machine that is now delegated to another controller was handed over under a later token than
+  // that of the batch.
   if (cluster.delegated_machines.contains(listed.machine)) return false;
   const auto it = cluster.machines.find(listed.machine);
   if (it == cluster.machines.end()) return true;
--- a/src/scheduler/unplaceable_specs.cc
+++ b/src/scheduler/unplaceable_specs.cc
@@ -13,8 +13,9 @@
          !spec.zone && !spec.types && job.failed_on.empty();
 }
 
-// Jobs of high priority and above may use cordoned machines too, so the failure of a job of lower
-// priority doesn't rule them out.
+// Returns whether tasks of `spec` don't fit because those of `failed` don't. Jobs of high priority
+// and above may also use cordoned machines, so the failure of a job of lower priority doesn't rule
+// such jobs out.
 bool NeedsAtLeast(const wire::JobSpec& spec, const wire::JobSpec& failed) {
   return failed.spot_allowed == spec.spot_allowed && spec.cpus >= failed.cpus &&
          spec.gpus >= failed.gpus && spec.memory_gb >= failed.memory_gb &&
