--- a/include/mosspath/admission/admission_controller.h
+++ b/include/mosspath/admission/admission_controller.h
@@ -17,8 +17,8 @@
 //     most this controller's share of the budget that the view shows free, or belong to a single
 //     job; the shares of all controllers sum to at most kPlannedFraction (admission_plan.h);
 //   - a team within its assured part is not refused because of other teams' jobs in the view;
-//   - a team or class without accepted jobs may have one job of any size for which the whole budget
-//     has room.
+//   - the limit of a team or class does not refuse the first job of that team or class, whatever
+//     the size of the job; the free budget still limits the job.
 #pragma once
 
 #include <cstdint>
--- a/include/mosspath/admission/admission_plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -19,8 +19,9 @@
 
 namespace mosspath::admission {
 
-inline constexpr double kPlannedFraction =
-    0.5;  // share of the free budget; the rest allows for lagging views
+// Share of the free budget that all controllers together may fill. The rest allows for views that
+// lag behind the state service.
+inline constexpr double kPlannedFraction = 0.5;
 
 // Returns the share that a controller may always fill, with or without a plan.
 double MinimumShare(size_t controllers);
--- a/include/mosspath/autoscaler/offer_catalog.h
+++ b/include/mosspath/autoscaler/offer_catalog.h
@@ -1,4 +1,4 @@
-// The offers of machines, ordered by price, and the demands that they can serve. Pure.
+// The offers of machines, ordered by price, and which demands each offer can serve. Pure.
 #pragma once
 
 #include <map>
@@ -27,11 +27,11 @@
   // The types outlive the catalog.
   explicit OfferCatalog(const std::vector<wire::MachineType>& types);
 
-  // All offers, the cheapest per CPU first.
+  // Returns all offers, the cheapest per CPU first.
   const std::vector<PricedOffer>& offers() const { return offers_; }
-  // The type of that name; null if there is none.
+  // Returns the type of that name, or null if there is no such type.
   const wire::MachineType* FindType(const std::string& name) const;
-  // The cheapest offer that may serve the demand; null if none may.
+  // Returns the cheapest offer that can serve the demand, or null if no offer can.
   const PricedOffer* FindCheapest(const Demand& demand) const;
 
  private:
@@ -39,13 +39,16 @@
   std::map<std::string, const wire::MachineType*> type_by_name_;
 };
 
-// Whether a task of the demand may run on machines of the offer and fits on an empty one.
+// Returns whether a task of the demand may run on machines of the offer and fits on an empty
+// machine of the offer.
 bool Allows(const Demand& demand, const PricedOffer& offer);
-// CPUs of the type; never 0, so that a caller may divide by the result.
+// Returns the CPUs of a machine of the type; never 0, so that a caller may divide by the result.
 double TypeCpus(const wire::MachineType& type);
-// CPUs of the type that one task takes, counting those that its memory and GPUs make unusable.
+// Returns the CPUs of a machine of the type that one task takes, including the CPUs that no other
+// task can use because of the memory and GPUs of this task.
 double TaskCpus(const Demand& demand, const wire::MachineType& type);
-// CPUs that are free on a machine of the type; 0 if it is overcommitted.
+// Returns the CPUs that are free on the machine, which is of the type; 0 if the machine is
+// overcommitted.
 double FreeCpus(const FleetMachine& machine, const wire::MachineType& type);
 
 }  // namespace mosspath::autoscaler
--- a/include/mosspath/autoscaler/scale_in.h
+++ b/include/mosspath/autoscaler/scale_in.h
@@ -1,9 +1,11 @@
 // Decides which machines to delete, drain or cordon. Pure.
 //
-// The most expensive machines are removed first, and among them those that will be empty soonest,
-// so that work concentrates on the remaining machines. Enough capacity stays free on machines that
-// take new tasks. Tasks on the removed machines run to their end there, so no capacity is kept free
-// for them elsewhere: doing so kept twice the machines that were needed when a day's load fell.
+// On-demand machines are removed before spot machines. Within each group, machines that already
+// drain come first, and then those with the least remaining work in relation to their price, so
+// that work concentrates on the other machines. Enough capacity stays free on machines that take
+// new tasks. No free capacity is kept for the tasks on the removed machines, because these tasks
+// may run to their end there: keeping such capacity left twice the machines that were needed when a
+// day's load fell.
 #pragma once
 
 #include <map>
@@ -20,7 +22,7 @@
 struct ScaleInPlan {
   std::vector<std::string> scale_in;  // idle, to be deleted now
   std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // to take only urgent tasks that fit nowhere else
+  std::vector<std::string> cordon;    // to take only urgent tasks that fit on no other machine
 };
 
 // Makes one plan from the machines and the waiting demand.
@@ -31,7 +33,7 @@
                  const OfferCatalog& catalog,
                  const std::map<MachineOffer, AllottedCapacity>& allotted_capacity);
 
-  // To be called once.
+  // Makes the plan. Must be called only once.
   ScaleInPlan Plan();
 
  private:
@@ -42,22 +44,26 @@
   };
 
   void CountFreeCapacity();
-  // CPUs that must stay free on machines that take new tasks.
+  // Returns the CPUs that must stay free on machines that take new tasks.
   double RequiredFreeCpus() const;
-  // Whether on-demand machines may be removed in favour of spot machines: all waiting work may use
-  // spot machines, and these have enough CPUs in relation to the on-demand machines.
+  // Returns whether on-demand machines may be removed in favor of spot machines: all waiting work
+  // may use spot machines, and the spot machines have at least ScalingTuning::spot_cover times the
+  // CPUs of the on-demand machines.
   bool IsCoveredBySpot() const;
-  // The machines that are up, in the order in which they are removed.
+  // Returns the machines that are up, in the order in which they are removed.
   std::vector<Removable> MostExpensiveFirst() const;
-  // Free CPUs of the machine that waiting work may use, as the scale-out plan assumes.
+  // Returns the free CPUs of the machine that the scale-out plan may have allotted to waiting work.
   double UsefulCpus(const FleetMachine& machine, const wire::MachineType& type) const;
-  // Whether the machine is an on-demand machine whose work spot machines can take over.
+  // Returns whether the machine is an on-demand machine whose work spot machines can take over.
   bool IsReplacedBySpot(const Removable& candidate) const;
-  // Whether enough capacity stays free without the machine.
+  // Returns whether the machine may be removed. Without it, enough CPUs must stay free, unless spot
+  // machines replace the machine; enough on-demand CPUs must stay free; and the capacity that is
+  // allotted to waiting work must stay.
   bool CanRemove(const Removable& candidate) const;
   // Subtracts the machine's free capacity from the totals.
   void SubtractCapacity(const Removable& candidate);
-  // Adds the machine, which can be removed, to the list of the plan that fits its state.
+  // Adds the machine to one list of the plan: to be deleted if it is idle for long enough, to be
+  // drained if spot machines replace it, and to be cordoned otherwise.
   void AddToPlan(const Removable& candidate, ScaleInPlan& plan) const;
 
   const ScalingInput& input_;
@@ -65,11 +71,11 @@
   const OfferCatalog& catalog_;
   const std::map<MachineOffer, AllottedCapacity>& allotted_capacity_;
   double free_cpus_ = 0;            // on schedulable machines
-  double on_demand_free_cpus_ = 0;  // of these, on on-demand machines
+  double on_demand_free_cpus_ = 0;  // on schedulable on-demand machines
   double used_cpus_ = 0;            // on schedulable machines
   double required_free_cpus_ = 0;
   bool covered_by_spot_ = false;
-  std::map<MachineOffer, double> useful_cpus_;  // free CPUs that waiting work may use
+  std::map<MachineOffer, double> useful_cpus_;  // sum of UsefulCpus over the machines of the offer
 };
 
 }  // namespace mosspath::autoscaler
--- a/include/mosspath/autoscaler/scale_out.h
+++ b/include/mosspath/autoscaler/scale_out.h
@@ -1,5 +1,5 @@
-// Decides which machines to request: waiting work takes the free capacity first, then new machines
-// of the cheapest offers. Pure.
+// Decides which machines to request. Free capacity is allotted to waiting work first; for the rest
+// of that work, new machines of the cheapest offers are requested. Pure.
 #pragma once
 
 #include <limits>
@@ -12,10 +12,10 @@
 
 namespace mosspath::autoscaler {
 
-// Free capacity of an offer's machines that is allotted to waiting work.
+// Free capacity on machines of one offer that is allotted to waiting work.
 struct AllottedCapacity {
   double cpus = 0;
-  // A machine with fewer free CPUs is of no use to any of that work.
+  // On a machine with fewer free CPUs, no task of that work fits.
   double min_usable_cpus = std::numeric_limits<double>::infinity();
 };
 
@@ -31,7 +31,7 @@
   ScaleOutPlanner(const ScalingInput& input, const ScalingTuning& tuning,
                   const OfferCatalog& catalog);
 
-  // To be called once.
+  // Makes the plan. Must be called only once.
   ScaleOutPlan Plan();
 
  private:
@@ -42,20 +42,22 @@
   };
 
   void CountMachines();
-  // The demands, ordered by how many offers can serve them. Those with the fewest offers choose
-  // first, as they have no alternative.
+  // Returns the demands, ordered by how many offers can serve them. Capacity is allotted to demands
+  // with few offers first, because they have the fewest alternatives.
   std::vector<const Demand*> FewestOffersFirst() const;
-  // CPUs that the demand needs: enough to finish the waiting work within the horizon, but no more
-  // than run all of it at once. `offer`: the cheapest one that can serve the demand.
+  // Returns the CPUs that the demand needs: enough to finish the waiting work within the horizon,
+  // but no more than are needed to run all waiting tasks at once. An urgent demand always needs the
+  // latter. `offer`: the cheapest offer that can serve the demand.
   double NeededCpus(const Demand& demand, const PricedOffer& offer) const;
   // Allots free capacity to the demand. Returns the CPUs that remain to be requested.
   double AllotFreeCapacity(const Demand& demand, double needed_cpus);
-  // Requests machines with this many CPUs for the demand, of the cheapest open offers.
+  // Requests machines with `missing_cpus` CPUs in total for the demand, from the cheapest offers
+  // that are open.
   void RequestMachines(const Demand& demand, double missing_cpus);
-  // Requests machines of equally cheap offers, spread evenly over their zones. Returns the CPUs
-  // that are still missing.
+  // Requests machines of equally cheap offers, spread evenly over the zones of these offers.
+  // Returns the CPUs that are still missing.
   double RequestEvenly(const std::vector<const PricedOffer*>& offers, double missing_cpus);
-  // Whether machines of the offer may be requested for the demand now.
+  // Returns whether machines of the offer may be requested for the demand now.
   bool IsOpenFor(const Demand& demand, const PricedOffer& offer) const;
 
   const ScalingInput& input_;
@@ -63,7 +65,7 @@
   const OfferCatalog& catalog_;
   std::map<MachineOffer, FreeCapacity> free_capacity_;
   std::map<std::string, int> machines_by_zone_;  // schedulable or requested
-  int machine_count_;                            // of any state, and requested ones
+  int machine_count_;                            // machines in any state, and requested machines
   std::map<MachineOffer, int> requested_;
   std::map<MachineOffer, AllottedCapacity> allotted_capacity_;
 };
--- a/include/mosspath/autoscaler/scaling_planner.h
+++ b/include/mosspath/autoscaler/scaling_planner.h
@@ -20,7 +20,7 @@
   double gpus = 0;
   double memory_gb = 0;
   double waiting_tasks = 0;  // tasks that are not placed
-  double waiting_run_s = 0;  // their expected run time, summed over tasks
+  double waiting_run_s = 0;  // expected run time of the waiting tasks, summed
   bool urgent = false;
 };
 
@@ -35,7 +35,7 @@
   bool idle = false;
   double idle_s = 0;
   double used_cpus = 0;
-  double remaining_cpu_s = 0;  // CPU seconds that its tasks are expected to need still
+  double remaining_cpu_s = 0;  // CPU seconds that its tasks are still expected to need
   bool draining = false;
   bool has_on_demand_work = false;  // runs work that may not use spot machines
 };
@@ -51,7 +51,7 @@
   std::vector<ScaleOutRequest> scale_out;
   std::vector<std::string> scale_in;  // idle, to be deleted now
   std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // to take only urgent tasks that fit nowhere else
+  std::vector<std::string> cordon;    // to take only urgent tasks that fit on no other machine
 };
 
 using MachineOffer = std::tuple<std::string, std::string, bool>;  // type, zone, spot
@@ -59,12 +59,14 @@
 struct ScalingInput {
   std::vector<wire::MachineType> types;
   std::vector<Demand> demand;
-  // CPUs of the largest recent urgent job. As many stay free, so that the next one starts at once.
+  // CPUs of the largest recent urgent job. As many CPUs are kept free, so that the next urgent job
+  // starts at once.
   double burst_cpus = 0;
   // CPUs to keep free on on-demand machines, for urgent work that may not use spot machines.
   double on_demand_cpus = 0;
   std::vector<FleetMachine> machines;
-  // Offers that had no capacity, with the time until which they are not requested.
+  // Offers for which the cloud had no capacity, with the time until which no machines of the offer
+  // are requested.
   std::map<MachineOffer, double> closed_until;
   double now = 0;
 };
@@ -73,13 +75,14 @@
   double horizon_boots = 2.0;     // waiting work should be finished within this many boot times
   double keep_idle_boots = 0.02;  // an idle machine is kept for this many boot times
   double reserve = 0.1;           // free CPUs to keep, as a fraction of the used CPUs
-  // On-demand machines are removed once spot machines have this many times their CPUs.
+  // On-demand machines may be removed in favor of spot machines if the spot machines have at least
+  // this many times the CPUs of the on-demand machines.
   double spot_cover = 2.0;
   int max_machines = 100'000;
 };
 
-// Returns the changes that fit the machines to the demand. Waiting demand first takes the free
-// capacity, and new machines are requested for the rest.
+// Returns the changes that fit the machines to the demand. Free capacity is allotted to the waiting
+// demand first, and new machines are requested for the rest of the demand.
 ScalingPlan PlanScaling(const ScalingInput& in, const ScalingTuning& tuning);
 
 }  // namespace mosspath::autoscaler
--- a/src/autoscaler/scale_in.cc
+++ b/src/autoscaler/scale_in.cc
@@ -12,8 +12,8 @@
   return {machine.type, machine.zone, machine.spot};
 }
 
-// The work left on the machine in relation to its price. Without the price, a large machine would
-// be removed only once a few tasks are left on it.
+// Returns the remaining work on the machine in relation to its price. Without the price, a large
+// machine would be removed only when few tasks are left on it.
 double RemainingWorkPerPrice(const FleetMachine& machine, const wire::MachineType& type) {
   const double price = machine.spot ? type.spot_price : type.price;
   return machine.remaining_cpu_s / std::max(kMinPrice, price);
@@ -113,9 +113,10 @@
   if (!enough_left && !IsReplacedBySpot(candidate)) return false;
   const bool keeps_on_demand = !machine.spot && input_.on_demand_cpus > 0;
   if (keeps_on_demand && on_demand_free_cpus_ - free_cpus < input_.on_demand_cpus) return false;
-  // Capacity that waiting work depends on is not removed. Without this rule, when machines that the
-  // work may not use had enough free capacity, all machines that it may use were cordoned. No
-  // machine was requested either, since the cordoned ones still counted.
+  // Capacity that the scale-out plan has allotted to waiting work is not removed. Without this
+  // rule, if the machines that the work may not use had enough free capacity, all machines that the
+  // work may use were cordoned. No new machine was requested either, because the scale-out plan
+  // still included the capacity of the cordoned machines.
   const double useful_cpus = UsefulCpus(machine, *candidate.type);
   if (useful_cpus <= 0) return true;
   const MachineOffer offer = OfferOf(machine);
--- a/src/autoscaler/scale_out.cc
+++ b/src/autoscaler/scale_out.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kToleranceCpus = 1e-6;
-// Offers whose prices differ by less than this count as equally cheap.
+// Offers are equally cheap if their prices per CPU differ by at most this factor.
 constexpr double kSamePriceFactor = 1.0001;
 
 struct RankedDemand {
@@ -82,8 +82,9 @@
     if (!Allows(demand, offer)) continue;
     const double task_cpus = TaskCpus(demand, *offer.type);
     FreeCapacity& capacity = free_capacity_[offer.key()];
-    // Free CPUs count only if some machine has room for a whole task. Without this rule, a replica
-    // waited for ever for capacity that was spread over machines in pieces too small for it.
+    // Free CPUs of an offer are allotted only if at least one of its machines has room for a whole
+    // task. Without this rule, a replica waited forever, because the free capacity was spread over
+    // machines in pieces that were too small for the replica.
     if (capacity.max_on_one_machine_cpus + kToleranceCpus < task_cpus) continue;
     const double taken = std::min(capacity.cpus, missing_cpus);
     capacity.cpus -= taken;
@@ -114,7 +115,8 @@
 bool ScaleOutPlanner::IsOpenFor(const Demand& demand, const PricedOffer& offer) const {
   const auto closed = input_.closed_until.find(offer.key());
   if (closed != input_.closed_until.end() && closed->second > input_.now) return false;
-  // On-demand machines are not requested in place of spot machines that have no capacity for now.
+  // On-demand machines are not requested as a substitute while the cloud has no capacity for spot
+  // machines of the type.
   if (!offer.spot && demand.spot_allowed && offer.type->spot_price > 0) return false;
   return Allows(demand, offer);
 }
