--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -47,8 +47,8 @@
     t->second.virtual_time = cls.start_tag;
     t->second.start_tag += 1;
     cls.start_tag += 1 / std::max(cls.weight, 1e-3);
-    // Users choose the names of classes without limit, so idle classes are kept only while the team
-    // has few.
+    // Users can choose any number of class names, so an idle class is removed if its team has more
+    // than kMaxClassesPerTeam classes.
     if (cls.items.empty() && t->second.classes.size() > kMaxClassesPerTeam)
       t->second.classes.erase(c);
     OnRemoved(t, 1);
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -36,7 +36,7 @@
   // Called once it is certain that the holder of the ended lease has stopped commanding machines.
   void OnHolderCeased(uint64_t lease, double now);
   // Returns the lease under which another controller commands the machine; kNoLease if this leader
-  // commands it or the machine is unknown.
+  // commands the machine or the machine is unknown.
   uint64_t LeaseOf(const std::string& machine) const;
 
   // --- Messages ---
--- a/include/mosspath/scheduler/locality.h
+++ b/include/mosspath/scheduler/locality.h
@@ -9,7 +9,7 @@
 namespace mosspath::scheduler {
 
 struct LocalityPolicy {
-  double gamma = 1.5;     // cap on a machine's share of all layer bytes, times 1/M
+  double gamma = 1.5;     // cap on a machine's share of all layer bytes, in multiples of 1/M
   double epsilon = 1e-3;  // weight of that share in the score
 };
 
--- a/include/mosspath/scheduler/scheduler.h
+++ b/include/mosspath/scheduler/scheduler.h
@@ -119,7 +119,7 @@
     return state_.failover.IsPartitionedFromAgents(state_.cluster.machines, now);
   }
   // Accounts for a stall: this process did not run from `from` until `now`, while its clock went
-  // on. Machines do not count as silent, nor their tasks as slow, because of that time.
+  // on. Because of that time, no machine is treated as silent and no task as slow.
   void OnProcessStall(double from, double now);
   // Runs the periodic work, such as lease expiry and placement. Called a few times per heartbeat
   // interval.
@@ -137,7 +137,7 @@
   // Returns whether records of machines wait to be written and no batch is in flight.
   bool has_unrecorded_machines() const { return state_.durable_state.has_unwritten_machines(); }
   // Returns the records to write now, in one transaction of at most `max_packs` packs and about
-  // `max_bytes` bytes. Returns an empty batch while the last one is in flight.
+  // `max_bytes` bytes. Returns an empty batch while the previous batch is in flight.
   DurableState::WriteBatch TakeRecords(size_t max_packs, size_t max_bytes) {
     return state_.durable_state.TakeBatch(max_packs, max_bytes, state_.cluster);
   }
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -11,8 +11,8 @@
 
 // Share of the budget that is assured to all teams together.
 constexpr double kAssuredShare = 0.25;
-// Fraction of a controller's share of the free budget that it may fill with jobs of teams beyond
-// their assured part.
+// Fraction of a controller's share of the free budget that the controller may fill with jobs of
+// teams beyond their assured part.
 constexpr double kUnassuredShare = 0.5;
 // Time constant of the decay of `ended_tasks_`, in multiples of max_retry_s.
 constexpr double kEndRateWindowRetries = 8;
--- a/src/scheduler/leader_sharding.cc
+++ b/src/scheduler/leader_sharding.cc
@@ -18,8 +18,7 @@
 
 namespace {
 
-// Upper limit of a crash-looping job's retry count, in retries. A larger count in a holder's report
-// is reduced to this limit.
+// Upper limit of the retry count that is accepted from a holder's report on a crash-looping job.
 constexpr uint64_t kMaxRetries = 1000;
 
 // The decoded `count` of a kMachineReturned message (wire/shard_frame.h).
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -24,8 +24,9 @@
 constexpr double kRestartFactor = 1.5;
 // A machine is faulty after this many failed tasks without a success in between.
 constexpr int kFailuresOfFaultyMachine = 3;
-// The failed tasks of a faulty machine must belong to at least this many jobs. A single job is
-// enough if other tasks of the job have succeeded, because the job itself then works.
+// The failed tasks of a faulty machine must belong to at least this many jobs. This limit does not
+// apply if other tasks of the job that failed last have succeeded, because the job is then an
+// unlikely cause of the failure.
 constexpr size_t kMinFailedJobs = 2;
 // A job is crash looping after this many consecutive failed tasks, on at least this many machines,
 // if none of its tasks has succeeded.
@@ -68,8 +69,8 @@
       job.consecutive_failures >= kFailuresOfCrashLoop) {
     job.crash_looping = true;
     verdict = Verdict::kJobCrashLooping;
-    // Failures of a crash looping job count against no machine, including failures before the crash
-    // loop was detected.
+    // Failures of a crash looping job are not counted against any machine. This includes failures
+    // before the crash loop was detected.
     for (const auto& [id, failed_at] : job.failed_on) {
       if (const auto it = machines.find(id); it != machines.end()) {
         it->second.errors_by_job.erase(job.spec.id);
--- a/src/scheduler/provisioning_tracker.cc
+++ b/src/scheduler/provisioning_tracker.cc
@@ -17,7 +17,7 @@
 // heartbeats.
 constexpr size_t kMaxDeletedMachines = 4096;
 // A booting machine is deleted if it has not come up after this many boot times of its type, plus
-// allowances for the lag of the cloud's list and for the first heartbeat.
+// the maximum lag of the cloud's list and the silence after which an agent is suspected.
 constexpr double kBootPatienceBoots = 2.5;
 // A machine that is up, but whose agent has not reached the leader after this many agent leases, is
 // deleted.
@@ -104,7 +104,7 @@
     machine.since = now - listed.age_s;
   }
   // The time limit of a machine that is up starts when the list first shows it running. The age of
-  // the machine is ignored, because the agent of an old machine may only have had no time yet to
+  // the machine is ignored, because even the agent of an old machine may not have had the time to
   // reach this leader.
   if (listed.state == wire::MachineState::kRunning && !machine.up) {
     machine.up = true;
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -221,8 +221,8 @@
 }
 
 // A recalled machine is needed for waiting work: without the check of `recall_requested`, the
-// machine was deleted as soon as it was idle. The comparison of `used_cpus` fails while tasks that
-// were delegated after the holder's last message may still be in transit to the holder.
+// machine was deleted as soon as it was idle. The comparison of `used_cpus` is false while tasks
+// that were delegated after the holder's last message may still be in transit to the holder.
 bool ScalingCoordinator::IsHolderIdle(const Machine& machine) const {
   return machine.holder_status.idle && !machine.recall_requested &&
          machine.used_cpus <= machine.holder_status.used_cpus &&
