--- a/include/mosspath/scheduler/machine_health.h
+++ b/include/mosspath/scheduler/machine_health.h
@@ -1,5 +1,6 @@
 // Detects machines on which tasks fail or run far slower than on other machines. Detects crash
-// looping jobs, whose tasks fail on every machine. Pure.
+// looping jobs, whose tasks fail on every machine and are retried until their users cancel the
+// jobs. Pure.
 #pragma once
 
 #include "mosspath/cluster/cluster_state.h"
