--- a/include/mosspath/election/cancellation_log.h
+++ b/include/mosspath/election/cancellation_log.h
@@ -2,9 +2,9 @@
 // to its leadership promise those entries that the leader has not read yet (docs/design.md, "The
 // state service refuses the leader alone, and then everybody"). Does no I/O.
 //
-// Invariant: each cancellation that this process has confirmed, or that the previous process may
-// have confirmed, has a revision of at most newest(). The log holds the job id of each one with a
-// revision after listed_from().
+// Invariant: each cancellation that this process has confirmed to a user, or that the previous
+// process may have confirmed, has a revision of at most newest(). The log holds the job id of each
+// cancellation whose revision is above listed_from().
 #pragma once
 
 #include <cstddef>
@@ -18,19 +18,20 @@
 
 class CancellationLog {
  public:
-  // The log keeps the latest `max_entries` ids.
+  // The log keeps the job ids of at most `max_entries` cancellations, those with the highest
+  // revisions.
   explicit CancellationLog(size_t max_entries) : max_entries_(max_entries) {}
 
   // Records that the previous process may have confirmed any cancellation up to `revision`.
   void AssumeReportedUpTo(uint64_t revision);
-  // Adds the cancellation of job `id`, which is durable since `revision`. Must be called before the
-  // cancellation is confirmed to any user.
+  // Adds the cancellation of job `id`, which the state service stored at `revision`. Must be called
+  // before the cancellation is confirmed to any user.
   void Add(const std::string& id, uint64_t revision);
 
   [[nodiscard]] uint64_t newest() const { return newest_; }
   [[nodiscard]] uint64_t listed_from() const { return listed_from_; }
-  // Returns the entries after the revision `seen`, in ascending order and as many as fit into one
-  // response. The slice states the range of revisions for which it is complete.
+  // Returns the entries with a revision above `seen`, in ascending order of revision, and as many
+  // as fit into one response. The slice states the range of revisions for which it is complete.
   [[nodiscard]] wire::CancellationLogSlice Since(uint64_t seen) const;
 
  private:
@@ -41,7 +42,7 @@
   };
   using Entries = std::set<LogEntry>;
 
-  // Returns the first entry after `revision`.
+  // Returns the first entry with a revision above `revision`.
   [[nodiscard]] Entries::const_iterator FirstAfter(uint64_t revision) const {
     return entries_.lower_bound(LogEntry{revision + 1, {}});
   }
--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -37,9 +37,11 @@
   void OnReset() { leadership_.Reset(); }
   // `fresh`: the cache is empty, so no controller has ever led.
   void OnCacheLoaded(bool fresh);
-  // The cache holds everything that was written before `as_of`, up to `revision`.
+  // The watch cache holds every change up to `revision`, and with that everything that was written
+  // to the state service before `as_of`.
   void OnReadUpTo(double as_of, uint64_t revision) { leadership_.OnReadUpTo(as_of, revision); }
-  // The leader has sent its view as of `as_of`.
+  // The leader has sent its view (what it has read of the state service). That view holds
+  // everything that was confirmed to users before `as_of`.
   void OnLeaderView(double as_of) { leadership_.OnLeaderView(as_of); }
 
   // Resigns at once, so that another controller can be elected. Has no effect on a follower.
@@ -67,9 +69,9 @@
                                                              double now);
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return leadership_.token(); }
-  // The name of the last known leader; empty if none is known.
+  // The name of the last known leader; empty if no leader is known.
   [[nodiscard]] const std::string& leader() const { return leadership_.leader(); }
-  // The fencing token of the last known leader; kNoToken if none is known.
+  // The fencing token of the last known leader; kNoToken if no leader is known.
   [[nodiscard]] uint64_t leader_token() const { return leadership_.leader_token(); }
   // This controller's store lease; kvstore::kNoLease while this controller has none.
   [[nodiscard]] uint64_t store_lease() const { return leadership_.store_lease(); }
@@ -94,7 +96,8 @@
   net::Timer evaluate_timer_;
   net::Backoff backoff_;
   Leadership leadership_;
-  bool lapse_logged_ = false;  // the store lease lapsed in this term and was not renewed since
+  // The log has reported that the store lease lapsed in this term; no renewal has succeeded since.
+  bool lapse_logged_ = false;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/failure_detector.h
+++ b/include/mosspath/election/failure_detector.h
@@ -20,25 +20,28 @@
 
   // Ignores heartbeats of controllers that are not in the settings.
   void OnHeartbeat(const wire::PeerHeartbeat& heartbeat, double now);
-  // Reports that this process did not run between `from` and `now`. That time does not count as
-  // silence of the peers.
+  // Handles a stall: this process did not run between `from` and `now`, so it could receive no
+  // heartbeats. The stall is not counted in the time since the last heartbeat of a peer that was
+  // not yet suspected at `from`.
   void OnProcessStall(double from, double now);
 
-  // True if no heartbeat of the controller has arrived for several intervals; false if none has
-  // ever arrived.
+  // True if the last heartbeat of the peer `node` arrived more than several heartbeat intervals
+  // ago. False if no heartbeat of that peer has ever arrived.
   [[nodiscard]] bool IsSuspected(const std::string& node, double now) const;
   // When the state service last answered any peer, according to the peers' heartbeats.
   [[nodiscard]] std::optional<double> state_contact() const { return state_contact_; }
   // True if a heartbeat of each peer has arrived before, and all peers are suspected now.
   [[nodiscard]] bool IsIsolated(double now) const;
   // Whether the load balancer should route users to this controller. `state_contact` is when the
-  // state service last answered this controller; up to `contact_timeout_s` ago counts as reachable.
+  // state service last answered this controller. If that was less than `contact_timeout_s` ago, the
+  // state service is taken to be reachable.
   //
   // In an outage of the state service for all controllers this controller stays in the load
   // balancer: withdrawing would only move its users to controllers with the same outage. If the
-  // state service refuses only this controller, it withdraws, since the peers can serve. An
-  // isolated controller withdraws too: it can't distinguish the two cases, and it would answer 503
-  // to users that the peers could serve.
+  // state service refuses only this controller, this controller withdraws, since the peers can
+  // serve the users. An isolated controller that can't reach the state service withdraws too:
+  // without heartbeats it can't tell whether the state service still answers the peers. If it does,
+  // this controller would answer 503 to users that the peers could serve.
   [[nodiscard]] bool ShouldServeUsers(double state_contact, double contact_timeout_s,
                                       double now) const;
   // Seconds since the last heartbeat of each peer; wire::kNeverS if none has arrived.
@@ -62,10 +65,11 @@
   [[nodiscard]] static double SilenceOf(const Peer& peer, double now);
   [[nodiscard]] wire::ControllerState StateOf(const std::string& name, const Peer& peer,
                                               double now) const;
-  // Updates the last contact with the controller if another peer has received a later heartbeat.
+  // Updates the last contact with the controller in `state` if the heartbeats of another peer
+  // report a later contact with that controller.
   void ApplyIndirectContacts(double now, wire::ControllerState& state) const;
-  // Adds the services and peers that the sender of `heartbeat` could not reach. The heartbeat was
-  // received `age_s` seconds ago.
+  // Adds to `state` the services and peers that the sender of `heartbeat` could not reach. The
+  // heartbeat was received `age_s` seconds ago.
   void AddUnreachable(const wire::PeerHeartbeat& heartbeat, double age_s,
                       wire::ControllerState& state) const;
 
--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -11,9 +11,10 @@
 //
 // Invariants:
 //   - a controller leads only under the version of the leader key that it has read last;
-//   - a leader acts only while no other controller can lead;
-//   - a leader acts only on a view that holds everything that was confirmed to users until shortly
-//     before.
+//   - a leader acts (sends commands to agents) only while no other controller can lead;
+//   - a leader acts only on a fresh view. The view is what this controller has read of the state
+//     service. It is fresh if it holds everything that was confirmed to users until
+//     `max_view_age_s` ago.
 #pragma once
 
 #include <cstdint>
@@ -39,20 +40,25 @@
 // Why a controller lost the leadership.
 enum class LeadershipLossReason {
   kStoreLeaseEnded,    // the state service reports that the store lease has ended
-  kLeaderKeyChanged,   // the leader key has another version
-  kLeaderKeyNotOwn,    // after a reload the leader key is attached to another lease
+  kLeaderKeyChanged,   // the leader key was put again or deleted after this controller put it
+  kLeaderKeyNotOwn,    // after a reload the leader key is absent or attached to another lease
   kLaterLeaderAsked,   // a peer requested a promise under a later token
-  kViewIsStale,        // resigned: this controller can't read changes of the state service
-  kAgentsPartitioned,  // resigned: most agents don't reach this controller
+  kViewIsStale,        // this controller resigned: it can't read changes of the state service
+  kAgentsPartitioned,  // this controller resigned: most agents don't reach it
 };
 // Returns the reason as it is logged, in snake case.
 [[nodiscard]] std::string_view ToString(LeadershipLossReason reason);
 
 // How a peer's response to a promise request was handled.
 enum class PromiseResponseResult {
-  kCounted,      // the response is a promise of the current round
-  kNotCounted,   // no promise, or this controller lacks cancellations that the peer has confirmed
-  kImplausible,  // no peer can have sent the response: it contains a revision that can't exist yet
+  // The response is a valid promise. A promise of an earlier round is reported so too, but has no
+  // effect.
+  kCounted,
+  // The peer made no promise, or this controller lacks cancellations that the peer has confirmed,
+  // or this controller no longer leads or is reloading the watch cache.
+  kNotCounted,
+  // The response contains a revision that can't exist yet, so no correct peer can have sent it.
+  kImplausible,
 };
 
 class Leadership {
@@ -72,8 +78,8 @@
   void OnStoreLeaseGranted(uint64_t store_lease, double sent);
   void OnStoreLeaseRenewed(double sent) { store_lease_clock_.OnRenewed(sent); }
   MaybeLoss OnStoreLeaseEnded();
-  // Gives up the leadership: this controller sends no commands from now on, and lets other
-  // controllers campaign first.
+  // Resigns the leadership. From now on this controller sends no commands, and it delays its next
+  // campaign so that other controllers can campaign first.
   MaybeLoss Resign(LeadershipLossReason reason, double now);
   // kvstore::kNoLease while this controller has no store lease.
   [[nodiscard]] uint64_t store_lease() const { return store_lease_; }
@@ -85,13 +91,14 @@
     uint64_t store_lease = kvstore::kNoLease;
     uint64_t version = kvstore::kKeyAbsent;
   };
-  // Discards what was read; a reload follows.
+  // Discards the leader key that was read; a reload of the watch cache follows.
   void Reset();
   MaybeLoss OnLeaderKey(const LeaderKey& key);
-  // The leader key and all other keys were read. `fresh`: the store is empty, so no controller has
-  // ever led.
+  // The watch cache has loaded the leader key and all other keys. `fresh`: the state service is
+  // empty, so no controller has ever led.
   MaybeLoss OnLoaded(bool fresh);
-  // This controller has read everything that was written before `as_of`, up to `revision`.
+  // This controller has read every change up to `revision`, and with that everything that was
+  // written to the state service before `as_of`.
   void OnReadUpTo(double as_of, uint64_t revision);
 
   // --- The next step ---
@@ -117,8 +124,8 @@
     return leads() && staleness_.IsFresh(now) &&
            (store_lease_clock_.Holds(now) || promises_.Holds(now));
   }
-  // True if this leader keeps its store lease but its view is aging. Other controllers may still
-  // read changes, so the leader should resign.
+  // True if this controller leads and keeps its store lease, but its view is aging. Other
+  // controllers may still be able to read changes, so this controller should resign.
   [[nodiscard]] bool IsStale(double now) const {
     return leads() && store_lease_clock_.Holds(now) && staleness_.IsAging(now);
   }
@@ -126,14 +133,14 @@
   // Whether this controller may act on its view of the jobs, as a leader or not.
   [[nodiscard]] bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
   [[nodiscard]] double view_age_s(double now) const { return staleness_.age_s(now); }
-  // The leader has sent its view (docs/sharding.md): this controller has everything that was
-  // confirmed to users before `as_of`.
+  // The leader has sent its view (docs/sharding.md). With it, this controller's view holds
+  // everything that was confirmed to users before `as_of`.
   void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return token_; }
-  // The name of the last known leader; empty if none is known.
+  // The name of the last known leader; empty if no leader is known.
   [[nodiscard]] const std::string& leader() const { return leader_key_.node; }
-  // The fencing token of that leader; kNoToken if none is known.
+  // The fencing token of the last known leader; kNoToken if no leader is known.
   [[nodiscard]] uint64_t leader_token() const { return leader_key_.version; }
 
   // --- Outages of the state service. `contact` is when the last request that the state service
@@ -141,19 +148,22 @@
   [[nodiscard]] bool IsDisconnected(double contact, double now) const {
     return now - contact > kMissedRenewals * derived_.store_lease_renew_s;
   }
-  // Leader: returns the number of the round of promise requests to send now, if any.
+  // Leader: begins a round of promise requests and returns its number; the caller sends the
+  // requests. Returns nothing if no round is needed or allowed: this controller does not lead, is
+  // reloading the watch cache, or reaches the state service.
   [[nodiscard]] std::optional<uint64_t> BeginPromiseRound(double contact, double now);
   [[nodiscard]] wire::PromiseRequest MakePromiseRequest() const {
     return {node_, token_, read_revision_};
   }
-  // Leader: handles a peer's response. Sets `learned` to the cancellations that the response lists.
-  // The caller must end their jobs before it does anything else, since from now on the view counts
-  // as including them. Leaves `learned` unchanged if the response is implausible.
+  // Leader: handles a peer's response to the promise request of round `round`. Sets `learned` to
+  // the cancellations that the response lists. The caller must end the cancelled jobs before it
+  // does anything else: the age of the view is computed as if the view held these cancellations
+  // already. Leaves `learned` unchanged if the response is implausible.
   PromiseResponseResult OnPromiseResponse(uint64_t round, const std::string& peer,
                                           const wire::PromiseResponse& response, double now,
                                           std::vector<wire::CancellationLogSlice::Entry>& learned);
-  // Peer: decides whether to promise the sender of the request not to lead for a short time. A
-  // request under a later token ends the term of a leader of an earlier one.
+  // Peer: decides whether to promise the sender of the request not to lead for a short time. If
+  // this controller leads under an earlier token than that of the request, its term ends.
   struct PromiseDecision {
     bool promised = false;
     bool well_formed = true;  // false: no correct controller can have sent the request
@@ -172,11 +182,12 @@
     return leader_key_.version != kvstore::kKeyAbsent && leader_key_.store_lease == store_lease_;
   }
   Step AssumeLeadership(double now);
-  // Seconds to wait for other controllers to campaign after a resignation; none: this controller
-  // may campaign.
+  // Returns the seconds for which this controller, after its resignation, still waits for other
+  // controllers to campaign. Returns nothing if this controller may campaign now.
   std::optional<double> CampaignDelay(double now);
   MaybeLoss StepDown(LeadershipLossReason reason);
-  // Whether the state service can have reached this revision since it was last read.
+  // Whether the state service can have reached `revision` by `now`, given the revision that this
+  // controller has read last and the limit on the rate of changes.
   [[nodiscard]] bool IsPlausibleRevision(uint64_t revision, double now) const;
   [[nodiscard]] bool IsWellFormed(const wire::PromiseRequest& request, double now) const;
 
@@ -191,13 +202,17 @@
   uint64_t store_lease_ = kvstore::kNoLease;
   uint64_t token_ = kNoToken;
   LeaderKey leader_key_;
-  uint64_t read_revision_ = 0;  // everything up to this revision was read
+  uint64_t read_revision_ = 0;  // this controller has read every change up to this revision
   double read_at_;              // when the read that returned read_revision_ was sent
-  bool loaded_ = false;
-  bool had_leader_before_ = false;  // an earlier leader may still act under promises
+  bool loaded_ = false;         // the watch cache is complete: no reload is in progress
+  // Another controller, or an earlier process of this controller, may have led before and may still
+  // act under promises.
+  bool had_leader_before_ = false;
   bool campaigning_ = false;
-  std::optional<double> defer_campaign_until_;  // after a resignation
-  std::optional<double> key_free_since_;        // leader key absent while the campaign is deferred
+  // Set by a resignation: until then other controllers campaign first.
+  std::optional<double> defer_campaign_until_;
+  // Since when the leader key has been absent while this controller defers its campaign.
+  std::optional<double> key_free_since_;
 };
 
 }  // namespace mosspath::election
--- a/include/mosspath/election/leadership_promises.h
+++ b/include/mosspath/election/leadership_promises.h
@@ -1,6 +1,6 @@
-// Keeps a leader acting while the state service is down for all controllers: the peers promise the
-// leader not to lead for a short time. docs/design.md, "Outages of the store that are longer than a
-// store lease", shows that this is safe. Does no I/O.
+// Lets a leader continue to act while the state service is down for all controllers: the peers
+// promise the leader not to lead for a short time. docs/design.md, "Outages of the store that are
+// longer than a store lease", shows that such promises are safe. Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -22,8 +22,8 @@
       : promise_s_(promise_s), peer_count_(peer_count) {}
 
   // --- As a peer ---
-  // Binds this controller not to lead for `promise_s` from `now`. Also called at the start of the
-  // process, since the promises of the previous process are unknown.
+  // Binds this controller not to lead for `promise_s` from `now`. Must also be called at the start
+  // of the process: the previous process may have made promises, which are not stored.
   void Promise(double now) {
     promised_until_ = std::max(promised_until_, std::optional(now + promise_s_));
   }
@@ -33,26 +33,29 @@
   }
 
   // --- As the leader ---
-  // Begins a round of promise requests that are sent at `now`, and returns its number. Responses of
-  // earlier rounds no longer count.
+  // Begins a round of promise requests that are sent at `now`, and returns its number. From now on
+  // the responses to earlier rounds are ignored.
   [[nodiscard]] uint64_t BeginRound(double now) {
     round_began_at_ = now;
     promised_peers_.clear();
     return ++round_;
   }
-  // Counts a peer's promise. Once all peers have promised in the round, returns when it began.
+  // Counts a peer's promise. Once all peers have promised in the round, returns when the round
+  // began; otherwise returns nothing.
   std::optional<double> OnPromise(uint64_t round, const std::string& peer) {
     if (round != round_) return std::nullopt;
     promised_peers_.insert(peer);
     if (peer_count_ == 0 || promised_peers_.size() != peer_count_) return std::nullopt;
-    // Counting from when the request was sent is safe: the peer counts from its receipt.
+    // Counting from when the request was sent is safe: the peer counts from its receipt of the
+    // request, which is later. The factor covers the drift between the two clocks.
     const double usable_s = promise_s_ * (1 - 4 * config::kMaxClockDrift);
     held_until_ = std::max(held_until_, std::optional(round_began_at_ + usable_s));
     return round_began_at_;
   }
-  // True while all peers are bound, so that no other controller can lead.
+  // True while all peers are bound by their promises, so that no other controller can lead.
   [[nodiscard]] bool Holds(double now) const { return held_until_ && now < *held_until_; }
-  // Discards the promises that this controller has collected, and responses still in flight.
+  // Discards the promises that this controller has collected. Responses that are still in flight
+  // are ignored when they arrive.
   void Invalidate() {
     held_until_.reset();
     ++round_;
--- a/include/mosspath/election/resignation_backoff.h
+++ b/include/mosspath/election/resignation_backoff.h
@@ -11,8 +11,8 @@
 // All times are seconds on one steady clock.
 class ResignationBackoff {
  public:
-  // The minimum tenure of the next term is `first_s` after the first resignation. Each further
-  // resignation doubles the minimum tenure, up to `max_s`.
+  // After the first resignation a leader must lead for `first_s` (the minimum tenure) before it may
+  // resign again. Each further resignation doubles the minimum tenure, up to `max_s`.
   ResignationBackoff(double first_s, double max_s) : first_s_(first_s), max_s_(max_s) {}
 
   void OnResigned(double now) {
--- a/include/mosspath/election/staleness_bound.h
+++ b/include/mosspath/election/staleness_bound.h
@@ -1,7 +1,8 @@
-// The bound on the age of the view of the jobs that a leader may act on (docs/design.md, rule 12).
-// Each answer to an agent extends the agent's lease on its tasks, even if the leader has not yet
-// read that their job was cancelled. So a stale view would delay cancellations. Does no I/O; the
-// caller passes the time.
+// The bound on the age of the view on which a leader may act (docs/design.md, rule 12). The view is
+// what this controller has read of the jobs in the state service. Each response to an agent extends
+// the agent's lease on its tasks, even if the leader has not yet read that the tasks' job was
+// cancelled. So a leader with a stale view would keep the tasks of cancelled jobs running. Does no
+// I/O; the caller passes the time.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
   explicit StalenessBound(double max_age_s) : max_age_s_(max_age_s) {}
 
   // The view holds everything that was confirmed to any user before `as_of`. Calls may come in any
-  // order; the latest `as_of` counts.
+  // order of `as_of`; the latest `as_of` is kept.
   void AdvanceTo(double as_of) { as_of_ = std::max(as_of_, std::optional(as_of)); }
 
   [[nodiscard]] bool IsFresh(double now) const { return age_s(now) <= max_age_s_; }
--- a/src/election/cancellation_log.cc
+++ b/src/election/cancellation_log.cc
@@ -15,7 +15,8 @@
   if (revision <= listed_from_) return;
   entries_.insert(LogEntry{revision, id});
   while (entries_.size() > max_entries_) {
-    // Drops all entries of that revision, so that the list stays complete after listed_from_.
+    // Drops all entries of the lowest revision together: entries_ must stay complete for the
+    // revisions above listed_from_.
     listed_from_ = entries_.begin()->revision;
     entries_.erase(entries_.begin(), FirstAfter(listed_from_));
   }
@@ -28,7 +29,8 @@
   slice.to_revision = std::max(slice.from_revision, newest_);
   for (auto it = FirstAfter(slice.from_revision); it != entries_.end(); ++it) {
     if (slice.entries.size() == wire::kMaxCancelledIds) {
-      // The slice must end before this revision: some of its entries may already be in the slice.
+      // Not all entries of this revision fit. The slice must end before this revision, so the
+      // entries of this revision that are already in the slice are removed.
       const uint64_t excluded_revision = it->revision;
       std::erase_if(slice.entries,
                     [&](const auto& entry) { return entry.revision >= excluded_revision; });
--- a/src/election/elector.cc
+++ b/src/election/elector.cc
@@ -123,8 +123,8 @@
   transaction.changes.push_back(
       {key_, wire::Json{{kNodeField, node_}, {kStoreLeaseField, store_lease()}}, store_lease()});
   const auto on_committed = [this](const kvstore::TransactionResult& result) {
-    // The watch cache shows whether the key was put. No other campaign begins before the pause
-    // ends.
+    // This controller reads from the watch cache whether the leader key was put, not from this
+    // response. It begins no other campaign before the pause ends.
     const bool done = result.outcome == kvstore::Outcome::kDone;
     const double pause_s = done ? derived_.call_timeout_s : kFailedCampaignPauseS;
     campaign_timer_.After(pause_s, [this] {
--- a/src/election/failure_detector.cc
+++ b/src/election/failure_detector.cc
@@ -5,7 +5,10 @@
 namespace mosspath::election {
 namespace {
 
+// The minimum interval between the heartbeats that controllers send to each other.
 constexpr double kMinIntervalS = 0.5;
+// Controllers send this many heartbeats to each other per agent heartbeat interval, if that keeps
+// the minimum interval.
 constexpr double kIntervalsPerAgentHeartbeat = 4;
 // A peer is suspected after this many heartbeat intervals without a heartbeat.
 constexpr double kSuspectIntervals = 3;
--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -6,15 +6,17 @@
 namespace mosspath::election {
 namespace {
 
-// Each change takes one revision, and the rate of changes of all controllers together is limited.
-// Leases that end take revisions too. Since the last read, the revision can't have risen by more
-// than this multiple of the limit.
+// Each change takes one revision, and settings.store_writes_per_s limits the rate of the changes of
+// all controllers together. Store leases that end take revisions too. A revision is implausible if
+// it implies that revisions rose faster than this multiple of the limit since the last read.
 constexpr double kRevisionsPerChange = 4;
-// A burst of this many seconds' worth of changes is allowed on top.
+// The plausibility check allows a burst: the revisions of this many seconds on top.
 constexpr double kRevisionBurstS = 1;
-// After a resignation a controller lets others campaign first for this many store lease durations.
+// After a resignation a controller defers its own campaign for this many store lease durations, so
+// that other controllers can campaign first.
 constexpr double kDeferCampaignLeases = 2;
-// A leader that has resigned before stays for at least this many store lease durations.
+// In the term after its first resignation a leader may resign only after this many store lease
+// durations (see ResignationBackoff).
 constexpr double kMinTenureLeases = 2;
 
 }  // namespace
@@ -113,7 +115,9 @@
   return {.kind = Kind::kCampaign, .version = leader_key_.version, .wait_s = 0};
 }
 
-// This controller has read its own leader key, and therefore all writes of earlier leaders.
+// This controller has read its own leader key, and therefore all writes of earlier leaders: each
+// such write is conditional on an earlier version of the leader key, so it can't have succeeded
+// after this controller put the key.
 Leadership::Step Leadership::AssumeLeadership(double now) {
   using Kind = Step::Kind;
   if (token_ == leader_key_.version) return {};
@@ -126,8 +130,9 @@
   return {.kind = Kind::kElected, .version = kvstore::kKeyAbsent, .wait_s = 0};
 }
 
-// Other controllers campaign first. If none does and the leader key stays absent for half a store
-// lease duration, this controller campaigns early.
+// After its resignation this controller lets other controllers campaign first. If no controller
+// does and the leader key stays absent for half a store lease duration, this controller campaigns
+// early.
 std::optional<double> Leadership::CampaignDelay(double now) {
   if (!defer_campaign_until_ || now >= *defer_campaign_until_) return std::nullopt;
   const double recheck_s = derived_.store_lease_s / 2;
@@ -154,8 +159,8 @@
 }
 
 std::optional<uint64_t> Leadership::BeginPromiseRound(double contact, double now) {
-  // During a reload this controller lacks jobs that have ended since, even if the revision of the
-  // loaded pages is recent.
+  // During a reload the view is incomplete, even if the pages that were loaded so far have a recent
+  // revision: it can lack the ends of jobs on pages that are still to be loaded.
   if (!leads() || !loaded_ || !IsDisconnected(contact, now)) return std::nullopt;
   return promises_.BeginRound(now);
 }
@@ -168,10 +173,12 @@
     return PromiseResponseResult::kImplausible;
   }
   learned = slice.entries;
-  // If this controller lacks a confirmed cancellation, the job's tasks must not be kept running. A
-  // peer may receive the responses to its changes out of order, and so record an earlier
-  // cancellation after a later one. Only what this controller has read itself is complete up to a
-  // revision. So each response lists all cancellations since read_revision_.
+  // A promise lets this leader keep tasks running. It must not be counted while this controller
+  // lacks a confirmed cancellation, or the tasks of the cancelled job would be kept running too.
+  // The entries of an earlier response are no substitute for a complete list: a peer may receive
+  // the responses to its changes out of order, and so add an earlier cancellation to its log after
+  // a later one. Only what this controller has read itself is complete, up to read_revision_. So
+  // each response must list all cancellations after read_revision_.
   const bool all_known = slice.from_revision <= read_revision_ &&
                          slice.newest <= std::max(read_revision_, slice.to_revision);
   if (!response.promised || !all_known || !loaded_ || !leads()) {
@@ -192,8 +199,8 @@
 Leadership::PromiseDecision Leadership::OnPromiseRequest(const wire::PromiseRequest& request,
                                                          double contact, double now) {
   PromiseDecision decision;
-  // Before the load is complete, the cancellations that the previous process may have confirmed are
-  // unknown.
+  // Until the watch cache is loaded, this controller does not know which cancellations its previous
+  // process may have confirmed, and so it could not list them in its response.
   if (!loaded_) return decision;
   if (!IsWellFormed(request, now)) {
     decision.well_formed = false;
@@ -201,9 +208,10 @@
   }
   if (!IsDisconnected(contact, now)) return decision;
   if (request.token != leader_key_.version) {
-    // A token that is not above the read revision belongs to a former leader. A later token belongs
-    // to a leader key that was put after the last read. So the leader key that this controller has
-    // read is gone, even if it is its own.
+    // A token is the revision at which the leader key was put. A token up to read_revision_ that is
+    // not the version of the leader key belongs to a former leader. A token above read_revision_
+    // belongs to a leader key that was put after the last read. That leader key has replaced the
+    // leader key that this controller has read, even if the latter is this controller's own.
     if (request.token <= read_revision_ || request.token <= leader_key_.version) return decision;
     leader_key_ = {request.node, kvstore::kNoLease, request.token};
     had_leader_before_ = true;
