--- a/include/mosspath/shard/routing_table.h
+++ b/include/mosspath/shard/routing_table.h
@@ -1,6 +1,7 @@
-// Maps each machine to the controller that commands it, from the records in the state service,
-// which every controller reads. A machine's record names the shard lease under which the machine is
-// held; the record of that lease names the holder (docs/sharding.md). Pure.
+// Maps each machine to the controller that commands the machine. The routes come from the records
+// in the state service, which every controller reads: a machine's record names the shard lease
+// under which the machine is held, and the record of that lease names the holder
+// (docs/sharding.md). Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +17,8 @@
  public:
   struct MachineRoute {
     std::string address;
-    uint64_t lease = kvstore::kNoLease;      // of the shard that holds the machine
-    uint64_t version = kvstore::kKeyAbsent;  // of the pack that contains the machine's record
+    uint64_t lease = kvstore::kNoLease;      // the shard lease under which the machine is held
+    uint64_t version = kvstore::kKeyAbsent;  // version of the pack with the machine's record
     uint64_t handover_revision = 0;          // rises with each handover of the machine
   };
 
@@ -25,30 +26,32 @@
     packs_.clear();
     leases_.clear();
   }
-  // Sets the lease under which the controller holds its shard; kvstore::kNoLease: it holds none.
+  // Sets the lease under which the controller `node` holds its shard; kvstore::kNoLease: the
+  // controller holds no shard.
   void OnLease(const std::string& node, uint64_t lease);
-  // Replaces the routes of a pack of machine records; null: the pack was deleted. Passes on the
-  // exceptions of the record decoder.
+  // Replaces the routes of one pack (a key with the records of several machines). A null `value`
+  // means that the pack was deleted. Passes on the exceptions of the record decoder.
   void OnPack(int pack, const wire::Json* value, uint64_t version);
 
   // Returns the lease of the controller's shard, or kvstore::kNoLease.
   [[nodiscard]] uint64_t LeaseOf(const std::string& node) const;
-  // Returns the controller that commands the machine; empty if the leader does.
+  // Returns the controller that holds the machine under a shard lease; empty if no controller does,
+  // since then the leader commands the machine.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
   // Returns the machines that are held under the lease, by name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease) const;
   // Returns the machines of one pack that are held under the lease, by name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease, int pack) const;
   [[nodiscard]] bool IsUnder(uint64_t lease, const std::string& machine) const;
-  // Returns the holder of each lease.
+  // Returns the name of the holder by lease.
   [[nodiscard]] const std::map<uint64_t, std::string>& leases() const { return leases_; }
 
  private:
   using Routes = std::map<std::string, MachineRoute>;
   static void AddMachinesUnder(uint64_t lease, const Routes& from, Routes& to);
 
-  std::map<int, Routes> packs_;  // only machines that have a lease
-  std::map<uint64_t, std::string> leases_;
+  std::map<int, Routes> packs_;             // only machines that are held under a shard lease
+  std::map<uint64_t, std::string> leases_;  // name of the holder by lease
 };
 
 }  // namespace mosspath::shard
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -1,9 +1,11 @@
 // The holder of a shard: commands the shard's machines, places the tasks that the leader delegates,
 // and sends the results to the leader. A holder writes no records. The leader makes completions
-// durable; until then the agents keep them (docs/design.md, rule 8; and docs/sharding.md). Pure.
+// durable; until then the agents keep them (docs/design.md, rule 8; and docs/sharding.md). Does no
+// I/O.
 //
-// The caller may use this object to command machines only while the shard's record shows this lease
-// and the view of the state service is fresh (docs/sharding.md, "How long a holder may act").
+// The caller may use this object to command machines only while two conditions hold: the record of
+// the shard lease names the lease() of this object, and what this controller has read of the state
+// service is fresh (docs/sharding.md, "How long a holder may act").
 #pragma once
 
 #include <functional>
@@ -26,7 +28,7 @@
     uint64_t version = 0;
     double submitted_at = 0;
   };
-  // Looks up a live job in the watch cache. Returns none if the job has ended or is unknown.
+  // Looks up a live job in the watch cache. Returns nothing if the job has ended or is unknown.
   using FindJob = std::function<std::optional<LiveJob>(const std::string& id)>;
 
   // Holds the shard with the index `own_shard` under the shard lease `lease`.
@@ -38,26 +40,28 @@
   [[nodiscard]] const scheduler::Scheduler& dispatcher() const { return scheduler_; }
 
   // --- Records of the state service ---
-  // The machine's record assigns it to this lease. The record's `version` is the fencing token for
-  // the machine; `handover_revision` rises with each handover.
+  // The machine's record assigns the machine to this lease. The record's `version` is the fencing
+  // token for the machine; `handover_revision` rises with each handover of the machine.
   void OnMachineAssigned(const std::string& machine, const std::string& address, uint64_t version,
                          uint64_t handover_revision, double now);
-  // The machine's record no longer assigns it to this lease.
+  // The machine's record no longer assigns the machine to this lease.
   void OnMachineUnassigned(const std::string& machine) { returned_.erase(machine); }
   struct ReturnedMachine {
-    bool lost = false;               // returned because it did not answer, not because it was empty
-    uint64_t handover_revision = 0;  // of the handover that the return ends
+    // True if the machine was returned because it did not answer, false if because it was empty.
+    bool lost = false;
+    uint64_t handover_revision = 0;  // revision of the handover that the return ends
   };
   // The machines that were returned to the leader although their records still assign them to this
   // lease.
   [[nodiscard]] const std::map<std::string, ReturnedMachine>& returned() const { return returned_; }
-  // Sets the token of the present leader. A new leader is sent all claims and states again.
+  // Sets the fencing token of the present leader. If the token differs from the last one, all
+  // claims and machine states will be sent again, since the new leader has none.
   void OnLeader(uint64_t token);
   void OnJobEnded(const std::string& id, double now) { scheduler_.RemoveJob(id, now); }
 
   // --- Agents ---
   scheduler::HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& heartbeat, double now);
-  // `heartbeat` is the agent's answer to the batch, if there was one.
+  // `heartbeat` is the heartbeat in the agent's answer to the batch; null if there is none.
   void OnCommandOutcome(const scheduler::CommandBatch& batch, scheduler::CommandOutcome outcome,
                         const wire::Heartbeat* heartbeat, double now);
 
@@ -66,15 +70,18 @@
   // Handles a frame. Returns false, without effect, if the frame is not from the present leader or
   // is for another lease. Throws wire::BadMessage on a frame that no leader can have sent.
   bool OnFrame(const wire::ShardFrame& frame, double now);
-  // Returns the frame to send now, if any. `revision`: the latest revision in the watch cache.
+  // Returns the frame to send to the leader now; nothing if none is due. `revision`: the latest
+  // revision in the watch cache.
   [[nodiscard]] std::optional<wire::ShardFrame> NextFrame(uint64_t revision, double now);
-  // The last frame was refused or not answered, and must be sent again.
+  // The leader refused or did not answer the last frame. Its messages must be sent again, so the
+  // next frame is due at once.
   void OnFrameLost() { next_frame_at_.reset(); }
-  // Returns a frame with the acknowledgement and the queued messages.
+  // Returns a frame for the leader with the acknowledgement and the messages in the queue.
   [[nodiscard]] wire::ShardFrame MakeAnswer();
 
   void Tick(double now);
-  // Returns whether most of the shard's machines went silent at once.
+  // Returns whether the heartbeats of most of the shard's machines stopped at the same time, which
+  // indicates a partition between this controller and the agents.
   [[nodiscard]] bool IsPartitionedFromAgents(double now) {
     return scheduler_.IsPartitionedFromAgents(now);
   }
@@ -96,13 +103,13 @@
   ReliableChannel channel_;
   MachineStatusFilter status_filter_;
   uint64_t leader_token_ = 0;
-  bool claims_sent_ = false;    // all claims have been queued for this leader
-  bool synced_ = false;         // and kSyncComplete after them
-  uint64_t applied_batch_ = 0;  // the last batch of delegated tasks that was received
+  bool claims_sent_ = false;    // all claims have been queued for the present leader
+  bool synced_ = false;         // kSyncComplete has been queued after the claims
+  uint64_t applied_batch_ = 0;  // number of the last batch of delegated tasks that was received
   std::optional<double> last_leader_frame_at_;
-  std::optional<double> next_frame_at_;                 // none: immediately
-  std::optional<double> next_status_at_;                // none: immediately
-  std::map<std::string, uint64_t> handover_revisions_;  // of the held machines
+  std::optional<double> next_frame_at_;                 // nullopt: a frame is due now
+  std::optional<double> next_status_at_;                // nullopt: the machine states are due now
+  std::map<std::string, uint64_t> handover_revisions_;  // revision of the handover by held machine
   std::map<std::string, ReturnedMachine> returned_;
 };
 
--- a/include/mosspath/shard/shard_lease_manager.h
+++ b/include/mosspath/shard/shard_lease_manager.h
@@ -1,6 +1,6 @@
-// The leader's management of shard leases: decides which controllers are granted a lease and whose
-// lease is revoked, and builds and handles the frames to and from the holders (docs/sharding.md).
-// Pure: the caller writes the leases and sends the frames.
+// The leader's management of shard leases: decides which controllers are granted a shard lease and
+// which leases are revoked, builds the frames to the holders and handles the frames from them
+// (docs/sharding.md). Does no I/O: the caller writes the leases and sends the frames.
 #pragma once
 
 #include <cstdint>
@@ -19,21 +19,24 @@
 // Lives for one term of the leader. All times are seconds on the leader's steady clock.
 class ShardLeaseManager {
  public:
-  // `scheduler` is the leader's, and must outlive this object. `token`: fencing token of the term.
+  // `scheduler` is the leader's scheduler, and must outlive this object. `token` is the fencing
+  // token of the term.
   ShardLeaseManager(const config::Settings& settings, const config::DerivedSettings& derived,
                     scheduler::Scheduler& scheduler, uint64_t token);
 
-  // Sets whether shards may be leased. If not, the present leases are revoked.
+  // Sets whether shards may be leased. If they may not, PendingChanges revokes the present leases.
   void AllowLeases(bool allowed) { allowed_ = allowed; }
 
   // --- Records of the state service ---
-  // The controller offers to hold its shard, by a record of this version that is attached to its
-  // store lease; kvstore::kKeyAbsent: it no longer does.
+  // The controller `node` offers to hold its shard. The offer is a record with this version that is
+  // attached to the controller's store lease. kvstore::kKeyAbsent: the offer has ended.
   void OnOffer(const std::string& node, uint64_t version, uint64_t store_lease, double now);
-  // The controller holds its shard under this lease; kvstore::kNoLease: it no longer does.
+  // The controller `node` holds its shard under this lease; kvstore::kNoLease: the controller holds
+  // its shard no longer.
   void OnLease(const std::string& node, uint64_t lease, double now);
-  // Before the term begins: the controller holds its shard under a lease that an earlier leader
-  // granted. A lease of this controller itself is ignored, since a leader holds no shard.
+  // Called at the start of the term: the controller `node` holds its shard under a lease that an
+  // earlier leader granted. A lease of this controller itself is ignored, since a leader holds no
+  // shard.
   void OnInheritedLease(const std::string& node, uint64_t lease);
 
   // --- Leases to write, each in a transaction under the leader key ---
@@ -41,12 +44,13 @@
     std::string node;
     // The version that the offer must still have; kvstore::kKeyAbsent: the lease is revoked.
     uint64_t offer = kvstore::kKeyAbsent;
-    uint64_t store_lease = kvstore::kNoLease;  // to which the new lease is attached
-    uint64_t lease = kvstore::kNoLease;        // to revoke
+    uint64_t store_lease = kvstore::kNoLease;  // the new lease is attached to this store lease
+    uint64_t lease = kvstore::kNoLease;        // the lease to revoke
   };
   // Returns the lease changes to write. A change is not returned again before OnChangeWritten.
   std::vector<LeaseChange> PendingChanges(double now);
-  // The store has answered the write. The new lease itself is read from the watch cache.
+  // The state service has answered the write, or the write has timed out. The new lease itself is
+  // read from the watch cache.
   void OnChangeWritten(const std::string& node, bool done, double now);
 
   // --- Frames ---
@@ -57,29 +61,31 @@
     std::string node;
     wire::ShardFrame frame;
   };
-  // Returns a frame for each holder that has messages due.
+  // Returns a frame for each holder to which messages are to be sent or sent again.
   [[nodiscard]] std::vector<AddressedFrame> NextFrames();
-  // Returns the answer to a frame of the controller; none if the controller holds no lease.
+  // Returns the answer to a frame of the controller; nothing if the controller holds no lease.
   [[nodiscard]] std::optional<wire::ShardFrame> MakeAnswer(const std::string& node);
-  // A frame to the controller was not answered, and must be sent again.
+  // The controller did not answer a frame, so the messages of the frame must be sent again.
   void OnFrameLost(const std::string& node);
 
-  // Returns the controller that commands the machine; empty if the leader does.
+  // Returns the controller that holds the machine under a shard lease; empty if the leader commands
+  // the machine.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
-  // This process did not run until `now`, so that time does not count as silence of the holders.
+  // Handles a stall: this process did not run until `now`, so it received no frames. From now on
+  // the silence of every holder is measured from `now`.
   void OnProcessStall(double now);
 
  private:
   struct Shard {
     size_t index = 0;
     uint64_t offer = kvstore::kKeyAbsent;
-    uint64_t store_lease = kvstore::kNoLease;  // of the offer
+    uint64_t store_lease = kvstore::kNoLease;  // the offer is attached to this store lease
     uint64_t lease = kvstore::kNoLease;
     ReliableChannel channel;
     bool synced = false;              // the holder has sent all its claims
     std::optional<double> heard_at;   // when the last frame arrived, or since when one is expected
     std::optional<double> opened_at;  // since when the holder's claims are expected
-    std::optional<double> next_lease_at;  // no lease is granted before; none: no limit
+    std::optional<double> next_lease_at;  // no lease is granted before this time; nullopt: no limit
     bool write_in_flight = false;
     bool frame_lost = false;
 
@@ -88,13 +94,14 @@
   };
 
   [[nodiscard]] Shard* Find(const std::string& node);
-  // Returns whether the former holder of this lease has offered to hold its shard again since. A
-  // controller does so only once it has stopped acting under the lease.
+  // Returns whether the former holder of this lease has offered to hold its shard again since the
+  // lease was granted. A controller makes a new offer only once it has stopped acting under its
+  // last lease.
   [[nodiscard]] bool HasCeased(uint64_t lease) const;
   void CloseLease(const std::string& node, Shard& shard, double now);
   void ForgetEndedLeases(double now);
-  // Returns whether to revoke the lease: its holder is silent, or leases are not allowed. Also
-  // tells the scheduler whether the lease is ready.
+  // Returns whether to revoke the lease: its holder has sent no frames or not all its claims for
+  // too long, or leases are not allowed. Also sets in the scheduler whether the lease is ready.
   [[nodiscard]] bool MustRevoke(Shard& shard, double now);
   [[nodiscard]] bool MayLease(const Shard& shard, double now) const;
   [[nodiscard]] LeaseChange Revoke(const std::string& node, Shard& shard, double now);
@@ -104,8 +111,9 @@
   scheduler::Scheduler& scheduler_;
   const uint64_t token_;
   bool allowed_ = true;
-  std::map<std::string, Shard> shards_;           // by controller; without the leader's own
-  std::map<uint64_t, std::string> ended_leases_;  // of this term, with their former holders
+  std::map<std::string, Shard> shards_;  // by controller; this leader's own shard is not included
+  // The former holder by lease, for the leases that ended in this term.
+  std::map<uint64_t, std::string> ended_leases_;
 };
 
 }  // namespace mosspath::shard
--- a/src/shard/machine_status_filter.cc
+++ b/src/shard/machine_status_filter.cc
@@ -7,8 +7,8 @@
 
 using MachineStatus = wire::ShardMessage::MachineStatus;
 
-// A change of the remaining work is sent only if it exceeds this share of the work plus this many
-// CPU seconds.
+// A change of a machine's remaining work (in CPU seconds) is sent only if the change exceeds this
+// share of the remaining work plus this many CPU seconds.
 constexpr double kWorkStepRatio = 0.2;
 constexpr double kWorkStepS = 1;
 
@@ -22,7 +22,8 @@
 
 bool IsEquivalent(const MachineStatus& sent, const MachineStatus& current) {
   if (!HasSameState(sent, current)) return false;
-  // The leader extrapolates the idle time on its own clock.
+  // While a machine stays idle, only its idle time changes. The leader adds the time since the last
+  // message itself, so no new message is needed.
   if (sent.idle) return true;
   const double change_s = std::abs(sent.remaining_cpu_s - current.remaining_cpu_s);
   return change_s <= kWorkStepRatio * current.remaining_cpu_s + kWorkStepS;
--- a/src/shard/reliable_channel.cc
+++ b/src/shard/reliable_channel.cc
@@ -7,7 +7,7 @@
 namespace mosspath::shard {
 namespace {
 
-constexpr size_t kMaxHeaderBytes = 512;    // of a frame, besides its messages
+constexpr size_t kMaxHeaderBytes = 512;    // upper bound on a frame's size without its messages
 constexpr size_t kMessageLengthBytes = 3;  // length prefix of each message
 
 }  // namespace
@@ -44,7 +44,8 @@
   uint64_t sequence = frame.first_sequence;
   for (const auto& encoded : frame.messages) {
     const uint64_t next_sequence = last_received_ + fresh.size() + 1;
-    // There is a gap: an earlier frame is delayed or lost. The peer resends its messages.
+    // There is a gap: an earlier frame is delayed or lost. The peer resends the missing messages
+    // and all later ones, since they are not acknowledged.
     if (sequence > next_sequence) break;
     if (sequence == next_sequence) fresh.push_back(wire::DecodeShardMessage(encoded));
     ++sequence;
--- a/src/shard/shard_holder.cc
+++ b/src/shard/shard_holder.cc
@@ -8,9 +8,13 @@
 
 using Kind = wire::ShardMessage::Kind;
 
-constexpr double kStatusPerHeartbeat = 8;  // status updates to the leader per heartbeat interval
-constexpr double kFramesPerHeartbeat = 4;  // minimum number of frames per heartbeat interval
-constexpr double kWaitHeartbeats = 2;      // delegated tasks are returned after waiting this long
+// Status updates to the leader per agent heartbeat interval.
+constexpr double kStatusPerHeartbeat = 8;
+// Minimum number of frames to the leader per agent heartbeat interval.
+constexpr double kFramesPerHeartbeat = 4;
+// Delegated tasks that wait for capacity are returned to the leader after this many agent heartbeat
+// intervals.
+constexpr double kWaitHeartbeats = 2;
 // No machine states are queued while more bytes than this are unacknowledged.
 constexpr size_t kMaxOutstandingBytes = wire::kMaxShardFrameBytes / 4;
 
@@ -34,8 +38,9 @@
 
 void ShardHolder::OnMachineAssigned(const std::string& machine, const std::string& address,
                                     uint64_t version, uint64_t handover_revision, double now) {
-  // A returned machine belongs to the leader as soon as the leader receives the return. The record
-  // still names this lease then, and must be ignored until the machine is handed over again.
+  // A returned machine belongs to the leader as soon as the leader receives the kMachineReturned
+  // message, while the machine's record still names this lease. So the record must be ignored until
+  // the machine is handed over again, which raises its handover revision.
   if (const auto returned = returned_.find(machine); returned != returned_.end()) {
     if (handover_revision <= returned->second.handover_revision) return;
     returned_.erase(returned);
@@ -64,7 +69,8 @@
   }
 }
 
-// A task whose job is not found counts as a task of an ended job.
+// Loads the jobs of the heartbeat's tasks. The scheduler treats a task whose job is not found as a
+// task of an ended job.
 void ShardHolder::LoadJobsOf(const wire::Heartbeat& heartbeat) {
   for (const auto& status : heartbeat.tasks) LoadJob(status.task.job);
 }
@@ -96,11 +102,12 @@
     applied_batch_ = std::max(applied_batch_, message.count);
   } else if (message.kind == Kind::kHandOverTasks) {
     LoadJob(message.job);
-    // This holder may have returned the machine before the leader had confirmed that the machine's
-    // record was written. If the tasks are then expected on the machine, their reconciliation never
-    // ends and blocks the recovery of the next leader. But if the machine has been handed over
-    // again since its return, the tasks may run on it: assigned to the first handover, they ran
-    // twice. The scheduler gets a count of 1 for a returned machine, else 0.
+    // This message may arrive after this holder has returned the machine, since the leader sends it
+    // only once the write of the machine's record is confirmed. If the scheduler expected the tasks
+    // on a returned machine, their reconciliation would never end and would block the recovery of
+    // the next leader. But a machine that has been handed over again since its return may run the
+    // tasks: when such a message was treated as one of the earlier handover, the tasks ran twice.
+    // For the scheduler, the `count` is set to 1 for a returned machine and to 0 otherwise.
     const auto returned = returned_.find(message.name);
     const bool is_returned =
         returned != returned_.end() && message.count <= returned->second.handover_revision;
@@ -109,9 +116,10 @@
   scheduler_.OnLeaderMessage(message, now);
 }
 
-// Returned machines must be registered here before the records are read again. Otherwise a returned
-// machine was accepted once more under its old token, its heartbeats never arrived here, it counted
-// as lost, and its tasks ran twice.
+// Records each machine that the scheduler returns in returned_, and queues the scheduler's messages
+// for the leader. A returned machine must be recorded before its record is read again. Otherwise
+// this holder accepts the machine once more under the old token. The machine's heartbeats go to the
+// leader, so this holder reports the machine as lost, and its tasks run twice.
 void ShardHolder::AcceptReturnedMachines() {
   for (auto& message : scheduler_.TakeLeaderMessages()) {
     if (message.kind == Kind::kMachineReturned) {
@@ -122,7 +130,8 @@
       handover_revisions_.erase(message.name);
       status_filter_.Forget(message.name);
     }
-    // Messages from before the claims are meant for an earlier leader. The claims replace them.
+    // While the claims have not been queued, the messages are dropped: they were made for an
+    // earlier leader, and the claims contain what the present leader needs of them.
     if (claims_sent_) channel_.Enqueue(message);
   }
 }
@@ -161,7 +170,8 @@
 }
 
 std::optional<wire::ShardFrame> ShardHolder::NextFrame(uint64_t revision, double now) {
-  // Until the watch cache has caught up with the leader's election, the claims may be incomplete.
+  // The leader's token is the revision of its election. Until the watch cache has reached that
+  // revision, the claims may be incomplete.
   if (leader_token_ == 0 || revision < leader_token_) return std::nullopt;
   EnqueueUpdates(revision, now);
   const bool is_due = !next_frame_at_ || now >= *next_frame_at_;
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -10,12 +10,12 @@
 namespace mosspath::shard {
 namespace {
 
-// In multiples of the store lease's TTL:
+// In multiples of the store lease's TTL. The silence of a holder is the time since its last frame.
 constexpr double kReadyLeases = 1;     // after a longer silence, nothing is delegated to the holder
 constexpr double kPatienceLeases = 4;  // after a longer silence, the holder's lease is revoked
-constexpr double kPauseLeases = 2;     // from the end of a lease to the shard's next lease
-// In multiples of the agent lease's TTL: the pause between the revocation of a lease and the
-// shard's next lease.
+constexpr double kPauseLeases = 2;     // pause from the end of a lease to the shard's next lease
+// Pause from the revocation of a lease to the shard's next lease, in multiples of the agent lease's
+// TTL.
 constexpr double kRevokedPauseAgentLeases = 0.5;
 
 }  // namespace
@@ -91,8 +91,8 @@
   if (const auto ended = ended_leases_.find(lease); ended != ended_leases_.end()) {
     return offered_since(ended->second);
   }
-  // An earlier leader granted the lease, and the holder is unknown. It can be any controller other
-  // than this one, which holds no shard.
+  // The lease ended before this term, so its former holder is unknown: it can be any controller.
+  // This controller needs no offer as a proof, since it leads and holds no shard.
   return std::all_of(shards_.begin(), shards_.end(),
                      [&](const auto& entry) { return offered_since(entry.first); });
 }
@@ -121,11 +121,13 @@
 }
 
 bool ShardLeaseManager::MustRevoke(Shard& shard, double now) {
-  // The holder of an inherited lease still has to find this leader, so its time limits start now.
+  // The holder of an inherited lease first has to read which controller leads now. So the time
+  // limits for its frames and claims are measured from the first call.
   if (!shard.opened_at) shard.opened_at = now;
   if (!shard.heard_at) shard.heard_at = now;
   const double silence_s = now - *shard.heard_at;
-  // Tasks of earlier jobs can't start before the holder has sent all its claims.
+  // Until the holder has sent all its claims, the leader can't start tasks of earlier jobs: the
+  // holder may run them already. So the leader waits for the claims for a limited time only.
   const bool sync_is_late = !shard.synced && now - *shard.opened_at > settings_.agent_lease_s;
   const bool silent = silence_s > kPatienceLeases * derived_.store_lease_s || sync_is_late;
   const bool ready = shard.synced && silence_s < kReadyLeases * derived_.store_lease_s;
@@ -151,7 +153,8 @@
 void ShardLeaseManager::OnChangeWritten(const std::string& node, bool done, double now) {
   Shard* shard = Find(node);
   if (shard == nullptr) return;
-  // The watch cache shows the outcome of the write soon, whatever the answer was.
+  // Even a write that timed out may have succeeded. The delay lets the watch cache show the outcome
+  // before another lease is granted.
   shard->DelayLeaseUntil(now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
   shard->write_in_flight = false;
 }
@@ -192,7 +195,8 @@
 std::vector<ShardLeaseManager::AddressedFrame> ShardLeaseManager::NextFrames() {
   std::vector<AddressedFrame> frames;
   for (auto& [node, shard] : shards_) {
-    // The holder sends the first frame, which shows that it has read who leads.
+    // The leader sends no frames until the holder has sent its claims (kSyncComplete): the frames
+    // of the holder show that the holder has read which controller leads.
     if (!shard.IsLeased() || !shard.synced) continue;
     for (const auto& message : scheduler_.TakeHolderMessages(shard.lease)) {
       shard.channel.Enqueue(message);
