--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -40,8 +40,8 @@
   // The watch cache holds every change up to `revision`, and with that everything that was written
   // to the state service before `as_of`.
   void OnReadUpTo(double as_of, uint64_t revision) { leadership_.OnReadUpTo(as_of, revision); }
-  // The leader has sent its view (what it has read of the state service). That view holds
-  // everything that was confirmed to users before `as_of`.
+  // The leader has sent the age of its view (what it has read of the state service), and the watch
+  // cache holds all cancellations of that view: those that were confirmed to users before `as_of`.
   void OnLeaderView(double as_of) { leadership_.OnLeaderView(as_of); }
 
   // Resigns at once, so that another controller can be elected. Has no effect on a follower.
--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -133,8 +133,9 @@
   // Whether this controller may act on its view of the jobs, as a leader or not.
   [[nodiscard]] bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
   [[nodiscard]] double view_age_s(double now) const { return staleness_.age_s(now); }
-  // The leader has sent its view (docs/sharding.md). With it, this controller's view holds
-  // everything that was confirmed to users before `as_of`.
+  // The leader has sent the age of its view (docs/sharding.md), and this controller has read all
+  // cancellations of that view. So this controller's view counts as being as of `as_of`, like the
+  // leader's: it holds all cancellations that were confirmed to users before `as_of`.
   void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return token_; }
--- a/include/mosspath/service/admission_service.h
+++ b/include/mosspath/service/admission_service.h
@@ -1,6 +1,6 @@
-// Admission of jobs at this controller and, while it leads, the plan of all controllers' admission
-// shares. Combines the parts of mosspath/admission with the settings. Not thread-safe; times are
-// steady seconds.
+// Decides which jobs this controller admits and, while this controller leads, plans the admission
+// shares of all controllers. Combines the parts of mosspath/admission with the settings. Not
+// thread-safe; times are seconds on the steady clock.
 #pragma once
 
 #include <map>
@@ -22,9 +22,10 @@
   const admission::AdmissionController& controller() const { return controller_; }
   // Decides on a submission, and counts its tasks as demand.
   admission::AdmissionVerdict Request(const wire::JobSpec& spec, double now);
-  // Returns the tasks of recent submissions, with exponential decay.
+  // Returns the demand: the number of tasks that were recently submitted to this controller, where
+  // each submission's weight decays exponentially.
   double Demand(double now) const;
-  // Returns the fraction of the free budget that this controller may fill now.
+  // Returns the fraction of the free task budget that this controller may fill now.
   double CurrentShare(double now) const { return share_.Current(now); }
   const admission::AdmissionPlan& plan() const { return share_.plan(); }
 
@@ -34,8 +35,8 @@
   // --- As the leader ---
   void OnElected(uint64_t token, double now);
   void OnDeposed() { planner_.reset(); }
-  // Returns the plan for a controller with that demand. Its life_s is 0 if this controller doesn't
-  // lead.
+  // Returns the plan for a controller with the given demand in tasks. The plan's life_s is 0 (the
+  // plan is not valid at any time) if this controller does not lead.
   admission::AdmissionPlan PlanFor(const std::string& controller, double demand, double now);
 
   // --- As any controller ---
--- a/include/mosspath/service/agent_heartbeat_handler.h
+++ b/include/mosspath/service/agent_heartbeat_handler.h
@@ -40,8 +40,8 @@
   void AnswerAsHolder(const wire::Heartbeat& heartbeat, const Responder& respond);
   void AnswerAsLeader(LeaderService& leader, const wire::Heartbeat& heartbeat,
                       const Responder& respond);
-  // Redirects the agent to that controller. If the controller is suspected to be
-  // down, the redirect names none and the agent tries any controller.
+  // Redirects the agent to `controller`. If that controller is suspected to be
+  // down, the redirect names no controller, and the agent tries any.
   void Redirect(const std::string& controller, const Responder& respond) const;
 
   const std::string node_;
--- a/include/mosspath/service/cloud_client.h
+++ b/include/mosspath/service/cloud_client.h
@@ -18,19 +18,22 @@
  public:
   enum class Outcome {
     kDone,
-    kNoCapacity,   // the machine type is sold out
-    kRefused,      // not executed
-    kUndetermined  // no valid response: the request may have been executed
+    kNoCapacity,   // the cloud has no machine of the requested offer left
+    kRefused,      // the cloud did not execute the request
+    kUndetermined  // no valid response arrived: the cloud may have executed the request
   };
 
   CloudClient(asio::io_context& io, const config::Settings& s, const config::DerivedSettings& d,
               std::shared_ptr<net::SocketBudget> sockets);
 
-  // Returns when the cloud last answered with a status other than 503, in steady seconds.
+  // Returns when the cloud last answered with a status other than 503, in seconds on the steady
+  // clock.
   double last_contact() const { return last_contact_; }
-  // Returns whether the rate limit allows a request now. Requests themselves don't wait for it.
+  // Returns whether the rate limit allows a request now. The request functions below send at once,
+  // even above the limit, so callers that can wait must check here first.
   bool MayRequest() { return budget_.DelayFor(SteadyNow()) <= 0; }
-  // The callbacks' bool: whether the list was read.
+  // The bool that ListMachineTypes and ListMachines pass to `done` is false if the request failed
+  // or the response was malformed.
   void ListMachineTypes(std::function<void(bool, std::vector<wire::MachineType>)> done);
   // `still_wanted` is evaluated right before the request is sent; false drops the request.
   void Rent(const wire::RentRequest& r, std::function<void(Outcome, std::vector<std::string>)> done,
@@ -44,7 +47,8 @@
 
  private:
   static double SteadyNow();
-  // `done`: HTTP status and body; 0: the outcome is unknown, -1: the request was not sent.
+  // `done` receives the HTTP status and body. Status 0: the outcome of the request is unknown.
+  // Status -1: the request was not sent.
   void Send(std::string method, std::string target, std::string body,
             std::function<void(int, wire::Json)> done,
             net::HttpClient::StillWanted still_wanted = {});
--- a/include/mosspath/service/command_client.h
+++ b/include/mosspath/service/command_client.h
@@ -1,7 +1,7 @@
 // Sends command batches to agents over direct connections, within the socket budget. Each machine
-// has at most one connection. A machine that needs a connection replaces the least recently used
-// idle one. Commands that can't be sent this way are delivered with the answer to the agent's next
-// heartbeat. Owns the connections. Not thread-safe.
+// has at most one connection. If the socket budget is used up, a new connection replaces the idle
+// connection that was used least recently. Commands that can't be sent over a direct connection are
+// delivered with the answer to the agent's next heartbeat. Owns the connections. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -26,11 +26,11 @@
 
   // Returns how many batches can be sent now.
   size_t Capacity() const;
-  // Returns the machine's connection, which this object owns, valid until the next call; null: the
-  // address is unusable.
+  // Returns the machine's connection, or null if the address is unusable. This object owns the
+  // connection; the pointer is valid until the next call of any function of this object.
   net::HttpClient* ClientFor(const std::string& machine, const std::string& address);
-  // Receives the outcome and the heartbeat in the agent's answer. The heartbeat has default values
-  // if there is no valid answer, and is null if the agent's address is unusable.
+  // Receives the batch, its outcome and the heartbeat in the agent's answer. The heartbeat has
+  // default values if there is no valid answer, and is null if the agent's address is unusable.
   using Done = std::function<void(const scheduler::CommandBatch&, scheduler::CommandOutcome,
                                   const wire::Heartbeat* heartbeat)>;
   // Sends the batch. `still_wanted` is evaluated right before the request is sent.
--- a/include/mosspath/service/completion_writer.h
+++ b/include/mosspath/service/completion_writer.h
@@ -20,15 +20,16 @@
   CompletionWriter(const LeaderContext& context,
                    std::function<void(const std::string& id)> on_completed);
 
-  // Writes the jobs that the scheduler reports as completed, several in a transaction. A job that
-  // can't be written now is returned to the scheduler for a later pass.
+  // Writes the final records of the jobs that the scheduler reports as completed, several in one
+  // transaction. If a job's final record can't be written now, the scheduler reports the job again
+  // in a later pass.
   void WriteCompletions();
-  // Deletes records without live jobs while the write budget allows. Has low priority: no request
-  // depends on it.
+  // Deletes job records without live jobs, but only if the write rate limit allows a write at once:
+  // no request waits for the deletion.
   void CleanUpRecords();
 
  private:
-  // Jobs that end in one transaction, and the changes of the records that contain them.
+  // Jobs that end in one transaction, and the changes of the job records that contain these jobs.
   struct Batch {
     std::vector<std::string> ids;
     std::vector<jobs::RecordChange> records;
@@ -37,7 +38,7 @@
   void Commit(const Batch& batch);
   void OnCommitted(const Batch& batch, const kvstore::TransactionResult& result);
   // Returns whether a write that replaces this version of the record is in flight, or has committed
-  // and is not in this controller's view yet.
+  // but has not yet been read by the watch cache.
   [[nodiscard]] bool IsBeingWritten(const jobs::RecordChange& record) const;
   [[nodiscard]] bool AnyIsBeingWritten(const std::vector<jobs::RecordChange>& records) const;
   void MarkBeingWritten(const std::vector<jobs::RecordChange>& records);
@@ -45,7 +46,8 @@
 
   const LeaderContext context_;
   const std::function<void(const std::string& id)> on_completed_;
-  std::map<std::string, uint64_t> replaced_versions_;  // of records being written, by record key
+  // By record key, for the records that are being written: the version that the write replaces.
+  std::map<std::string, uint64_t> replaced_versions_;
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/http_paths.h
+++ b/include/mosspath/service/http_paths.h
@@ -1,6 +1,6 @@
-// Paths of the HTTP interfaces that the controller serves and calls. They are
-// part of protocols with programs of other versions and other owners, and must
-// not change: golden_paths_test checks them.
+// Paths of the HTTP interfaces that the controller serves and calls. The paths
+// are part of protocols with other versions of the controller and with programs
+// of other owners, and must not change: golden_paths_test checks them.
 #pragma once
 
 #include <string_view>
--- a/include/mosspath/service/job_service.h
+++ b/include/mosspath/service/job_service.h
@@ -1,6 +1,6 @@
-// The jobs as this controller sees them, and the durable changes that users request: submission and
-// cancellation. Carries out the reads and changes that jobs/job_index decides. Runs on every
-// controller; not thread-safe.
+// The jobs that this controller has read from the state service, and the durable changes that users
+// request: submission and cancellation. Carries out the reads and changes that jobs/job_index
+// decides. Runs on every controller; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -31,7 +31,8 @@
 
   // --- Events of the watch cache ---
   void OnReset();
-  // Applies a job record. Returns the jobs that the record shows as accepted and ended.
+  // Applies an event of a job record. Returns the jobs that are newly accepted and the jobs that
+  // have newly ended according to the record.
   jobs::JobRecords::Change OnRecord(const kvstore::Event& e);
   void OnFinalRecord(const kvstore::Event& e);
   // Sets whether several jobs may share a record.
@@ -43,12 +44,12 @@
     index_.OnLoaded(revision);
     admission_.controller().OnLoaded(revision);
   }
-  // The job was cancelled at `revision`, according to another controller or to a commit of this
-  // one. The watch cache may not show the cancellation yet.
+  // The job was cancelled at `revision`, according to another controller or to a transaction that
+  // this controller has committed. The watch cache may not show the cancellation yet.
   void OnCancellationLearned(const std::string& id, uint64_t revision);
-  // Called when a cancellation is learned before the watch cache shows it: the job's tasks must end
-  // now. Until the watch cache shows the cancellation, which takes as long as an outage lasts, the
-  // job is live in the job records only.
+  // Called with the id of a job when this controller receives the job's cancellation from a source
+  // other than the watch cache, which may show the cancellation only after an outage of the state
+  // service. The job's tasks must end at once, although the job records still show the job as live.
   std::function<void(const std::string& id)> on_cancelled_ahead;
 
   // --- Requests of users ---
@@ -58,9 +59,10 @@
   // The job has ended, and its final record is durable.
   void OnEnded(const std::string& id, JobStatus state) { index_.OnEnded(id, state); }
 
-  // Returns the cancellations that are durable and that this controller may have confirmed.
+  // Returns the log of the durable cancellations that this controller may have confirmed to users.
   const election::CancellationLog& cancellations() const { return index_.cancellations(); }
-  // Returns an accepted job that has not ended, as far as this controller has read; null: none.
+  // Returns the job if, as far as this controller has read, it is accepted and has not ended;
+  // otherwise null.
   const jobs::AcceptedJob* FindLive(const std::string& id) const { return index_.FindLive(id); }
 
   void ForEachLive(
--- a/include/mosspath/service/job_submitter.h
+++ b/include/mosspath/service/job_submitter.h
@@ -19,12 +19,12 @@
 class JobSubmitter {
  public:
   enum class Outcome {
-    kNew,              // durable
-    kAlreadyRecorded,  // the job has a record already, live or final
-    kUndetermined,     // no answer: the job may or may not be durable
-    kQueueFull,        // too many jobs of the team are pending
+    kNew,              // the job's record was written and is durable
+    kAlreadyRecorded,  // the job already has a record, live or final
+    kUndetermined,     // the deadline passed or the write failed; the job's record may be durable
+    kQueueFull,        // too many jobs, or too many of the team, are pending
   };
-  // Receives the revision at which the job was recorded if the outcome is kNew.
+  // Receives the outcome and, if it is kNew, the revision at which the job was recorded.
   using Done = std::function<void(Outcome, uint64_t revision)>;
 
   JobSubmitter(asio::io_context& io, kvstore::Client& store, const config::Settings& settings,
@@ -33,7 +33,8 @@
   // Sets whether several jobs may share a record, which requires that every controller can read
   // such records.
   void SetBatching(bool allowed) { batching_ = allowed; }
-  // Queues the job. `revision`: of this controller's view; makes the keys of batch records unique.
+  // Queues the job. `revision` is the revision up to which this controller has read the state
+  // service. It makes the keys of batch records unique.
   void Submit(const wire::JobSpec& spec, uint64_t revision, Done done);
 
  private:
@@ -41,7 +42,7 @@
     std::string id;
     std::string team;
     std::string job_class;
-    double weight = 1;  // of the class in its team
+    double weight = 1;  // weight of the job's class among the classes of its team
     wire::Json entry;
     size_t bytes = 0;
     double deadline = 0;
@@ -55,7 +56,7 @@
   void Pump();
   void Send(std::deque<PendingJob> batch);
   void OnAnswer(std::deque<PendingJob> batch, const kvstore::TransactionResult& r);
-  // Answers the pending jobs whose deadline has passed.
+  // Answers the pending jobs whose deadline has passed with kUndetermined.
   void ExpireOverdue();
 
   kvstore::Client& store_;
@@ -68,7 +69,8 @@
   uint64_t revision_ = 0;
   uint64_t batch_count_ = 0;
   size_t transactions_in_flight_ = 0;
-  std::deque<PendingJob> retried_alone_;  // one per transaction, before waiting_
+  // Jobs that must be sent alone, one in a transaction. They are sent before those in waiting_.
+  std::deque<PendingJob> retried_alone_;
   admission::FairQueue<PendingJob> waiting_;
 };
 
--- a/include/mosspath/service/leader_command_sender.h
+++ b/include/mosspath/service/leader_command_sender.h
@@ -20,7 +20,8 @@
   LeaderCommandSender(const LeaderContext& context, std::shared_ptr<net::SocketBudget> sockets,
                       net::OnMalformed on_malformed, std::function<void()> on_heartbeat);
 
-  // Sets the delay of the event loop, in seconds. A late event loop sends few commands.
+  // Sets how many seconds late the event loop runs its timers. If the event loop is late, few
+  // commands are sent at once.
   void set_loop_delay(double seconds) { loop_delay_s_ = seconds; }
   // Sends the scheduler's pending command batches, up to the current capacity.
   void SendCommands();
--- a/include/mosspath/service/leader_service.h
+++ b/include/mosspath/service/leader_service.h
@@ -1,6 +1,6 @@
 // The duties of a controller while it holds the leader key: runs the scheduler and the services
-// that write its records and carry out its decisions. Exists for one term of leadership; answers
-// that arrive after the term are dropped. Not thread-safe.
+// that write the scheduler's records and carry out its decisions. Exists for one term of
+// leadership; answers that arrive after the term are dropped. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -76,8 +76,7 @@
   void BeginDuties();
   void Tick();
   void MeasureLoopDelay(double tick_s);
-  // Schedules a resignation if another controller may be able to lead better. Returns whether it
-  // did.
+  // If another controller may be able to lead better, schedules a resignation and returns true.
   [[nodiscard]] bool ResignIfUnfit();
   void RunDuties();
   void PlacementPass();
--- a/include/mosspath/service/leadership_term.h
+++ b/include/mosspath/service/leadership_term.h
@@ -21,9 +21,9 @@
   [[nodiscard]] bool ended() const { return callbacks_.closed(); }
   // Returns whether this process may act as the leader of this term at this moment.
   [[nodiscard]] bool MayAct() const;
-  // Returns a predicate that evaluates MayAct(), to be checked right before a request is sent: a
-  // process that stalled after a decision may no longer lead, and must not carry the decision out.
-  // The predicate may outlive the term.
+  // Returns a predicate that evaluates MayAct(), and is false after the term. It must be checked
+  // right before a request is sent: a process that stalled after a decision may no longer lead, and
+  // must not carry the decision out. The predicate may outlive the term.
   [[nodiscard]] net::HttpClient::StillWanted MayStillAct() const;
   // Returns a callable that drops calls to `callback` once the term has ended; see CallbackScope.
   template <typename Callback>
--- a/src/service/completion_writer.cc
+++ b/src/service/completion_writer.cc
@@ -49,8 +49,9 @@
          ValueBytes(batch.records) <= kMaxRecordBytes;
 }
 
-// Batches completions, since there may be many short jobs, and jobs that were accepted together
-// share a record. A transaction has one change for each job and one for each record.
+// Batches completions: many short jobs may complete at once, and jobs that were accepted together
+// share a job record. A transaction has one change for each job's final record and one for each job
+// record.
 void CompletionWriter::WriteCompletions() {
   const auto& records = context_.jobs.records();
   const uint64_t revision = context_.jobs.revision();
@@ -91,8 +92,9 @@
 void CompletionWriter::OnCommitted(const Batch& batch, const kvstore::TransactionResult& result) {
   if (result.outcome != kvstore::Outcome::kDone) {
     ForgetBeingWritten(batch.records);
-    // Retried with a later pass. If the transaction conflicted, the watch cache shows the cause by
-    // then: a cancellation, a change of the record for another job, or another leader.
+    // The scheduler reports these jobs again in a later pass. If the transaction conflicted, the
+    // watch cache shows the cause by then: a cancellation, a change of the record for another job,
+    // or another leader.
     for (const std::string& id : batch.ids) context_.scheduler.OnCompletionFailed(id);
     return;
   }
--- a/src/service/job_service.cc
+++ b/src/service/job_service.cc
@@ -11,8 +11,8 @@
 
 // Cached final statuses per megabyte of the memory limit: about a tenth of the memory.
 constexpr double kFinalsPerMb = 600;
-// Entries of the cancellation log, which peers read, per megabyte of the memory limit: as many as
-// fit in a few answers.
+// Entries of the cancellation log per megabyte of the memory limit. The leader reads the logs of
+// its peers from their responses to promise requests; a whole log fits in a few responses.
 constexpr double kCancelledPerMb = 20;
 
 }  // namespace
@@ -40,7 +40,7 @@
     for (const auto& id : change.accepted)
       admission_.controller().OnAccepted(records().Find(id)->spec);
     for (const auto& id : change.ended) admission_.controller().OnEnded(id, net::Now());
-    // Jobs that ended before the watch cache showed their acceptance.
+    // Removes the jobs that ended before the watch cache showed their acceptance.
     std::erase_if(change.accepted, [this](const auto& id) { return FindLive(id) == nullptr; });
     return change;
   } catch (const std::exception& error) {
@@ -82,8 +82,9 @@
 void JobService::Submit(const wire::JobSpec& spec, std::function<void(SubmitOutcome)> done) {
   // A retry of a recorded job needs no write.
   if (index_.Contains(spec.id)) return done(SubmitOutcome::kAlreadyRecorded);
-  // Another controller may have just accepted the job in a record of its own. A read that begins
-  // now shows that record, and takes no longer than the write.
+  // Another controller may have accepted the job just before, in a record under another key, with
+  // which the write does not conflict. A read of the watch cache that begins now shows that record.
+  // The read runs in parallel with the write and takes no longer.
   struct PendingSubmission {
     int missing = 2;
     SubmitOutcome outcome = SubmitOutcome::kUndetermined;
@@ -134,7 +135,7 @@
     if (remaining_s <= 0) return done(JobStatus::kUndetermined);
     if (step.kind == Kind::kReadAgain) return TryCancel(id, deadline, done);
     kvstore::Transaction txn;
-    // The first end wins: the job must not have a final record yet.
+    // The job must not have a final record yet: the first final record of a job is never replaced.
     txn.conditions.push_back({keys::Final(id), 0});
     AddRecordChanges(txn, step.records);
     txn.changes.push_back({keys::Final(id), jobs::EncodeFinalRecord(JobStatus::kCancelled)});
--- a/src/service/job_submitter.cc
+++ b/src/service/job_submitter.cc
@@ -14,8 +14,10 @@
 
 constexpr size_t kMaxTransactionsInFlight = 2;
 constexpr size_t kMaxPendingJobs = 512;
-constexpr double kMaxRecordFill = 0.8;             // of the size limit of a value
-constexpr size_t kMaxBatchRecordBytes = 8u << 10;  // each end of a job rewrites the whole record
+// A batch record fills at most this fraction of the size limit of a value.
+constexpr double kMaxRecordFill = 0.8;
+// A batch record is kept small, since the whole record is rewritten whenever one of its jobs ends.
+constexpr size_t kMaxBatchRecordBytes = 8u << 10;
 
 double WallSeconds() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -27,8 +29,8 @@
                            const config::Settings& settings, const config::DerivedSettings& derived)
     : store_(store),
       node_(settings.name),
-      // A transaction may have four times as many conditions as changes. Each job takes two
-      // conditions, and the record one.
+      // The state service allows four conditions in a transaction for each change that it allows.
+      // Each job takes two conditions, and the batch record takes one.
       max_batch_jobs_(
           static_cast<size_t>(std::max(1, (4 * settings.store_transaction_changes - 1) / 2))),
       max_batch_bytes_(static_cast<size_t>(
@@ -38,8 +40,9 @@
 
 void JobSubmitter::Submit(const wire::JobSpec& spec, uint64_t revision, Done done) {
   revision_ = std::max(revision_, revision);
-  // As in AdmissionController: a team that floods the queue is refused while there is space left
-  // for other teams.
+  // A team with pending jobs may add a job only while it has fewer pending jobs than the queue has
+  // free places (as in AdmissionController). So a team that floods the queue leaves space for other
+  // teams.
   const size_t waiting = waiting_.size() + retried_alone_.size();
   const size_t of_team = waiting_.SizeOf(spec.team);
   if (waiting >= kMaxPendingJobs || (of_team > 0 && of_team >= kMaxPendingJobs - waiting)) {
@@ -81,7 +84,8 @@
 void JobSubmitter::Pump() {
   ExpireOverdue();
   while (HasPending() && transactions_in_flight_ < kMaxTransactionsInFlight) {
-    // While the write rate is used up, more jobs may arrive for the same transaction.
+    // The write rate limit allows no transaction now. Jobs that arrive until then can join the same
+    // transaction.
     if (const double wait = store_.WriteDelay(1); wait > 0) {
       timer_.After(wait + 0.002, [this] { Pump(); });
       return;
@@ -111,8 +115,8 @@
     txn.conditions.push_back({keys::Final(job.id), 0});
   }
   if (batching_) {
-    // The key is unique: no other process uses this node's name with this revision, and this
-    // process counts its batches.
+    // The key is unique among processes and within this process: no other process uses this
+    // controller's name with this revision, and this process numbers its batches.
     const std::string key = keys::kBatches + node_ + "." + std::to_string(revision_) + "." +
                             std::to_string(++batch_count_);
     txn.conditions.push_back({key, 0});
@@ -135,7 +139,8 @@
 
 void JobSubmitter::OnAnswer(std::deque<PendingJob> batch, const kvstore::TransactionResult& r) {
   if (r.outcome == kvstore::Outcome::kConflict && batch.size() > 1) {
-    // At least one job of the batch has a record already: retries each job alone.
+    // At least one job of the batch already has a record. The jobs are retried one by one, so that
+    // only the jobs with a record are refused.
     for (PendingJob& job : batch) {
       job.must_be_sent_alone = true;
       retried_alone_.push_back(std::move(job));
--- a/src/service/leader_command_sender.cc
+++ b/src/service/leader_command_sender.cc
@@ -9,8 +9,10 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kMaxLoopDelayHeartbeats = 0.1;  // a longer delay makes the event loop late
-constexpr size_t kMaxBatchesWhenLate = 8;        // at once
+// The event loop is late if its timers run later than this many heartbeat intervals.
+constexpr double kMaxLoopDelayHeartbeats = 0.1;
+// Number of command batches that are sent at once while the event loop is late.
+constexpr size_t kMaxBatchesWhenLate = 8;
 
 }  // namespace
 
@@ -23,10 +25,11 @@
       on_heartbeat_(std::move(on_heartbeat)),
       client_(context.io, std::move(sockets)) {}
 
-// Commands and probes cost as much time as heartbeats. When the event loop is late, heartbeats are
-// queued that renew agent leases and carry the same information as answers to probes, so heartbeats
-// come first. A new leader that probed all its machines first answered the heartbeats of agents
-// that had already found the leader too late, and the tasks of those agents were lost.
+// A command or a probe costs the event loop as much time as a heartbeat. While the event loop is
+// late, heartbeats wait to be handled. Heartbeats come first, since they renew agent leases and
+// carry the same information as the answers to probes. When a new leader probed all its machines
+// first, agents that had already found the leader got the answers to their heartbeats too late, and
+// their tasks were lost.
 size_t LeaderCommandSender::Capacity() const {
   const size_t capacity = client_.Capacity();
   const bool late = loop_delay_s_ > kMaxLoopDelayHeartbeats * context_.settings.heartbeat_s;
--- a/src/shard/shard_holder.cc
+++ b/src/shard/shard_holder.cc
@@ -102,8 +102,8 @@
     applied_batch_ = std::max(applied_batch_, message.count);
   } else if (message.kind == Kind::kHandOverTasks) {
     LoadJob(message.job);
-    // This message may arrive after this holder has returned the machine, since the leader sends it
-    // only once the write of the machine's record is confirmed. If the scheduler expected the tasks
+    // This holder may have returned the machine before the leader received the confirmation of the
+    // write of the machine's record and sent this message. If the scheduler expected the tasks
     // on a returned machine, their reconciliation would never end and would block the recovery of
     // the next leader. But a machine that has been handed over again since its return may run the
     // tasks: when such a message was treated as one of the earlier handover, the tasks ran twice.
