--- a/include/mosspath/service/machine_list_poller.h
+++ b/include/mosspath/service/machine_list_poller.h
@@ -1,5 +1,6 @@
 // Lists the cloud's machines at an interval, page by page, and passes each complete list to the
-// scheduler, which compares it with its own machines. Part of the leader's duties; not thread-safe.
+// scheduler, which compares the list with the machines that the scheduler has. Part of the leader's
+// duties; not thread-safe.
 #pragma once
 
 #include <memory>
@@ -22,7 +23,7 @@
  private:
   struct Listing {
     double requested_at = 0;
-    std::vector<wire::ListedMachine> machines;  // of the pages so far
+    std::vector<wire::ListedMachine> machines;  // machines of the pages received so far
   };
 
   void BeginListing();
@@ -31,7 +32,7 @@
 
   const LeaderContext context_;
   net::Timer timer_;
-  std::shared_ptr<Listing> current_;  // pages of earlier listings are dropped
+  std::shared_ptr<Listing> current_;  // the latest listing; pages of earlier listings are dropped
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/machine_type_cache.h
+++ b/include/mosspath/service/machine_type_cache.h
@@ -1,6 +1,6 @@
-// Caches the machine types. They come from the cloud, or from the record that a leader publishes,
-// so that jobs can be validated while the cloud's API is down. Runs on every controller; not
-// thread-safe.
+// Caches the machine types. The types come from the cloud, or from the record that a leader
+// publishes in the state service. The record lets controllers validate jobs while the cloud's API
+// is down. Runs on every controller; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -28,9 +28,10 @@
   bool empty() const { return types_.empty(); }
   // Requests the types from the cloud, with retries, unless types are cached already.
   void Fetch();
-  // An event of the published record.
+  // Handles an event of the published record.
   void OnKey(const kvstore::Event& e);
-  // The cloud returned these types. A leader publishes them if they differ in more than the price.
+  // Caches the types that the cloud returned. If this controller leads, publishes the types, unless
+  // they differ from the published types only in prices.
   void OnCloudTypes(const Types& types);
 
  private:
@@ -42,7 +43,7 @@
   const config::DerivedSettings derived_;
   const std::function<void(const Types&)> on_types_;
   Types types_;
-  std::string published_;  // value of the published record; empty: none, or unknown
+  std::string published_;  // value of the published record; empty: no record, or not known
   net::Timer timer_;
 };
 
--- a/include/mosspath/service/metrics.h
+++ b/include/mosspath/service/metrics.h
@@ -21,9 +21,9 @@
   enum class Route { kSubmit, kGet, kCancel, kReport, kOther };
 
   Metrics();
-  // A request was answered after `seconds`.
+  // Records that a request was answered with the HTTP status after `seconds`.
   void OnAnswered(Route route, int status, double seconds);
-  // A message from `from`, of kind `what`, was malformed.
+  // Records that a message of the kind `what` from a sender of the kind `from` was malformed.
   void OnMalformed(const char* from, const char* what);
   void OnProcessStall(double seconds) { process_stall_seconds_.Increment(seconds); }
   // Sets the gauges to the figures of the status page.
@@ -45,7 +45,8 @@
   prometheus::Family<prometheus::Gauge>& submissions_;
   prometheus::Gauge& status_age_;
   std::set<std::string> exported_groups_;  // classes and teams with metrics
-  // Caches of metrics by their labels: there are hundreds of heartbeats a second.
+  // Caches of metrics by their labels. They save a look-up in the registry for each request; there
+  // are hundreds of agent heartbeats a second.
   std::map<Route, prometheus::Histogram*> latency_by_route_;
   std::map<std::pair<Route, int>, prometheus::Counter*> answers_by_route_;
 };
--- a/include/mosspath/service/operator_settings_api.h
+++ b/include/mosspath/service/operator_settings_api.h
@@ -1,5 +1,5 @@
-// The operators' settings: caches the record, and serves the administration API that reads the
-// record and changes it by compare-and-set. Not thread-safe.
+// The operators' settings: caches the settings record of the state service, and serves the
+// administration API that reads the record and changes it by compare-and-set. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
         on_changed_(std::move(on_changed)) {}
 
   const config::OperatorSettings& settings() const { return settings_; }
-  // An event of the settings record. A malformed record puts the defaults in force.
+  // Handles an event of the settings record. If the record is malformed, the defaults apply.
   void OnKey(const kvstore::Event& e);
   void Answer(const net::HttpRequest& r, net::HttpServer::Responder respond);
 
--- a/include/mosspath/service/peer_frame_sender.h
+++ b/include/mosspath/service/peer_frame_sender.h
@@ -1,5 +1,5 @@
-// Sends frames about shards to the other controllers, at most one at a time to each. Owns the
-// connections. Not thread-safe.
+// Sends frames about shards to the other controllers. At most one frame to each controller is in
+// flight. Owns the connections. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -25,11 +25,12 @@
 
   // Returns whether a frame to the controller is in flight, or there is no such controller.
   bool IsBusy(const std::string& node) const;
-  // Receives the answer's frame; none if the request was refused or lost, or the answer malformed.
+  // Receives the frame in the answer; nothing if the request was refused or lost, or if the answer
+  // is malformed.
   using Done = std::function<void(std::optional<wire::ShardFrame>)>;
   void Send(const std::string& node, wire::ShardFrame frame, double timeout_s, Done done);
 
-  // Return the totals of frames and bytes sent.
+  // These functions return the totals of frames and bytes sent.
   uint64_t frames() const { return frames_; }
   uint64_t bytes() const { return bytes_; }
 
--- a/include/mosspath/service/peer_routes.h
+++ b/include/mosspath/service/peer_routes.h
@@ -18,8 +18,8 @@
 class PeerRoutes {
  public:
   using Responder = net::HttpServer::Responder;
-  // Processes a frame about a shard and returns the answer; none if the frame
-  // belongs to another leadership or lease.
+  // Processes a frame about a shard and returns the answer; nothing if the
+  // frame belongs to another term or lease.
   using OnShardFrame = std::function<std::optional<wire::ShardFrame>(const wire::ShardFrame&)>;
 
   // The referenced objects outlive the routes. `node`: the name of this controller.
--- a/include/mosspath/service/peer_service.h
+++ b/include/mosspath/service/peer_service.h
@@ -1,7 +1,7 @@
-// Communication between controllers. Each controller sends heartbeats to its peers, which say how
-// recently it had contact with the state service, the cloud, agents and peers. The leader also
-// sends status snapshots. During an outage of the state service, the leader requests promises from
-// its peers not to lead. Not thread-safe.
+// Communication between controllers. Each controller sends heartbeats to its peers. A heartbeat
+// contains the times since its sender last had contact with the state service, the cloud, agents
+// and peers. The leader also sends status snapshots. During an outage of the state service, the
+// leader requests promises from its peers not to lead. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -26,10 +26,12 @@
 class PeerService {
  public:
   struct LocalState {
-    // Returns none while this node doesn't lead.
+    // Returns nothing while this controller does not lead.
     std::function<std::optional<wire::StatusSnapshot>()> snapshot;
-    std::function<wire::PeerHeartbeat()> heartbeat;  // without node and peers
-    std::function<bool()> may_act;                   // whether this node may plan admission shares
+    // Returns this controller's heartbeat without the fields `node` and `peers`.
+    std::function<wire::PeerHeartbeat()> heartbeat;
+    // Returns whether this controller may act as the leader, and so may plan admission shares.
+    std::function<bool()> may_act;
   };
 
   PeerService(asio::io_context& io, const config::Settings& settings,
@@ -38,11 +40,12 @@
               const std::shared_ptr<net::SocketBudget>& sockets, net::OnMalformed on_malformed);
   void Start();
 
-  // Answers the request and returns true if the request is one between controllers.
+  // If the request is of the protocol between controllers, answers it and returns true.
   bool Answer(const net::HttpRequest& r, const net::HttpServer::Responder& respond);
 
   void OnProcessStall(double from, double now) { failure_detector_.OnProcessStall(from, now); }
-  // Returns whether a controller that sent heartbeats before is silent now.
+  // Returns whether the controller's heartbeats arrived before and have stopped; see
+  // election::FailureDetector.
   bool IsSuspected(const std::string& node) const {
     return failure_detector_.IsSuspected(node, net::Now());
   }
@@ -50,9 +53,11 @@
   bool ShouldServeUsers(double state_contact, double patience_s) const {
     return failure_detector_.ShouldServeUsers(state_contact, patience_s, net::Now());
   }
-  // Returns the status with this node's own snapshot if it leads, else the last snapshot received.
+  // Returns the status. It contains this controller's own snapshot if this controller leads, else
+  // the last snapshot that was received.
   wire::Status Status() const;
-  // Returns the task counts of the job in the last snapshot received; zeros if it has none.
+  // Returns the task counts of the job in the last snapshot received; zeros if that snapshot does
+  // not contain the job.
   scheduler::JobCounts CountsOf(const std::string& id) const;
 
  private:
@@ -68,8 +73,10 @@
     std::string node;
     net::HttpClient updates;   // heartbeats and snapshots
     net::HttpClient promises;  // separate, so that promise requests are not queued behind updates
-    bool supports_demand = false;     // it answered with a plan, so it supports demands
-    bool bad_promise_logged = false;  // its last answer was malformed, and that was logged
+    // The peer answered a heartbeat with a plan, so it can parse heartbeats with a demand.
+    bool supports_demand = false;
+    // The peer's last promise response was malformed, and the log has reported that.
+    bool bad_promise_logged = false;
   };
   void OnPromiseResponse(uint64_t round, PeerConnection& peer, const std::string& body);
 
@@ -86,10 +93,11 @@
   net::Timer heartbeat_timer_;
   net::Timer snapshot_timer_;
   net::Timer promise_timer_;
-  bool bad_request_logged_ = false;  // the last request was malformed, and that was logged
-  wire::StatusSnapshot snapshot_;    // the last one received; for display only
-  double snapshot_at_ = -1e18;
-  std::map<std::string, scheduler::JobCounts> counts_;  // by job; from snapshot_
+  // The last promise request was malformed, and the log has reported that.
+  bool bad_request_logged_ = false;
+  wire::StatusSnapshot snapshot_;  // the last snapshot received; for display only
+  double snapshot_at_ = -1e18;     // when snapshot_ arrived
+  std::map<std::string, scheduler::JobCounts> counts_;  // task counts by job, from snapshot_
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/public_routes.h
+++ b/include/mosspath/service/public_routes.h
@@ -26,8 +26,8 @@
   void Answer(const net::HttpRequest& request, Responder respond);
 
  private:
-  // Wraps the responder: records the metrics of the answer, and sets how its
-  // connection is classified and when it is closed.
+  // Wraps the responder: records the metrics of the answer, and sets the class
+  // of the connection and when the connection is closed.
   Responder Observed(Metrics::Route route, Responder respond);
   void AnswerHealth(const Responder& respond) const;
   void AnswerStatus(const net::HttpRequest& request, const Responder& respond) const;
--- a/include/mosspath/service/record_flusher.h
+++ b/include/mosspath/service/record_flusher.h
@@ -18,7 +18,8 @@
 
   void Start() { Flush(); }
   void Stop() { timer_.Cancel(); }
-  // Brings the next flush forward: a new machine takes no tasks before its entry is durable.
+  // Brings the next flush forward. Called for a new machine, which takes no tasks before its entry
+  // is durable.
   void FlushSoon();
 
  private:
@@ -29,8 +30,8 @@
   const LeaderContext context_;
   const std::function<void()> on_written_;
   net::Timer timer_;
-  std::optional<double> last_flush_at_;  // none: no flush yet
-  std::optional<double> not_before_;     // after a failure
+  std::optional<double> last_flush_at_;  // nullopt: no flush yet
+  std::optional<double> not_before_;     // no flush before this time, after a failed one
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/record_format_support.h
+++ b/include/mosspath/service/record_format_support.h
@@ -1,7 +1,7 @@
-// Which controllers have declared that they support the newer record formats: records of several
-// jobs, and start markers of jobs that may have been started (docs/job-acceptance.md,
-// docs/design.md, decision 5). A job that was accepted before all controllers had declared this may
-// have been started by a version that writes no start markers.
+// Tracks which controllers have declared that they support the newer record formats: records of
+// several jobs, and start markers of jobs that may have been started (docs/job-acceptance.md,
+// docs/design.md, decision 5). If a job was accepted before all controllers had declared their
+// support, a controller of a version that writes no start markers may have started the job.
 #pragma once
 
 #include <algorithm>
@@ -24,7 +24,7 @@
   }
 
   void Clear() { declared_at_.clear(); }
-  // `version`: of the controller's declaration; 0: the declaration was removed.
+  // `version` is the version of the controller's declaration; 0: the declaration was removed.
   void OnDeclared(const std::string& node, uint64_t version) {
     if (version == 0) {
       declared_at_.erase(node);
@@ -33,8 +33,8 @@
     }
   }
   bool own_declared() const { return declared_at_.contains(own_); }
-  // Returns the revision since which all controllers of the settings have declared support; kNever:
-  // some have not.
+  // Returns the revision since which all controllers in the settings have declared support; kNever
+  // if some controller has not declared support.
   uint64_t all_since() const {
     uint64_t since = 0;
     for (const auto& node : nodes_) {
--- a/include/mosspath/service/scaling_service.h
+++ b/include/mosspath/service/scaling_service.h
@@ -21,8 +21,8 @@
 
   void Start() { Plan(); }
   void Stop();
-  // Brings the next plan forward, so that machines for tasks that fit nowhere are requested at
-  // once.
+  // Brings the next plan forward, so that machines for tasks that fit on no present machine are
+  // requested soon. No effect while scale-out requests are in flight or pending.
   void PlanSoon();
 
  private:
@@ -34,7 +34,8 @@
   const LeaderContext context_;
   net::StallDetector& stalls_;
   net::Timer timer_;
-  std::optional<double> next_plan_at_;  // none: no plan yet
+  // Earliest time of a plan that PlanSoon brings forward; nullopt: no plan has been made yet.
+  std::optional<double> next_plan_at_;
   ScaleOutRequester scale_out_;
 };
 
--- a/include/mosspath/service/shard_holder_service.h
+++ b/include/mosspath/service/shard_holder_service.h
@@ -31,14 +31,17 @@
   void Start();
   void Stop();
 
-  // Accepts the machines that the records assign to this lease: in one pack, or in all packs.
+  // Accept the machines that the machine records of one pack, or of all packs, assign to this
+  // lease.
   void OnMachinesAssigned(const shard::RoutingTable& routes, int pack);
   void OnAllMachinesAssigned(const shard::RoutingTable& routes);
-  // Removes the jobs that ended while the watch cache was reloaded, for which there was no event.
+  // Removes the jobs that ended while the watch cache was reloaded. The watch cache delivers no
+  // events for the ends of such jobs.
   void RemoveEndedJobs();
   void OnLeader(const std::string& node, uint64_t token);
 
-  // Returns whether commands may be sent now: the view that shows the lease is fresh.
+  // Returns whether commands may be sent now: what this controller has read of the state service,
+  // which includes the shard lease, is fresh.
   bool MayAct() const;
   bool Owns(const std::string& machine) const { return holder_.dispatcher().Owns(machine); }
   scheduler::HeartbeatAnswer OnHeartbeat(const wire::Heartbeat& heartbeat);
@@ -47,8 +50,8 @@
   // is already scheduled.
   void ScheduleTick();
 
-  // Called when most machines of the shard are unreachable from here. Another controller may reach
-  // them.
+  // Called when most machines of the shard are unreachable from this controller. Another controller
+  // may reach these machines.
   std::function<void()> on_partitioned;
   net::OnMalformed on_malformed;
 
--- a/include/mosspath/service/shard_lease_service.h
+++ b/include/mosspath/service/shard_lease_service.h
@@ -17,8 +17,8 @@
 
 class ShardLeaseService {
  public:
-  // The elector and the sender outlive the service. `on_answered` is called after the answer to a
-  // frame was handled.
+  // The elector and the frame sender outlive the service. `on_answered` is called after the answer
+  // to a frame was handled.
   ShardLeaseService(const LeaderContext& context, const election::Elector& elector,
                     PeerFrameSender& frames, net::OnMalformed on_malformed,
                     std::function<void()> on_answered);
@@ -30,7 +30,7 @@
   void SendFrames();
   // Handles a holder's frame. Returns whether the frame belongs to this term and to a valid lease.
   [[nodiscard]] bool OnFrame(const wire::ShardFrame& frame);
-  // Returns the answer to a frame of that controller; none if the controller holds no lease.
+  // Returns the answer to a frame of the controller; nothing if the controller holds no lease.
   [[nodiscard]] std::optional<wire::ShardFrame> MakeAnswer(const std::string& node);
 
  private:
--- a/include/mosspath/service/shard_membership.h
+++ b/include/mosspath/service/shard_membership.h
@@ -1,5 +1,6 @@
-// This controller's participation in sharding (docs/sharding.md): offers to hold its own shard,
-// holds the shard while the state service shows its lease, and tracks the holders of all shards.
+// This controller's participation in sharding (docs/sharding.md): offers to hold this controller's
+// shard, holds the shard while the state service has a record of the shard's lease, and tracks the
+// holders of all shards. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -64,11 +65,11 @@
   void OnCacheLoaded();
 
   // --- Election of this controller ---
-  // Stops holding the shard. A leader holds no shard: it probes the machines of its former shard
-  // for their tasks, as it does with all inherited machines.
+  // Stops holding the shard, since a leader holds no shard. As the leader, this controller probes
+  // the machines of its former shard for their tasks, like all machines that it inherits.
   void StopHolding();
-  // Passes all leases and offers to the new leader's lease manager, and removes this node's own
-  // lease.
+  // Passes all leases and offers to the lease manager of this controller, which now leads, and
+  // deletes the record of this controller's own lease.
   void HandOverTo(LeaderService& leader, uint64_t token, double now);
 
   // Returns this controller's holder service; null while it holds no shard.
@@ -78,7 +79,7 @@
  private:
   struct Offer {
     uint64_t version = 0;      // 0: no offer
-    uint64_t store_lease = 0;  // to which the offer is attached
+    uint64_t store_lease = 0;  // the offer is attached to this store lease
   };
 
   [[nodiscard]] shard::ShardLeaseManager* LeaseManager() const;
@@ -94,7 +95,8 @@
   const GetLeader leader_;
   shard::RoutingTable routes_;
   std::map<std::string, Offer> offers_;  // by controller
-  uint64_t own_store_lease_ = 0;         // to which this node's shard lease is attached; 0: none
+  // The store lease to which this controller's shard lease is attached; 0: no shard lease.
+  uint64_t own_store_lease_ = 0;
   std::shared_ptr<ShardHolderService> holder_;
   net::Timer offer_timer_;
 };
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -14,8 +14,8 @@
 
 namespace mosspath::service {
 
-// Return a response with an error in its body. RetryLaterResponse has status 503 and a Retry-After
-// header.
+// These functions return a response with an error in its body. RetryLaterResponse returns status
+// 503 and a Retry-After header.
 net::HttpResponse ErrorResponse(int status, const std::string& error);
 net::HttpResponse RetryLaterResponse(const std::string& why);
 
@@ -38,7 +38,7 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  // Answers with the status of the job, or with `missing` if there is no such job.
+  // Answers with the status `known` of the job, or with `missing` if there is no such job.
   void AnswerWithStatus(const std::string& id, JobService::JobStatus known,
                         const Responder& respond, net::HttpResponse missing);
 
--- a/src/service/admission_service.cc
+++ b/src/service/admission_service.cc
@@ -6,13 +6,14 @@
 namespace mosspath::service {
 namespace {
 
-// Tasks of live jobs per megabyte of a controller's memory. A waiting task uses 6 bytes on the
-// leader (JobTest.APendingTaskTakesFewBytes), so waiting tasks use up to an eighth of the memory.
+// Budget of tasks of live jobs per megabyte of a controller's memory. A waiting task uses 6 bytes
+// on the leader (JobTest.APendingTaskTakesFewBytes). So if all tasks of the budget wait, they use
+// an eighth of the memory.
 constexpr double kTasksPerMb = 20'000;
 constexpr double kUserRetryWindowS = 60;   // PROTOCOL: a user stops retrying after this time
 constexpr double kMinRetryS = 1;           // a user waits at least this long before a retry
-constexpr double kMinTries = 6;            // of a refused user within the retry window
-constexpr double kPlanLifeHeartbeats = 2;  // validity of a plan, in heartbeat intervals
+constexpr double kMinTries = 6;            // a refused user makes at least this many tries
+constexpr double kPlanLifeHeartbeats = 2;  // validity of a plan, in agent heartbeat intervals
 
 std::vector<std::string> TeamNames(const std::vector<config::Team>& teams) {
   std::vector<std::string> names;
--- a/src/service/controller.cc
+++ b/src/service/controller.cc
@@ -183,8 +183,10 @@
   for (const auto& id : change.ended) leader_->scheduler().RemoveJob(id, now);
 }
 
-// Packs are kept in case this controller is elected. The current leader wrote
-// the packs itself, but lacks a version if the result of its write was lost.
+// Keeps the pack for the case that this controller is elected. If this
+// controller leads, it wrote the pack itself. But it lacks the pack's new
+// version if the result of the write was lost, so the scheduler gets the version
+// from the event.
 void Controller::OnProgressKey(const kvstore::Event& event) {
   const int pack = PackNumber(event.key, keys::kProgress);
   if (leader_) leader_->scheduler().OnProgressVersion(pack, event.version);
@@ -215,8 +217,9 @@
   if (!record_formats_.own_declared()) DeclareRecordFormats();
 }
 
-// A job that ended while the cache was reloading left no event. A leader that
-// continues through the reload must remove such jobs.
+// The watch cache delivers no event for a job that ended during a reload. A
+// leader that goes on leading through the reload must remove such jobs from its
+// scheduler.
 void Controller::RemoveEndedJobs() {
   if (!leader_) return;
   std::vector<std::string> ended;
@@ -338,8 +341,8 @@
 }
 
 // Records of several jobs are written only once every controller has declared
-// that it can read them: a controller of an earlier version would miss their
-// jobs.
+// that it can read such records: a controller of an earlier version would miss
+// the jobs in them.
 void Controller::UpdateBatching() {
   const uint64_t since = record_formats_.all_since();
   jobs_.SetBatching(since != RecordFormatSupport::kNever &&
--- a/src/service/leader_service.cc
+++ b/src/service/leader_service.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr double kTicksPerHeartbeat = 6;
-constexpr double kPauseRatio = 3;  // minimum pause between placement passes, in pass durations
+// Minimum pause between placement passes, as a multiple of the duration of the last pass.
+constexpr double kPauseRatio = 3;
 
 }  // namespace
 
@@ -88,7 +89,8 @@
   tick_due_at_ = now + tick_s;
 }
 
-// Posts the resignation, since it stops this service, which must not happen within this call.
+// Posts the resignation to the event loop. The resignation stops this service, which must not
+// happen within this call.
 bool LeaderService::ResignIfUnfit() {
   const double now = net::Now();
   if (elector_.IsStale(now) && elector_.MayResign(now)) {
@@ -99,11 +101,12 @@
     return true;
   }
   if (!term_.MayAct()) return false;
-  // Called at every tick, even if this leader may not resign yet: the call measures how long the
-  // partition has lasted.
+  // IsPartitionedFromAgents must be called at every tick, even if this leader may not resign yet:
+  // it measures how long the partition has lasted.
   const bool partitioned = scheduler_.IsPartitionedFromAgents(now);
   if (!partitioned || !elector_.MayResign(now)) return false;
-  // Otherwise agents would lose their leases and tasks while another controller may reach them.
+  // Without the resignation, the agent leases would expire and the tasks would be lost, although
+  // another controller may be able to reach the agents.
   asio::post(io_, term_.Guard([this] {
     if (term_.MayAct()) elector_.Resign(election::LeadershipLossReason::kAgentsPartitioned);
   }));
@@ -126,8 +129,9 @@
   }
 }
 
-// Heartbeats, lease renewals and user requests come first. So placement passes are rate-limited,
-// and take a limited fraction of the time even if a pass is long.
+// Placement passes block the event loop, which also handles heartbeats, lease renewals and user
+// requests. So the passes are rate-limited, and take a limited fraction of the time even if a pass
+// is long.
 void LeaderService::ScheduleTick() {
   if (placement_scheduled_) return;
   placement_scheduled_ = true;
--- a/src/service/machine_type_cache.cc
+++ b/src/service/machine_type_cache.cc
@@ -48,7 +48,8 @@
   SetTypes(types);
   if (elector_.token() == 0) return;
   Json value = wire::ToJson(types);
-  // Prices change all the time. Only a change that affects whether a job can run is written.
+  // Prices change often and don't affect whether a job can run, so a change of prices alone is not
+  // written.
   const auto without_prices = [](Json j) {
     for (auto& t : j["builds"]) t.erase("low_price");
     return j;
--- a/src/service/machine_type_poller.cc
+++ b/src/service/machine_type_poller.cc
@@ -5,7 +5,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kPollIntervalLeases = 3;  // in agent lease durations
+constexpr double kPollIntervalLeases = 3;  // interval between polls, in agent lease durations
 constexpr double kRetryS = 2.0;
 
 }  // namespace
--- a/src/service/metrics.cc
+++ b/src/service/metrics.cc
@@ -5,7 +5,8 @@
 namespace mosspath::service {
 namespace {
 
-// Classes and teams with metrics. Limited, since users choose the names of classes.
+// Maximum number of classes and teams with metrics. Users choose the names of classes, so without
+// the limit the number of metrics would be unbounded.
 constexpr size_t kMaxExportedGroups = 200;
 
 const char* Name(Metrics::Route r) {
--- a/src/service/peer_service.cc
+++ b/src/service/peer_service.cc
@@ -79,8 +79,9 @@
   const double now = net::Now();
   own.demand = admission_.Demand(now);
   const std::string with_demand = wire::Encode(own);
-  // The leader requests its own plan like its peers do, and only while it may act: a leader whose
-  // lease had lapsed kept planning a share for itself alongside its successor.
+  // The leader applies a plan for itself at the same interval as its peers, but only while it may
+  // act. Otherwise a leader whose lease has lapsed would go on planning a share for itself while
+  // its successor plans the shares of all controllers.
   if (local_.may_act()) {
     admission_.OnPlan(admission_.PlanFor(settings_.name, *own.demand, now), now);
   }
@@ -90,7 +91,8 @@
         2 * failure_detector_.interval_s(),
         [this, peer = connection.get(), requested_at = now](const net::HttpResult& r) {
           // A peer of an earlier version answers with an empty body and can't parse a
-          // demand.
+          // heartbeat with a demand. After an answer without a valid plan, no demand is
+          // sent to the peer until the peer answers with a plan.
           peer->supports_demand = peer->supports_demand && r.status == 0;
           if (r.status != 200 || r.body.empty()) return;
           net::TryRead("peer", "plan", on_malformed_, [&] {
@@ -164,7 +166,8 @@
   return it == counts_.end() ? scheduler::JobCounts{} : it->second;
 }
 
-// While the state service doesn't answer, a leader requests promises from all peers not to lead.
+// While the state service does not answer this leader, requests promises from all peers not to
+// lead.
 void PeerService::RequestPromises() {
   promise_timer_.After(derived_.promise_s / 4, [this] { RequestPromises(); });
   const auto round = elector_.BeginPromiseRound(net::Now());
@@ -180,8 +183,8 @@
 }
 
 void PeerService::OnPromiseResponse(uint64_t round, PeerConnection& peer, const std::string& body) {
-  // A malformed answer is no promise. It is logged only once for each peer until the next valid
-  // answer, since requests are frequent.
+  // A malformed response is not counted as a promise. Promise requests are frequent, so for each
+  // peer only the first malformed response since the last valid response is logged.
   const auto malformed = [&](const char* why) {
     if (!std::exchange(peer.bad_promise_logged, true)) {
       spdlog::error("service: promise_response_malformed node={} error={}", peer.node, why);
@@ -216,7 +219,8 @@
     decision = elector_.OnPromiseRequest(request, net::Now());
     if (!decision.well_formed) throw wire::BadMessage("a node, token or revision that can't be");
   } catch (const std::exception& e) {
-    // A leader sends several requests a second: logs only once until the next valid request.
+    // A leader may send several requests a second, so only the first malformed request since the
+    // last valid request is logged.
     if (!std::exchange(bad_request_logged_, true))
       spdlog::error("service: promise_request_malformed error={}", e.what());
     on_malformed_("peer", "vouch");
--- a/src/service/public_routes.cc
+++ b/src/service/public_routes.cc
@@ -12,8 +12,8 @@
 
 using net::HttpResponse;
 
-// Idle timeout of an agent's connection, as a multiple of the silence that makes
-// a machine suspect.
+// Idle timeout of an agent's connection, as a multiple of the time without
+// contact after which an agent is suspected.
 constexpr double kAgentIdleRatio = 1.5;
 constexpr int kOk = 200;
 
@@ -24,7 +24,8 @@
   return path.ends_with(paths::kCancelSuffix) ? Metrics::Route::kCancel : Metrics::Route::kGet;
 }
 
-// Returns whether the request has that method. Answers the request if not.
+// Returns whether the request has the method `method`; if not, answers the
+// request with an error.
 bool RequireMethod(const net::HttpRequest& request, std::string_view method,
                    const PublicRoutes::Responder& respond) {
   if (request.method == method) return true;
@@ -50,8 +51,9 @@
     const bool from_agent = route == Metrics::Route::kReport;
     answer.connection_class =
         from_agent ? net::ConnectionClass::kAgent : net::ConnectionClass::kUser;
-    // An agent that is refused connects to another controller, so its connection
-    // is closed. A dead agent never closes its connection, so idle ones time out.
+    // An agent whose heartbeat is refused connects to another controller, so the
+    // connection is closed. A dead agent never closes its connection, so idle
+    // connections of agents time out.
     answer.close = from_agent && answer.status != kOk;
     if (from_agent) answer.idle_s = kAgentIdleRatio * derived_.agent_suspect_s;
     respond(std::move(answer));
--- a/src/service/record_flusher.cc
+++ b/src/service/record_flusher.cc
@@ -8,7 +8,8 @@
 namespace mosspath::service {
 namespace {
 
-// Minimum time between the last flush and an early one, as a fraction of the flush interval.
+// Minimum time between the last flush and a flush that FlushSoon brings forward, as a fraction of
+// the flush interval.
 constexpr double kEarlyFlushRatio = 0.4;
 
 void AddWrite(kvstore::Transaction& transaction, const std::string& key,
--- a/src/service/scale_out_requester.cc
+++ b/src/service/scale_out_requester.cc
@@ -11,7 +11,7 @@
 constexpr int kMaxMachinesPerRequest = 50;
 constexpr double kMinBackoffS = 1.0;
 constexpr double kMaxBackoffS = 8.0;
-constexpr double kRefusedPauseS = 2.0;  // before an offer is planned again after a refusal
+constexpr double kRefusedPauseS = 2.0;  // pause after a refusal before the offer is planned again
 
 autoscaler::ScaleOutRequest OfferOf(const wire::RentRequest& request) {
   return {request.type, request.zone, request.spot, request.count};
@@ -81,12 +81,12 @@
       requests_.erase(pending);
       CloseOffer(OfferOf(request));
       break;
-    case CloudClient::Outcome::kRefused:  // not executed: planned again after a pause
+    case CloudClient::Outcome::kRefused:  // the scheduler plans the request again after a pause
       requests_.erase(pending);
       context_.scheduler.OnProvisioningRefused(OfferOf(request), net::Now() + kRefusedPauseS);
       break;
-    case CloudClient::Outcome::kUndetermined:  // a retry under the same name returns the same
-                                               // machines
+    case CloudClient::Outcome::kUndetermined:  // if the cloud executed the request, a retry under
+                                               // the same name returns the same machines
       pending->in_flight = false;
       pending->retry_at = net::Now() + pending->backoff.Next();
       break;
@@ -106,9 +106,9 @@
   DropUnsent(offer);
 }
 
-// A plan is split into requests of 50 machines. Without this function the remaining requests kept
-// requesting a sold-out offer, and used the cloud's request rate that listings and deletions need:
-// idle machines were paid for minutes.
+// A plan is split into requests of 50 machines. If the unsent requests for a sold-out offer were
+// kept, they would use up the cloud's request rate, which listings and deletions need as well: idle
+// machines were then paid for minutes before they were deleted.
 void ScaleOutRequester::DropUnsent(const autoscaler::ScaleOutRequest& offer) {
   std::erase_if(requests_, [&](const PendingRequest& pending) {
     return !pending.in_flight && !pending.retry_at && pending.request.type == offer.type &&
--- a/src/service/scaling_service.cc
+++ b/src/service/scaling_service.cc
@@ -8,7 +8,8 @@
 namespace mosspath::service {
 namespace {
 
-constexpr double kPauseRatio = 3;  // minimum pause between plans, in planning durations
+// Minimum pause after a plan, as a multiple of the time that the planning took.
+constexpr double kPauseRatio = 3;
 constexpr double kMinPlanIntervalS = 1.0;
 constexpr size_t kMaxMachinesPerDeletion = 100;
 
--- a/src/service/shard_holder_service.cc
+++ b/src/service/shard_holder_service.cc
@@ -174,8 +174,11 @@
                    accepted = self->holder_.OnFrame(*answer, net::Now());
                  });
                  if (!decoded || !accepted) return self->holder_.OnFrameLost();
-                 // This controller's view contains all cancellations that any controller had
-                 // acknowledged when the frame was sent, less the age of the leader's own view.
+                 // The watch cache holds all cancellations in the leader's view. That view holds
+                 // all cancellations that any controller had confirmed to users until
+                 // `view_age_s` before the answer was sent. The age is counted from `sent_at`,
+                 // which is earlier than the answer and therefore safe. The factor covers clock
+                 // drift.
                  if (answer->view_age_s < 1e8 && self->cache_.loaded() &&
                      self->cache_.revision() >= answer->newest_cancellation) {
                    self->elector_.OnLeaderView(sent_at - answer->view_age_s *
--- a/src/service/shard_lease_service.cc
+++ b/src/service/shard_lease_service.cc
@@ -22,8 +22,8 @@
   for (const auto& change : manager_.PendingChanges(net::Now())) WriteLeaseChange(change);
 }
 
-// The transaction is conditional on the leader key, so that a former leader can't grant or revoke a
-// lease.
+// The transaction is conditional on the version of the leader key, so that a former leader can't
+// grant or revoke a lease.
 void ShardLeaseService::WriteLeaseChange(const shard::ShardLeaseManager::LeaseChange& change) {
   kvstore::Transaction transaction = LeaderTransaction(context_.term);
   const std::string key = keys::kShardLeases + change.node;
--- a/src/service/shard_membership.cc
+++ b/src/service/shard_membership.cc
@@ -12,7 +12,7 @@
 namespace mosspath::service {
 namespace {
 
-constexpr const char* kStoreLeaseField = "grant";  // in the records of offers and leases
+constexpr const char* kStoreLeaseField = "grant";  // field of the records of offers and leases
 
 uint64_t StoreLeaseOf(const kvstore::Event& event) {
   return event.value ? event.value->value(kStoreLeaseField, uint64_t{0}) : 0;
@@ -20,7 +20,7 @@
 
 uint64_t VersionOf(const kvstore::Event& event) { return event.value ? event.version : 0; }
 
-// The outcome of the write is read from the watch cache.
+// Used where this controller reads the outcome of a write from the watch cache.
 void IgnoreResult(const kvstore::TransactionResult&) {}
 
 }  // namespace
@@ -99,7 +99,8 @@
   OnLeaderKey();
 }
 
-// Starts or stops holding this node's shard, according to its lease in the state service.
+// Starts or stops holding this controller's shard, according to the shard's lease in the state
+// service.
 void ShardMembership::UpdateHolder() {
   const uint64_t lease = routes_.LeaseOf(context_.settings.name);
   const bool held =
@@ -132,8 +133,8 @@
   holder_.reset();
 }
 
-// Gives up the lease because the shard's machines are unreachable from this controller. Another
-// controller may reach them.
+// Releases the shard lease because most of the shard's machines are unreachable from this
+// controller. Another controller may reach these machines.
 void ShardMembership::ReleaseShard() {
   if (!holder_) return;
   spdlog::info("shard: lease_released lease={} cause=partitioned_from_agents", holder_->lease());
@@ -145,8 +146,8 @@
   context_.store.Commit(std::move(transaction), context_.derived.call_timeout_s, IgnoreResult);
 }
 
-// The offer is attached to the store lease, so it shows the leader that this node is alive and can
-// renew its store lease.
+// Writes the offer to hold this controller's shard. The offer is attached to the store lease. So
+// the leader can see from the offer that this controller is alive and renews its store lease.
 void ShardMembership::OfferToHold() {
   offer_timer_.After(context_.derived.store_lease_s / 2, [this] { OfferToHold(); });
   const std::string& node = context_.settings.name;
@@ -154,11 +155,13 @@
   if (store_lease == 0 || !context_.cache.loaded()) return;
   const Offer& offer = offers_[node];
   if (offer.store_lease == store_lease) return;
-  // An offer under a new store lease guarantees that this node no longer acts under an older shard
-  // lease. The leader measures the silence of unreachable machines from this offer.
+  // An offer under a new store lease guarantees that this controller no longer acts under an older
+  // shard lease, so holding must stop first. The leader relies on the guarantee: it assumes that no
+  // agent lease of an unreachable machine under the older shard lease is renewed after the offer.
   if (own_store_lease_ != store_lease) StopHolding();
   kvstore::Transaction transaction;
-  // The condition prevents a delayed retry from appearing as a newer offer.
+  // Without the condition, a delayed retry of this write could be executed later and appear as a
+  // newer offer.
   transaction.conditions.push_back({keys::kShardOffers + node, offer.version});
   transaction.changes.push_back(
       {keys::kShardOffers + node, wire::Json{{kStoreLeaseField, store_lease}}, store_lease});
--- a/src/service/user_api.cc
+++ b/src/service/user_api.cc
@@ -65,8 +65,8 @@
     return respond(ErrorResponse(400, e.what()));
   }
   const std::string id = wire::PeekJobId(body);
-  // A job that is recorded already is answered with its status, even if the request is invalid now
-  // or would be refused.
+  // If the job already has a record, the request is answered with the job's status, even if the
+  // request is invalid now or would be refused.
   const auto refuse = [&](HttpResponse answer) {
     if (id.empty()) return respond(std::move(answer));
     jobs_.Lookup(id, [this, id, respond, answer](JobService::JobStatus known) {
