--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -133,9 +133,9 @@
   // Whether this controller may act on its view of the jobs, as a leader or not.
   [[nodiscard]] bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
   [[nodiscard]] double view_age_s(double now) const { return staleness_.age_s(now); }
-  // The leader has sent the age of its view (docs/sharding.md), and this controller has read all
-  // cancellations of that view. So this controller's view counts as being as of `as_of`, like the
-  // leader's: it holds all cancellations that were confirmed to users before `as_of`.
+  // The leader has sent the age of its view (docs/sharding.md): its view holds all cancellations
+  // that were confirmed to users before `as_of`. This controller has read all of them too, so the
+  // age of its own view is measured from `as_of` as well.
   void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return token_; }
@@ -174,7 +174,8 @@
                                                  double contact, double now);
 
  private:
-  // The state service counts as disconnected after this many renewal intervals without contact.
+  // This controller is disconnected from the state service after this many renewal intervals
+  // without contact.
   static constexpr double kMissedRenewals = 1.5;
 
   [[nodiscard]] bool leads() const { return token_ != kNoToken; }
--- a/include/mosspath/service/leader_service.h
+++ b/include/mosspath/service/leader_service.h
@@ -100,9 +100,9 @@
   net::Timer tick_timer_;
   net::Timer placement_timer_;
   bool placement_scheduled_ = false;
-  std::optional<double> next_placement_at_;  // none: no pass has run yet
-  std::optional<double> next_cleanup_at_;    // none: no clean-up has run yet
-  std::optional<double> tick_due_at_;        // none: no tick was scheduled yet
+  std::optional<double> next_placement_at_;  // nullopt: no placement pass has run yet
+  std::optional<double> next_cleanup_at_;    // nullopt: no clean-up of job records has run yet
+  std::optional<double> tick_due_at_;        // nullopt: no tick has been scheduled yet
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -47,7 +47,8 @@
   // The machine's record no longer assigns the machine to this lease.
   void OnMachineUnassigned(const std::string& machine) { returned_.erase(machine); }
   struct ReturnedMachine {
-    // True if the machine was returned because it did not answer, false if because it was empty.
+    // True if the machine was returned because it did not answer; false if it was returned because
+    // it was empty.
     bool lost = false;
     uint64_t handover_revision = 0;  // revision of the handover that the return ends
   };
--- a/include/mosspath/shard/shard_lease_manager.h
+++ b/include/mosspath/shard/shard_lease_manager.h
@@ -71,8 +71,8 @@
   // Returns the controller that holds the machine under a shard lease; empty if the leader commands
   // the machine.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
-  // Handles a stall: this process did not run until `now`, so it received no frames. From now on
-  // the silence of every holder is measured from `now`.
+  // Handles a stall: this process did not run until `now`, so it received no frames. The time since
+  // each holder's last frame is measured from `now` on.
   void OnProcessStall(double now);
 
  private:
