--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -108,9 +108,10 @@
   if (const auto wait_s = CampaignDelay(now)) {
     return {.kind = Kind::kWait, .version = kvstore::kKeyAbsent, .wait_s = *wait_s};
   }
-  // A leader key that names this controller under another store lease was put by an earlier process
-  // of this controller, or under an earlier store lease. This controller may overwrite that leader
-  // key at once; other controllers must wait until that store lease has ended.
+  // A leader key that names this controller but is attached to another store lease was put under an
+  // earlier store lease of this controller, for example by an earlier process. This controller may
+  // overwrite that leader key at once. Other controllers must wait until that store lease has
+  // ended.
   const bool led_by_other = leader_key_.version != kvstore::kKeyAbsent && leader_key_.node != node_;
   if (led_by_other || campaigning_ || !store_lease_clock_.Holds(now)) return {};
   return {.kind = Kind::kCampaign, .version = leader_key_.version, .wait_s = 0};
--- a/src/service/job_submitter.cc
+++ b/src/service/job_submitter.cc
@@ -84,8 +84,8 @@
 void JobSubmitter::Pump() {
   ExpireOverdue();
   while (HasPending() && transactions_in_flight_ < kMaxTransactionsInFlight) {
-    // The write rate limit allows no transaction now. Jobs that arrive until then can join the same
-    // transaction.
+    // The write rate limit allows no transaction now. Jobs that arrive before it allows the next
+    // transaction can join that transaction.
     if (const double wait = store_.WriteDelay(1); wait > 0) {
       timer_.After(wait + 0.002, [this] { Pump(); });
       return;
