--- a/include/mosspath/service/leader_service.h
+++ b/include/mosspath/service/leader_service.h
@@ -1,6 +1,6 @@
 // The duties of a controller while it holds the leader key: runs the scheduler and the services
-// that write its records and carry out its decisions. Exists for one term of leadership; answers
-// that arrive after the term are dropped. Not thread-safe.
+// that write the scheduler's records and carry out its decisions. Exists for one term of
+// leadership; answers that arrive after the term are dropped. Not thread-safe.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -76,8 +76,7 @@
   void BeginDuties();
   void Tick();
   void MeasureLoopDelay(double tick_s);
-  // Schedules a resignation if another controller may be able to lead better. Returns whether it
-  // did.
+  // If another controller may be able to lead better, schedules a resignation and returns true.
   [[nodiscard]] bool ResignIfUnfit();
   void RunDuties();
   void PlacementPass();
@@ -101,9 +100,9 @@
   net::Timer tick_timer_;
   net::Timer placement_timer_;
   bool placement_scheduled_ = false;
-  std::optional<double> next_placement_at_;  // none: no pass has run yet
-  std::optional<double> next_cleanup_at_;    // none: no clean-up has run yet
-  std::optional<double> tick_due_at_;        // none: no tick was scheduled yet
+  std::optional<double> next_placement_at_;  // nullopt: no placement pass has run yet
+  std::optional<double> next_cleanup_at_;    // nullopt: no clean-up of job records has run yet
+  std::optional<double> tick_due_at_;        // nullopt: no tick has been scheduled yet
 };
 
 }  // namespace mosspath::service
