--- a/include/mosspath/wire/json.h
+++ b/include/mosspath/wire/json.h
@@ -13,8 +13,8 @@
 
 using Json = nlohmann::json;
 
-// Thrown by every Parse and Decode function if the input is not a valid message of the expected
-// kind.
+// Thrown by every Parse and Decode function if the input is not a valid message of the kind
+// that the function reads.
 struct BadMessage : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -24,7 +24,8 @@
 
 JobSpec ParseJob(const Json& j);
 Json ToJson(const JobSpec& spec);
-// Returns the job id of a submission that may otherwise be invalid; empty if it has no valid id.
+// Returns the job id of a submission, or an empty string if the id is not valid. The other fields
+// of the submission are not checked.
 std::string PeekJobId(const Json& j);
 // Returns whether the text has the form of a job id.
 bool IsJobId(std::string_view id);
@@ -43,14 +44,15 @@
 Json DirectCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
 std::vector<Command> ParseCommands(const Json& answer);
 // The answer to an agent that sent its heartbeat to the wrong controller. `report_to`: the
-// controller that should receive the heartbeats; empty if none is known to be up.
+// controller that should receive the agent's heartbeats; empty if the answering controller has
+// found no such controller that is up.
 Json MisdirectedAnswer(const std::string& report_to);
 
 std::vector<MachineType> ParseMachineTypes(const Json& j);
 Json ToJson(const std::vector<MachineType>& types);
 
 struct RentRequest {
-  std::string request;  // idempotency key: the cloud answers a repeated request as the first time
+  std::string request;  // idempotency key: the cloud repeats its first answer to this key
   std::string type;
   std::string zone;
   bool spot = false;
--- a/include/mosspath/wire/messages.h
+++ b/include/mosspath/wire/messages.h
@@ -38,10 +38,10 @@
 
 enum class JobState { kQueued, kRunning, kDone, kCancelled };
 
-// kWaitingForGang: a task of a gang of which other tasks have not started yet.
+// kWaitingForGang: the task belongs to a gang, and other tasks of that gang have not started yet.
 enum class TaskState { kFetching, kWaitingForGang, kRunning, kCheckpointing, kExited };
-// kGangMemberEnded: another task of the gang has ended. kGangIncomplete: the tasks of the gang did
-// not all start.
+// kGangMemberEnded: another task of the gang has ended. kGangIncomplete: some tasks of the gang did
+// not start.
 enum class ExitReason {
   kNone,
   kSucceeded,
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -23,15 +23,16 @@
 
   std::string node;
   bool is_leader = false;
-  // Seconds since the state service, and the cloud, last answered this controller; kNeverS if
-  // never.
+  // Seconds since the state service (state_ago_s) and the cloud (cloud_ago_s) last answered this
+  // controller; kNeverS if they have not answered yet.
   double state_ago_s = 0;
   double cloud_ago_s = 0;
   // Seconds since this controller, as the leader, last accepted a heartbeat of an agent.
   double workers_ago_s = 0;
   std::vector<PeerContact> peers;
-  // Tasks that users recently submitted to this controller. Sent only to a peer that has shown that
-  // it can read the field: a peer of an earlier version would reject the frame.
+  // Number of tasks that users recently submitted to this controller. The field is sent only to a
+  // peer whose own messages show that it can read the field: a peer of an earlier version would
+  // reject the frame.
   std::optional<double> demand = std::nullopt;
 
   friend bool operator==(const PeerHeartbeat&, const PeerHeartbeat&) = default;
@@ -44,9 +45,9 @@
   std::string node;
   std::string zone;
   bool is_leader = false;
-  double heard_ago_s = kNeverS;          // since any controller last received its heartbeat
+  double heard_ago_s = kNeverS;          // since any controller last received this one's heartbeat
   std::string heard_by;                  // the controller that received that heartbeat
-  std::vector<std::string> unreachable;  // peers and outside systems that it can't reach
+  std::vector<std::string> unreachable;  // peers and outside systems that this one can't reach
 };
 
 std::string Encode(const PeerHeartbeat& p);
--- a/include/mosspath/wire/promise_frame.h
+++ b/include/mosspath/wire/promise_frame.h
@@ -1,7 +1,7 @@
-// Promise requests, which a leader sends to its peers while the state service does not answer, and
-// the responses to them. A response states whether the peer promises not to become the leader for a
-// short time, and lists the cancellations that the peer may have confirmed and the leader has not
-// read (election/leadership). Encoded by the varint codec.
+// Promise requests and responses (election/leadership). A leader sends promise requests to its
+// peers while the state service does not answer. A response states whether the peer promises not to
+// become the leader for a short time. It also lists the cancellations that the peer may have
+// confirmed to users and that the leader has not read. Both frames are encoded by the varint codec.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace mosspath::wire {
 
-// Job ids in one response, of about 20 bytes each.
+// Maximum number of job ids in one response. An id takes about 20 bytes.
 inline constexpr size_t kMaxCancelledIds = 512;
 
 struct PromiseRequest {
@@ -24,10 +24,10 @@
 // A range, by revision, of the cancellations that a controller may have confirmed to users.
 struct CancellationLogSlice {
   struct Entry {
-    std::string id;         // of the job
-    uint64_t revision = 0;  // at which the cancellation is durable
+    std::string id;         // the id of the cancelled job
+    uint64_t revision = 0;  // the store revision at which the cancellation is durable
   };
-  uint64_t newest = 0;  // no cancellation after this revision can have been confirmed
+  uint64_t newest = 0;  // the controller has confirmed no cancellation after this revision
   // `entries` is complete for the revisions after from_revision, up to and including to_revision.
   uint64_t from_revision = 0;
   uint64_t to_revision = 0;
@@ -41,9 +41,9 @@
 
 [[nodiscard]] std::string Encode(const PromiseRequest& request);
 [[nodiscard]] std::string Encode(const PromiseResponse& response);
-// Throw BadMessage on a frame that no encoder of this version writes: truncated, with trailing
-// bytes, of another version, with revisions out of order or out of range, or with too many ids. A
-// peer of another version receives an error instead of a response, which does not count as a
+// The decoders throw BadMessage on a frame that no encoder of this version writes: truncated, with
+// trailing bytes, of another version, with revisions out of order or out of range, or with too many
+// ids. A peer that receives a request of another version answers with an error, which is not a
 // promise.
 PromiseRequest DecodePromiseRequest(std::string_view frame);
 PromiseResponse DecodePromiseResponse(std::string_view frame);
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -1,6 +1,6 @@
 // Frames between the leader and the holder of a shard (docs/sharding.md). A frame carries, in
-// order, the messages that the receiver has not acknowledged yet, and acknowledges the messages of
-// the other direction. Amounts are encoded in thousandths.
+// order, the messages that the receiver has not acknowledged yet. It also acknowledges the messages
+// that its sender has received. Amounts are encoded in thousandths.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,37 @@
   enum class Kind : uint8_t {
     // From the leader.
     kDelegateTasks = 1,  // the holder places these tasks of the job `name` on the shard's machines
-    // The machine `name` is handed over to the shard, and these tasks of `job` may run on it.
+    // The machine `name` is handed over to the shard. These tasks of `job` may be running on that
+    // machine.
     kHandOverTasks = 2,
     kCompletionsDurable = 3,  // the completions of these tasks are durable
     kStopTasks = 4,      // the holder stops these tasks, which are done or run outside the shard
-    kRecallMachine = 5,  // the holder returns the machine `name` as soon as it is empty
-    // Sets the machine's draining state. `count`: 0: accepts tasks; 1: accepts none; 2: accepts
-    // only urgent tasks.
+    kRecallMachine = 5,  // the holder returns the machine `name` once no task runs there
+    // Sets the draining state of the machine `name`, by `count`. 0: the machine accepts tasks. 1:
+    // it
+    // drains and accepts no tasks. 2: it is cordoned and accepts only urgent tasks.
     kSetDraining = 6,
-    kMachineDeleted = 7,  // the machine no longer exists
+    kMachineDeleted = 7,  // the machine `name` no longer exists
     // From the holder.
-    kClaimTasks = 20,  // the holder has these tasks
-    // The holder has sent all its claims, and has recovered the state of all machines that the
-    // records up to revision `count` assign to the shard.
+    kClaimTasks = 20,  // the holder has these tasks of the job `name`
+    // The holder has sent all its claims. It has also recovered the state of every machine that the
+    // store records up to revision `count` assign to the shard.
     kSyncComplete = 21,
-    // These tasks have completed. The run times of `count` of them were measured, `seconds` in
-    // total.
+    // These tasks of the job `name` have completed. The holder measured the run times of `count` of
+    // these tasks; the sum of these run times is `seconds`.
     kTasksDone = 22,
-    // The holder no longer has these tasks, and none of its machines can run them.
+    // The holder no longer has these tasks of the job `name`, and none of its machines can run
+    // them.
     kReturnTasks = 23,
     kMachineStatus = 24,  // the state of the machine `name`
-    // The machine is empty or lost, and the holder sends it no more commands. `count`: twice the
-    // revision of the handover, plus 1 if the machine was lost.
+    // The machine `name` is empty or lost, and the holder sends it no more commands. `count`: twice
+    // the revision at which the machine was handed over, plus 1 if the machine was lost.
     kMachineReturned = 25,
-    // `seconds`: CPUs that the pending tasks of the shard request. `count`: the last batch of
-    // delegated tasks that is included.
+    // The load of the shard. `seconds` holds the CPUs that the shard's pending tasks request.
+    // `count`:
+    // the number of the last batch of delegated tasks that is included.
     kLoad = 26,
-    kCrashLoop = 27,  // the job fails on every machine; `count`: the retries so far
+    kCrashLoop = 27,  // the job `name` fails on every machine; `count`: its retries
   };
   struct MachineStatus {
     std::string address;
@@ -52,7 +56,7 @@
     bool spot = false;
     bool schedulable = false;
     bool idle = false;
-    bool has_on_demand_work = false;  // runs work that may not use spot machines
+    bool has_on_demand_work = false;  // the machine runs work that may not use spot machines
     bool unresponsive = false;
     double idle_s = 0;
     double remaining_cpu_s = 0;
@@ -79,20 +83,22 @@
   uint64_t lease = 0;         // the shard's lease
   bool from_leader = false;
   uint64_t acknowledged = 0;          // the sender has processed all messages up to this number
-  uint64_t receive_window_bytes = 0;  // message bytes that the sender accepts in the next frame
-  // The sender's view contains all cancellations that any controller had confirmed to a user up to
-  // `view_age_s` before this frame was sent. `newest_cancellation` is the revision of the last one.
-  // kNeverS: the frame makes no such statement.
+  uint64_t receive_window_bytes = 0;  // message bytes that the sender accepts per frame
+  // The sender's view is what the sender has read of the state service. The view contains all
+  // cancellations that any controller had confirmed to a user up to `view_age_s` before this frame
+  // was sent. `newest_cancellation` is the revision of the newest cancellation in the view. If
+  // `view_age_s` is kNeverS, the frame does not describe a view.
   double view_age_s = 1e9;
   uint64_t newest_cancellation = 0;
-  uint64_t first_sequence = 0;        // number of the first message
+  uint64_t first_sequence = 0;        // sequence number of the first element of `messages`
   std::vector<std::string> messages;  // each encoded by Encode
 };
 
 inline constexpr size_t kMaxShardFrameBytes = 56 << 10;
 
 std::string Encode(const ShardMessage& item);
-// Throws BadMessage on input that the encoder can't have written, as does DecodeShardFrame.
+// DecodeShardMessage and DecodeShardFrame throw BadMessage on input that the encoder can't have
+// written.
 ShardMessage DecodeShardMessage(std::string_view text);
 std::string Encode(const ShardFrame& frame);
 ShardFrame DecodeShardFrame(std::string_view text);
--- a/include/mosspath/wire/status_snapshot.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -22,10 +22,10 @@
   struct Queue {
     std::string job_class;
     uint64_t jobs = 0;
-    uint64_t waiting = 0;  // tasks
-    uint64_t running = 0;
-    // Seconds since a task last started and a job last finished under this leader; kNeverS if none
-    // has.
+    uint64_t waiting = 0;  // number of tasks
+    uint64_t running = 0;  // number of tasks
+    // Seconds since a task of the queue last started (started_ago_s) and since a job of the queue
+    // last finished (finished_ago_s) in this leader's term; kNeverS if that has not happened.
     double started_ago_s = kNeverS;
     double finished_ago_s = kNeverS;
     double oldest_s = 0;         // age of the oldest job with waiting tasks
@@ -75,7 +75,7 @@
 
 inline constexpr size_t kMaxStatusSnapshotBytes = 60 << 10;
 
-// Leaves out jobs that do not fit into kMaxStatusSnapshotBytes.
+// Encodes the snapshot without the jobs that do not fit into kMaxStatusSnapshotBytes.
 std::string Encode(const StatusSnapshot& d);
 StatusSnapshot DecodeStatusSnapshot(std::string_view frame);
 // The sockets of the controller that serves the status, for one class of connections.
@@ -83,8 +83,9 @@
   std::string connection_class;
   uint64_t used = 0;
   uint64_t limit = 0;
-  uint64_t refused = 0;  // since the process started: connections refused at the limit
-  // Since the process started: connections that were closed after the response.
+  uint64_t refused = 0;  // connections refused at the limit since the process started
+  // Connections that the server closed after a response, since the process started, because too
+  // many connections of the class were open.
   uint64_t closed_after_answer = 0;
 };
 
@@ -93,21 +94,22 @@
   struct Group {
     std::string team;
     std::string job_class;
-    uint64_t requested = 0;  // submitted jobs, since the process started
-    uint64_t refused = 0;    // of these, jobs refused for lack of budget
+    uint64_t requested = 0;  // jobs submitted since the process started
+    uint64_t refused = 0;    // the submitted jobs that admission refused
   };
-  double budget = 0;     // tasks of live jobs
-  double live = 0;       // tasks of live jobs in the controller's view
-  double in_flight = 0;  // tasks accepted here that are not in the view yet
-  // The part of the free budget that this controller may fill before its view shows what the other
-  // controllers accepted.
+  // The controller's view is what it has read of the state service.
+  double budget = 0;     // the maximum number of tasks of all live jobs together
+  double live = 0;       // number of tasks of the live jobs in the controller's view
+  double in_flight = 0;  // number of tasks that this controller accepted and has not read back yet
+  // The part of the free budget, from 0 to 1, that this controller may fill before its view shows
+  // which jobs the other controllers accepted.
   double share = 0;
   uint64_t plan_token = 0;
   uint64_t plan_version = 0;
   std::vector<Group> groups;
 };
 
-// The content of the status page and of status.json. The jobs of the snapshot are not shown.
+// The content of the status page and of status.json. Neither shows the jobs of the snapshot.
 struct Status {
   StatusSnapshot snapshot;
   double snapshot_age_s = 0;  // kNeverS if no snapshot has arrived
--- a/include/mosspath/wire/varint.h
+++ b/include/mosspath/wire/varint.h
@@ -19,7 +19,7 @@
 inline constexpr uint64_t kPayloadMask = 0x7f;
 inline constexpr unsigned kValueBits = 64;
 inline constexpr unsigned kLastShift = 63;    // shift of the tenth byte, which holds only one bit
-inline constexpr double kAmountUnits = 1000;  // per unit of the amount
+inline constexpr double kAmountUnits = 1000;  // amounts are encoded in thousandths
 }  // namespace varint
 
 class VarintWriter {
@@ -72,15 +72,15 @@
     in_.remove_prefix(size);
     return text;
   }
-  // Reads the length of a list of at most `max_count` elements. Each element takes at least one
-  // byte, so a length above the number of remaining bytes is invalid.
+  // Reads the number of elements of a list, at most `max_count`. An element takes at least one
+  // byte, so a list with more elements than remaining bytes is invalid.
   uint64_t GetCount(uint64_t max_count) {
     const uint64_t count = Get();
     if (count > max_count || count > in_.size()) throw BadMessage("frame: a list is too long");
     return count;
   }
   double GetAmount() { return static_cast<double>(Get()) / varint::kAmountUnits; }
-  // Checks that no bytes remain. Called after the last read.
+  // Throws BadMessage if bytes remain. Must be called after the last read.
   void End() const {
     if (!in_.empty()) throw BadMessage("frame: has more than it should");
   }
--- a/src/wire/cloud_json.cc
+++ b/src/wire/cloud_json.cc
@@ -31,7 +31,8 @@
   if (!object.is_object()) ThrowBadMessage("a machine is not an object");
   ListedMachine machine;
   machine.id = TextField(object, field::kId);
-  // Optional: the list may omit the address of a machine that has one.
+  // The address is optional: the cloud's list may omit the address of a machine that already has
+  // one.
   const Json* address = OptionalField(object, field::kAddress);
   if (address != nullptr && address->is_string()) machine.address = address->get<std::string>();
   machine.type = TextField(object, field::kMachineType);
--- a/src/wire/field_names.h
+++ b/src/wire/field_names.h
@@ -96,7 +96,7 @@
   return "";
 }
 
-// Returns the entry with this name, or null if the protocol has no such value.
+// Returns the entry with this name, or null if no value of the enum has the name.
 template <typename Enum, size_t kSize>
 [[nodiscard]] constexpr const EnumName<Enum>* FindName(std::string_view name,
                                                        const EnumNames<Enum, kSize>& names) {
--- a/src/wire/frame_header.h
+++ b/src/wire/frame_header.h
@@ -20,8 +20,8 @@
   writer.Put(version);
 }
 
-// Returns the version. Throws BadMessage on a frame of another kind, or on a version outside
-// [min_version, max_version].
+// Reads the header and returns the version of the frame. Throws BadMessage if the frame is of
+// another kind or its version is outside [min_version, max_version].
 inline uint64_t GetHeader(VarintReader& reader, FrameKind kind, uint64_t min_version,
                           uint64_t max_version) {
   if (reader.Get() != static_cast<uint64_t>(kind)) throw BadMessage("frame: of another kind");
--- a/src/wire/peer_heartbeat.cc
+++ b/src/wire/peer_heartbeat.cc
@@ -65,7 +65,8 @@
   writer.Put(plan.token);
   writer.Put(plan.version);
   writer.PutAmount(plan.life_s);
-  // Rounded down, so that the shares of all controllers do not add up to more than the whole.
+  // The share is rounded down, so that the rounded shares of all controllers do not add up to more
+  // than 1.
   writer.Put(static_cast<uint64_t>(std::clamp(plan.share, 0.0, 1.0) * kShareUnits));
   return writer.Take();
 }
--- a/src/wire/shard_frame.cc
+++ b/src/wire/shard_frame.cc
@@ -53,8 +53,8 @@
   return runs;
 }
 
-// Writes the tasks as runs. Each run is encoded as the gap since the end of the previous run and
-// its length.
+// Writes the tasks as runs. A run is encoded as two numbers: the gap since the end of the previous
+// run, and the length of the run.
 void PutTasks(VarintWriter& writer, const std::vector<uint32_t>& tasks) {
   const std::vector<TaskRun> runs = RunsOf(tasks);
   writer.Put(static_cast<uint64_t>(runs.size()));
--- a/src/wire/status_json.cc
+++ b/src/wire/status_json.cc
@@ -6,7 +6,7 @@
 namespace mosspath::wire {
 namespace {
 
-// Null if the event has not happened.
+// Returns the seconds since an event; null if the event has not happened.
 Json AgoJson(double ago_s) { return ago_s >= kNeverS ? Json() : Json(ago_s); }
 
 Json TextOrNull(const std::string& text) { return text.empty() ? Json() : Json(text); }
--- a/src/wire/status_snapshot.cc
+++ b/src/wire/status_snapshot.cc
@@ -110,8 +110,8 @@
   incident.description = reader.GetString(kMaxTextBytes);
 }
 
-// Encodes as many jobs as fit into a frame that already has `bytes_before` bytes, preceded by their
-// number.
+// Encodes the number of included jobs, followed by these jobs. Includes as many jobs as fit into a
+// frame that already has `bytes_before` bytes.
 std::string EncodeJobs(const std::vector<Job>& jobs, size_t bytes_before) {
   VarintWriter items;
   uint64_t count = 0;
