--- a/include/mosspath/config/operator_settings.h
+++ b/include/mosspath/config/operator_settings.h
@@ -1,4 +1,6 @@
-// Settings that operators may change while the service runs, only through the administration API.
+// Settings that operators may change while the service runs. The administration API is the only way
+// to change these settings. The durations in boot times are multiples of a machine type's boot
+// time.
 #pragma once
 
 #include <map>
@@ -9,33 +11,37 @@
 namespace mosspath::config {
 
 struct OperatorSettings {
-  // Cap on the layer bytes of one machine: gamma/M of the bytes on all M machines of the shard.
+  // Cap on the image layers that one machine holds: gamma/M of the layer bytes on all M machines
+  // that a placement tries together.
   double gamma = 1.5;
-  double epsilon = 1e-3;            // weight of a machine's share of all layer bytes in the score
+  // Weight, in a machine's placement score, of the machine's share of these layer bytes.
+  double epsilon = 1e-3;
   uint64_t max_machines = 100'000;  // upper bound on rented machines
   double horizon_boots = 2.0;  // scale-out aims to run the waiting work within this many boot times
-  double keep_idle_boots = 0.02;  // an idle machine is kept for this many boot times
-  double reserve = 0.1;           // free CPUs that are kept, as a ratio to the used CPUs
-  // Capacity reserved on on-demand machines for urgent work that may not use spot machines, as the
-  // arrivals of such work within this many boot times; 0: no reservation.
+  double keep_idle_boots = 0.02;  // scale-in keeps an idle machine for this many boot times
+  double reserve = 0.1;           // scale-in keeps free CPUs, as a ratio to the used CPUs
+  // Capacity of on-demand machines is reserved for urgent work that may not use spot machines. The
+  // reservation equals the work of this kind that arrived within this many boot times of the
+  // slowest machine type; 0: no reservation.
   double ordinary_boots = 1.0;
-  // Share of the pool's CPUs that may go, within one agent lease time, to the first tasks of jobs
-  // that have waited long without running any task; 0: none.
+  // Within one agent lease time, at most this share of the CPUs of all schedulable machines goes to
+  // the first tasks of jobs that have waited long without running any task; 0: none.
   double begin_share = 0.1;
   bool preemption = true;  // urgent tasks may stop tasks of a lower priority
-  // Work that is delegated to a shard's holder beyond the free capacity and waits there, as a share
-  // of the shard's CPUs.
+  // The leader delegates work to a shard's holder beyond the free capacity of the shard, up to this
+  // share of the shard's CPUs. The work waits at the holder until capacity comes free.
   double give_ahead = 0.15;
-  // Share of the pool's CPUs for the fair-share floors, which other work may not take
-  // (docs/admission.md); 0: no floors.
+  // The fair-share floors of all teams together may exceed the teams' guarantees by this share of
+  // the CPUs of all schedulable machines. Work within a floor is placed ahead of other work
+  // (docs/admission.md). 0: no floors.
   double turn_share = 0.15;
-  // Weights in the fair-share floors and in admission, by team ("name") or class ("team/class"); 1
-  // if absent.
+  // Weights of teams (key "name") and classes (key "team/class") in the fair-share floors and in
+  // admission. A team or class without an entry has weight 1.
   std::map<std::string, double> weights;
   // Whether the leader leases shards to other controllers. Has no effect unless
   // Settings::lease_shards is set.
   bool lease_blocks = true;
-  bool share_acceptances = true;  // jobs accepted at the same time may share one batch record
+  bool share_acceptances = true;  // jobs that are accepted together may share one batch record
 
   friend bool operator==(const OperatorSettings&, const OperatorSettings&) = default;
 };
--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -18,18 +18,21 @@
 // Quotas of a team.
 struct Team {
   std::string name;
-  double cpus = 0;  // guaranteed
+  double cpus = 0;  // guaranteed CPUs
   double cpus_max = 0;
   double gpus = 0;
   double gpus_max = 0;
 };
 
 struct Objective {
-  std::string kind;  // "wait" (until a task starts), "finished" or "deadline"; others are ignored
+  // "wait" (until a task starts), "finished" or "deadline". Objectives of other kinds are ignored.
+  std::string kind;
   std::string job_class;
-  double within_s = 0;  // target time since submission, for "wait" and "finished"
-  double share = 0;     // the share that should meet the target
-  double times = 1;     // target as a multiple of the job's deadline, for "deadline"
+  double within_s = 0;  // for "wait" and "finished": the target time since submission
+  // The share of the class's task starts ("wait") or finished jobs ("finished", "deadline") that
+  // should meet the target.
+  double share = 0;
+  double times = 1;  // for "deadline": the target time, as a multiple of the job's deadline
 };
 
 struct Settings {
@@ -81,27 +84,29 @@
 // Upper bound on the drift between the clocks of two machines, as a ratio.
 inline constexpr double kMaxClockDrift = 0.0005;
 
-// Durations in seconds that follow from the settings.
+// Durations in seconds that follow from the settings. A controller's view of the jobs is what it
+// has read of the state service. A view contains everything that was confirmed to users longer ago
+// than the view's age.
 struct DerivedSettings {
   explicit DerivedSettings(const Settings& s);
 
   double store_lease_s;         // duration of a controller's store lease
   double store_lease_renew_s;   // interval of renewals of the store lease
-  double renew_timeout_s;       // timeout of one renewal, short enough for several within the lease
+  double renew_timeout_s;       // timeout of one renewal; several renewals fit into the lease
   double promise_s;             // duration of a peer's promise not to lead
-  double lapse_margin_s;        // the owner of a store lease counts it as over by this much earlier
-  double agent_lease_over_s;    // an agent without an answer for this long has ended its tasks
+  double lapse_margin_s;        // a controller stops using its store lease this long before the end
+  double agent_lease_over_s;    // an agent that got no answer for this long has stopped its tasks
   double probe_answer_s;        // timeout of a new leader's probe of an agent
-  double agents_find_leader_s;  // nearly all agents have found a new leader within this time
+  double agents_find_leader_s;  // nearly all agents reach a new leader this soon after a failover
   double agents_try_all_s;      // an agent has tried all controllers within this time
-  double max_view_age_s;        // the leader does not act on a view of the jobs older than this
-  double shard_hold_s;     // a shard's holder may act for up to this long after its lease ended
-  double agent_suspect_s;  // an agent without contact for this long is suspected
+  double max_view_age_s;        // no leader or holder acts on a view of the jobs older than this
+  double shard_hold_s;     // a holder may command machines this long after its shard lease ended
+  double agent_suspect_s;  // an agent without contact for this long is presumed unreachable
   double record_flush_s;   // interval of the leader's batched writes
   double placement_interval_s;     // minimum time between two passes over the waiting jobs
   double scaling_interval_s;       // minimum time between two scaling plans
   double catch_up_interval_s;      // minimum time between two catch-up reads
-  double watch_s;                  // how long a watch request stays open
+  double watch_s;                  // maximum time for which a watch request stays open
   double call_timeout_s;           // timeout of a request to the state service
   double cloud_timeout_s;          // timeout of a request to the cloud
   double machine_list_interval_s;  // interval of machine list requests to the cloud
--- a/include/mosspath/net/http_client.h
+++ b/include/mosspath/net/http_client.h
@@ -15,8 +15,8 @@
 namespace mosspath::net {
 
 struct HttpResult {
-  int status = 0;          // 0: no response; a request that was sent may have been executed
-  bool sent = true;        // false: no part of the request was written
+  int status = 0;    // 0: no response; the server may still have executed a request that was sent
+  bool sent = true;  // false: no part of the request was written
   bool too_large = false;  // the response was discarded: its body exceeds max_answer
   std::string body;
 };
@@ -28,8 +28,8 @@
  public:
   struct Options {
     size_t max_connections = 4;
-    size_t max_queue = 256;        // requests that wait for a connection; any further request fails
-    size_t max_answer = 8u << 20;  // bytes of a response's body
+    size_t max_queue = 256;        // maximum number of queued requests; any further request fails
+    size_t max_answer = 8u << 20;  // maximum size of a response's body in bytes
     std::shared_ptr<SocketBudget> sockets = {};  // null: connections are not counted
     ConnectionClass connection_class = ConnectionClass::kOutbound;
   };
@@ -46,9 +46,9 @@
   // queue. The callback is never called from within Send.
   void Send(std::string method, std::string target, std::string body, double timeout_s,
             Callback done, StillWanted still_wanted = {});
-  // No request is in flight or queued.
+  // Returns whether no request is in flight or queued.
   bool idle() const { return busy_.empty() && queue_.empty(); }
-  // A connection is open, or a request is in flight.
+  // Returns whether a connection is open or a request is in flight.
   bool connected() const { return !idle_.empty() || !busy_.empty(); }
   // Closes the connections that carry no request.
   void CloseIdle();
--- a/include/mosspath/net/http_server.h
+++ b/include/mosspath/net/http_server.h
@@ -23,12 +23,12 @@
 struct HttpResponse {
   int status = 200;
   std::string body;
-  double retry_after_s = 0;  // 0: none
+  double retry_after_s = 0;  // value of the Retry-After header; 0: no such header
   std::string content_type = "application/json";
-  ConnectionClass connection_class =
-      ConnectionClass::kUnidentified;  // the client's class; unidentified: unchanged
-  bool close = false;                  // close the connection after this response
-  double idle_s = 0;                   // the connection's keep-alive timeout; 0: Options::idle_s
+  // The class to which the connection moves. kUnidentified: the connection keeps its class.
+  ConnectionClass connection_class = ConnectionClass::kUnidentified;
+  bool close = false;  // the server closes the connection after this response
+  double idle_s = 0;   // the connection's keep-alive timeout; 0: Options::idle_s
 };
 
 // Accepts connections on one address and passes their requests to a handler. Runs on the thread of
@@ -37,15 +37,16 @@
 class HttpServer {
  public:
   struct Options {
-    std::shared_ptr<SocketBudget> sockets;  // null: the server uses its own
-    ConnectionClass connection_class = ConnectionClass::kUnidentified;  // of a new connection
-    size_t max_body = 64u << 10;                                        // bytes
-    size_t max_head = 8u << 10;                                         // bytes
-    double idle_s = 90;     // keep-alive timeout between requests
-    double request_s = 10;  // to receive a request, and to write its response
+    std::shared_ptr<SocketBudget> sockets;  // null: the server creates a budget
+    // The class of a new connection.
+    ConnectionClass connection_class = ConnectionClass::kUnidentified;
+    size_t max_body = 64u << 10;  // maximum size of a request's body in bytes
+    size_t max_head = 8u << 10;   // maximum size of a request's head in bytes
+    double idle_s = 90;           // keep-alive timeout between requests
+    double request_s = 10;        // timeout for receiving a request, and for writing a response
   };
   using Responder = std::function<void(HttpResponse)>;
-  // Must call the responder exactly once, either during the call or later.
+  // A handler must call the responder exactly once, before or after the handler returns.
   using Handler = std::function<void(HttpRequest, Responder)>;
 
   HttpServer(asio::io_context& io, const std::string& address, Options options, Handler handler);
--- a/include/mosspath/net/malformed_message.h
+++ b/include/mosspath/net/malformed_message.h
@@ -1,4 +1,5 @@
-// Malformed responses and reports of other processes: they are logged, counted and then ignored.
+// Handling of malformed responses and reports from other processes: a malformed message is logged,
+// counted and then ignored.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -8,8 +9,8 @@
 
 namespace mosspath::net {
 
-// Called for each malformed message, with the kind of its sender and the request or report it
-// belongs to.
+// Called for each malformed message. `sender`: the kind of process that sent the message. `kind`:
+// the request that the message answers, or the kind of report.
 using OnMalformed = std::function<void(const char* sender, const char* kind)>;
 
 // Logs the malformed message with the parse error `reason`, and calls `on_malformed` if it is set.
--- a/include/mosspath/net/socket_budget.h
+++ b/include/mosspath/net/socket_budget.h
@@ -1,6 +1,6 @@
 // Divides a process's sockets among classes of connections: how many sockets each class may have,
-// and which connections stay open between requests. Pure counts: the code that opens and closes
-// sockets calls the budget first.
+// and which connections stay open between requests. The budget only counts: the code that opens
+// and closes sockets must report each socket to the budget.
 //
 // Sockets are the first resource to run out as the number of machines grows. Without limits by
 // class, agents' connections took all sockets, and none were left for users, probes and the
@@ -15,20 +15,20 @@
 namespace mosspath::net {
 
 enum class ConnectionClass {
-  kUnidentified,  // accepted; no request has identified the client yet
+  kUnidentified,  // an accepted connection whose client no request has identified yet
   kUser,          // users, probes and readers of the status page
   kAgent,         // agents' heartbeats
-  kPeer,          // from other controllers and operators
-  kCommand,       // to agents, with commands
-  kOutbound,      // to the state service, the cloud and other controllers
+  kPeer,          // requests from other controllers and operators
+  kCommand,       // direct commands to agents
+  kOutbound,      // requests to the state service, the cloud and other controllers
 };
 inline constexpr size_t kConnectionClasses = 6;
-// The name of the class in metrics and on the status page.
+// Returns the name of the class in metrics and on the status page.
 const char* Name(ConnectionClass c);
 
 class SocketBudget {
  public:
-  // `sockets`: how many the process may have open in all.
+  // `sockets`: the number of sockets that the process may have open in all.
   explicit SocketBudget(size_t sockets);
 
   // Counts one more socket of the class. If the class is at its limit, returns false and counts the
@@ -37,13 +37,14 @@
   void Release(ConnectionClass c);
   // Moves an accepted connection to the class that its request identified.
   void Reclassify(ConnectionClass from, ConnectionClass to);
-  // Whether a connection of the class may stay open after the response that is about to be sent. If
-  // not, the caller closes it after the response, and the client reconnects for its next request.
+  // Returns whether a connection of the class may stay open after the response that is about to be
+  // sent. If not, the caller closes it after the response, and the client reconnects for its next
+  // request.
   bool MayKeepAlive(ConnectionClass c);
 
   size_t used(ConnectionClass c) const { return used_[Index(c)]; }
-  // Sockets that the class may have. The classes of the public address (unidentified, users and
-  // agents) share one limit.
+  // Returns the number of sockets that the class may have. The classes of the public address
+  // (unidentified, users and agents) share one limit.
   size_t limit(ConnectionClass c) const;
   uint64_t refused(ConnectionClass c) const { return refused_[Index(c)]; }
   uint64_t closed_after_answer(ConnectionClass c) const { return closed_after_answer_[Index(c)]; }
--- a/include/mosspath/net/stall_detector.h
+++ b/include/mosspath/net/stall_detector.h
@@ -1,6 +1,6 @@
-// Detects that this process did not run for a while, as when it was stopped or got no processor
-// time. Afterwards many timers are due and sockets readable at once, and the elapsed time proves
-// nothing about other processes.
+// Detects stalls: times in which this process did not run, for instance because it was stopped or
+// got no processor time. After a stall, many timers are due and many sockets are readable at once.
+// The time that elapsed in a stall does not show that another process failed to answer.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,8 @@
 
 namespace mosspath::net {
 
-// Compares the times of the event loop's periodic turns with their period, `turn_s`. Pure.
+// Compares the times of the event loop's periodic turns with their period, `turn_s`. No I/O; the
+// time is an argument.
 class LoopClock {
  public:
   LoopClock(double turn_s, double now) : max_gap_s_(kStallTurns * turn_s), last_(now) {}
@@ -40,8 +41,8 @@
     timer_.After(turn_s_, [this] { Start(); });
     Check();
   }
-  // Also called by other timers' callbacks before they draw conclusions from elapsed time: after a
-  // stall they may run before this detector's own timer.
+  // Callbacks of other timers must also call Check() before they rely on elapsed time: after a
+  // stall, such a callback may run before this detector's own timer.
   void Check() {
     const double now = Now();
     if (const auto from = clock_.OnTurn(now)) on_stall_(*from, now);
--- a/include/mosspath/net/timer.h
+++ b/include/mosspath/net/timer.h
@@ -1,4 +1,4 @@
-// Steady time in seconds, and timers whose callbacks are cancelled with their owner.
+// Steady time in seconds, and timers whose destruction cancels their callbacks.
 #pragma once
 
 #include <algorithm>
@@ -30,9 +30,9 @@
     const uint64_t generation = ++*generation_;
     timer_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
         std::chrono::duration<double>(std::max(0.0, seconds))));
-    // Cancelling the asio timer does not stop an expiry that is already queued. That expiry would
-    // end a request a second time whose response arrived in the same iteration of the event loop.
-    // The generation number makes the outdated expiry do nothing.
+    // Cancelling the asio timer does not stop an expiry that is already queued. If a response
+    // arrived in the same iteration of the event loop, the queued expiry would end its request a
+    // second time. The generation number makes such an outdated expiry do nothing.
     timer_.async_wait(
         [f = std::move(f), current = generation_, generation](const std::error_code& error) {
           if (!error && *current == generation) f();
--- a/src/cli/cli.cc
+++ b/src/cli/cli.cc
@@ -116,8 +116,8 @@
   return text.str();
 }
 
-// Sends the assignments with the version of the current settings, so that the service rejects them
-// if the settings change in between.
+// Reads the version of the current settings, then sends the assignments with that version. The
+// service rejects the assignments if the settings have changed in between.
 int SetSettings(const std::string& server, const std::vector<std::string>& assignments, bool json) {
   Json changes = Json::object();
   for (const auto& a : assignments) {
@@ -140,7 +140,8 @@
       json, FormatSettings);
 }
 
-// The arguments of all subcommands. Those that the command line does not set keep their defaults.
+// The arguments of all subcommands. Arguments that the command line does not set
+// keep their defaults.
 struct Arguments {
   std::string settings_file;
   bool check_only = false;
@@ -262,7 +263,7 @@
   return {{get, RunSettingsGet}, {set, RunSettingsSet}};
 }
 
-// Runs the subcommand that was parsed, or the controller if there is none.
+// Runs the subcommand on the command line, or the controller if there is no subcommand.
 int Run(const std::vector<Subcommand>& subcommands, const Arguments& arguments) {
   for (const Subcommand& subcommand : subcommands) {
     if (subcommand.parser->parsed()) return subcommand.run(arguments);
--- a/src/config/derived_settings.cc
+++ b/src/config/derived_settings.cc
@@ -7,24 +7,25 @@
 namespace mosspath::config {
 namespace {
 
-// The maximum age of the leader's view, as a share of the time that a cancellation may take beyond
-// an agent's lease.
+// The maximum age of the leader's view, as a share of the time that remains of cancel_within_s
+// after an agent's lease has run out.
 constexpr double kViewShare = 0.9;
-// Margin for message delays, added to durations that two machines measure, each by its own clock.
+// Margin for message delays, as a ratio. It applies to durations that two processes measure, each
+// by its own clock.
 constexpr double kMarginRatio = 0.02;
 // An agent's heartbeat times out after kAgentTimeoutS. The agent tries the next controller
 // kAgentRetryS later.
 constexpr double kAgentTimeoutS = 4.0;
 constexpr double kAgentRetryS = 1.0;
-// The longest interval between two heartbeats of an agent, as a ratio to the setting.
+// The longest interval between two heartbeats of an agent, as a ratio to heartbeat_s.
 constexpr double kHeartbeatJitter = 1.25;
 
 }  // namespace
 
 DerivedSettings::DerivedSettings(const Settings& s) {
   // The store lease of a failed leader ends well before the agents' leases do, so that the tasks
-  // still run when the next leader takes over. The lease is also short because no task starts until
-  // then.
+  // still run when the next leader takes over. The store lease is also short because no task starts
+  // between the leader's failure and the takeover.
   store_lease_s = s.agent_lease_s / 8;
   store_lease_renew_s = store_lease_s / 6;
   renew_timeout_s = store_lease_s / 3;
@@ -32,8 +33,8 @@
   lapse_margin_s = store_lease_s * (4 * kMaxClockDrift) + kMarginRatio * store_lease_s;
   agent_lease_over_s = s.agent_lease_s * (1 + 4 * kMaxClockDrift) + kMarginRatio * s.agent_lease_s;
   probe_answer_s = s.heartbeat_s / 4;
-  // After a failover: one heartbeat interval, and time for agents that must first find the new
-  // leader.
+  // After a failover, an agent reaches the new leader within one heartbeat interval, and within 2 s
+  // more if the agent must first find the new leader.
   agents_find_leader_s = kHeartbeatJitter * s.heartbeat_s + 2.0;
   agent_suspect_s = 2 * s.heartbeat_s + kAgentTimeoutS;
   agents_try_all_s =
@@ -42,14 +43,16 @@
   // it answers no agent from then on, and the agents' leases end all tasks by T + max_view_age_s +
   // agent_lease_over_s, which is before T + cancel_within_s.
   max_view_age_s = std::max(kViewShare * (s.cancel_within_s - agent_lease_over_s), s.heartbeat_s);
-  // Includes the clock drift, since the holder measures max_view_age_s by its own clock.
+  // The holder measures max_view_age_s by its own clock and the leader measures shard_hold_s by
+  // another, so shard_hold_s includes the drift between the two clocks.
   shard_hold_s = max_view_age_s * (1 + 2 * kMaxClockDrift);
   record_flush_s = std::max(0.25, 6.0 / s.store_writes_per_s);
   placement_interval_s = s.heartbeat_s / 40;
   scaling_interval_s = 1 / s.cloud_requests_per_s;
   catch_up_interval_s = std::max(0.05, 3.0 * s.controller_count / s.store_requests_per_s);
-  // The age of a view counts from the sending of the last watch request that was answered. It thus
-  // grows to twice watch_s before the next answer, which stays well below the half of
+  // The age of a view counts from the sending of the last watch request that was answered. That
+  // request may have been open for watch_s, and the next request may be open for watch_s too. So
+  // the age may reach twice watch_s before the next answer. This stays well below the half of
   // max_view_age_s at which a leader resigns.
   watch_s = std::min(std::max(2.0, s.agent_lease_s / 4), std::max(0.5, max_view_age_s / 6));
   call_timeout_s = std::min(2.0, s.agent_lease_s / 12);
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -82,7 +82,7 @@
     return *list;
   }
 
-  // Calls `visit` with each element of a list of tables. A missing key counts as an empty list.
+  // Calls `visit` with each element of a list of tables. Calls nothing if the key is missing.
   template <typename Visitor>
   void EachTable(const char* key, Visitor visit) const {
     if (!Has(key)) return;
@@ -110,8 +110,8 @@
   root.EachTable("seeds", [&](const Section& peer) {
     settings.peers.push_back({peer.Text("label"), peer.Text("domain"), peer.Address("address")});
   });
-  // A controller that is listed among its own peers would wait for its own answers, so every
-  // peer must have a name and an address other than its own.
+  // A controller that is listed among its own peers would wait for its own answers. So every peer
+  // must have another name and another address than this controller.
   std::set<std::string> names{settings.name};
   for (size_t i = 0; i < settings.peers.size(); ++i) {
     const std::string path = "seeds[" + std::to_string(i) + "].";
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -22,7 +22,7 @@
 
 namespace {
 
-// A deadline timer that fires later than this shows that the process did not run.
+// If a deadline timer fires later than this after the deadline, the process did not run meanwhile.
 constexpr double kLateTimerS = 0.2;
 
 }  // namespace
@@ -78,8 +78,9 @@
   }
 
  private:
-  // Fails the request. If the timer itself fired late, the process did not run for a while and the
-  // response may already be in the socket's buffer, so there is a short delay to read it first.
+  // Fails the request. If the timer itself fired late, the process did not run for a while. The
+  // response may then already be in the socket's buffer, so the request fails only after a short
+  // delay in which the response can be read.
   void OnDeadline() {
     if (Now() - pending_.deadline < kLateTimerS) return Finish(false);
     timer_.After(kLateTimerS / 2, [self = shared_from_this()] { self->Finish(false); });
@@ -147,8 +148,8 @@
       result_.body.clear();
     }
     if (!answered || !keep_alive_) Close();
-    // The callbacks of a finished request are released: they may own the object that owns this
-    // client, which would then never be destroyed.
+    // Releases the callbacks of the finished request. A callback may own the object that owns this
+    // client; if the client kept the callback, neither would ever be destroyed.
     pending_.still_wanted = {};
     Callback done = std::move(pending_.done);
     HttpResult result = std::move(result_);
@@ -171,7 +172,7 @@
   size_t max_answer_;
   const std::shared_ptr<SocketBudget> sockets_;
   const ConnectionClass connection_class_;
-  bool counted_ = false;  // in the socket budget
+  bool counted_ = false;  // whether the socket budget counts this connection
   Pending pending_;
   HttpResult result_;
   http_parser parser_{};
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -174,8 +174,9 @@
                       });
   }
 
-  // The rest of a refused request may still be arriving. Closing the socket at once would reset the
-  // connection, and the client would lose the response.
+  // Discards input for a short time before the socket closes. The rest of a refused request may
+  // still be arriving. Closing the socket at once would then reset the connection, and the client
+  // would lose the response.
   void Linger() {
     auto self = shared_from_this();
     std::error_code ignored;
@@ -247,7 +248,7 @@
 void HttpServer::Accept() {
   acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {  // usually out of file descriptors: retry shortly
+    if (error) {  // usually the process is out of file descriptors: retries shortly
       accept_pause_.After(kAcceptRetryS, [this] { Accept(); });
       return;
     }
--- a/src/net/socket_budget.cc
+++ b/src/net/socket_budget.cc
@@ -5,15 +5,17 @@
 namespace mosspath::net {
 namespace {
 
-// Shares of all sockets.
+// Limits of connection classes, as shares of all sockets.
 constexpr double kOutboundShare = 0.05;
 constexpr size_t kMinOutbound = 32;  // enough for the state service, the cloud and a few peers
 constexpr double kPeerShare = 0.05;
 constexpr double kCommandShare = 0.25;
-// Shares of the sockets on the public address.
+// Keep-alive limits, as shares of the public limit (the limit of the classes of the public
+// address).
 constexpr double kAgentKeepAliveShare = 0.7;
 constexpr double kUserKeepAliveShare = 0.15;
-// Above this use, users' connections beyond their keep-alive share are closed after the response.
+// If more than this share of the public limit is in use, users' connections beyond
+// kUserKeepAliveShare are closed after the response.
 constexpr double kScarceShare = 0.75;
 
 size_t Share(size_t total, double share) {
