--- a/simulation/availability.cc
+++ b/simulation/availability.cc
@@ -14,7 +14,7 @@
 constexpr double kSubmissionsUntil = 130;
 constexpr double kFaultsFrom = 20;
 constexpr double kFaultsUntil = 150;
-constexpr double kQuietS = 320;    // from the last fault or submission to the end of the day
+constexpr double kQuietS = 320;    // time from the last fault or submission to the end of the day
 constexpr double kServiceS = 240;  // mean time after which a user cancels a service
 constexpr size_t kMachines = 24;
 constexpr double kOverloadFactor = 3;
@@ -62,7 +62,7 @@
 
 std::vector<Fault> AvailabilityScenario::Faults(uint64_t seed) {
   std::vector<Fault> faults = DrawFaults(seed, 1 + seed % 4, kFaultsFrom, kFaultsUntil);
-  // One more fault, whose kind cycles through all drawn kinds as the seeds increase.
+  // Adds one more fault. Its kind cycles through all drawn kinds as the seeds increase.
   Fault extra = DrawFaults(seed + kExtraFaultSeed, 1, kFaultsFrom, kFaultsUntil).front();
   extra.kind = static_cast<Fault::Kind>(seed / 4 % kDrawnKinds);
   faults.push_back(extra);
@@ -109,7 +109,8 @@
   spec.job_class = stream.job_class;
   spec.kind = service ? wire::JobKind::kService : wire::JobKind::kArray;
   spec.priority = stream.priority;
-  // A fraction of the size range; the cube makes most jobs small and a few large.
+  // `size` is a fraction of the range from min_tasks to max_tasks. The cube makes most jobs small
+  // and a few jobs large.
   const double size = std::pow(world.random.Uniform(0, 1), 3);
   const double additional_tasks = size * (stream.max_tasks - stream.min_tasks);
   spec.tasks = stream.min_tasks + static_cast<uint32_t>(std::lround(additional_tasks));
--- a/simulation/availability.h
+++ b/simulation/availability.h
@@ -1,7 +1,7 @@
 // The availability scenario: users who poll the status of every accepted job, services and arrays
-// from one task to hundreds, and faults of every kind. The rule checker reports accepted jobs whose
-// status queries go unanswered after the faults, teams and classes of which less than half of the
-// jobs are served, and large jobs that start too late.
+// from one task to hundreds, and faults of every kind. The rule checker reports three failures:
+// status queries of accepted jobs stay unanswered after the faults, fewer than half of the jobs of
+// a team or class are served, or large jobs start too late.
 #pragma once
 
 #include <string>
@@ -20,7 +20,7 @@
   enum class Shape {
     kOrdinary,
     kSlowHeartbeats,  // heartbeats every 8 s; no machine is up at the start
-    kOverload,        // three times as many array jobs, more than fit at once
+    kOverload,        // three times as many array jobs, more than the machines can run at once
     kTightQuotas,     // team quotas, and jobs with single-zone or spread constraints
     kShapes
   };
@@ -31,7 +31,8 @@
   // Simulates the whole day. Must be called only once.
   Outcome Run();
 
-  // Returns the faults of a seed. Over many seeds, all kinds occur about equally often.
+  // Returns the faults of a seed. Over many seeds, all kinds of faults occur about equally
+  // often.
   static std::vector<Fault> Faults(uint64_t seed);
 
  protected:
--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -126,9 +126,9 @@
   CheckRecovery();
 }
 
-// Even if machines are unreachable, recovery completes within the sum of: the time in which agents
-// try all controllers, one lease for machines that the leader can't query, and one lease for
-// machines that don't receive the leader's messages, plus a heartbeat interval.
+// Even if machines are unreachable, recovery completes within the sum of four times: the time in
+// which agents try all controllers, one agent lease for machines that the leader can't query, one
+// agent lease for machines that don't receive the leader's messages, and one heartbeat interval.
 void SimulatedCluster::CheckRecovery() {
   const double now = world.clock.now();
   const config::DerivedSettings derived(world.settings);
--- a/simulation/cluster.h
+++ b/simulation/cluster.h
@@ -13,8 +13,8 @@
 
 namespace mosspath::simulation {
 
-// The default deployment of scenarios: three controllers, two zones, one team without a quota and
-// one with a quota, and short heartbeat intervals.
+// Returns the settings of the scenarios' default deployment: three controllers, two zones, one team
+// without a quota, one team with a quota, and short heartbeat intervals.
 config::Settings SmallSettings();
 wire::MachineType SmallType();
 
@@ -34,8 +34,8 @@
   void ScheduleFaults(const std::vector<Fault>& faults);
   // Called for faults that consist of user requests.
   std::function<void(const Fault&)> on_user_fault;
-  // Counts the messages that controllers send while they campaign or lead. The sender of the
-  // `messages`-th message from now crashes right after it, for `downtime_s`.
+  // Counts, from now on, the messages that controllers send while they campaign or lead. Right
+  // after the message with the number `messages`, its sender crashes for `downtime_s`.
   void RestartAfterMessages(uint64_t messages, double downtime_s);
 
   // Returns the first controller that leads; if none leads, the controller with the index
@@ -54,23 +54,23 @@
   struct Recovery {
     uint64_t token = 0;
     double since = 0;
-    bool reported = false;  // as a rule violation
+    bool reported = false;  // whether it was reported as a rule violation
   };
 
   void AddControllers(size_t count);
   void CheckLoop();
   // Checks that the recovery of each leader completes within a bounded time.
   void CheckRecovery();
-  // Reports to the rule checker which machines could run each waiting job, by the machines' own
-  // state rather than the controllers' view. No task may wait for long while a machine has room for
-  // it.
+  // Reports to the rule checker which machines could run each waiting job. Reads the state of the
+  // simulated machines, not what the controllers have read of the store. No task may wait for long
+  // while a machine has room for the task.
   void CheckRoom();
   std::vector<std::string> MachinesWithRoom(const RuleChecker::WaitingJob& waiting) const;
   void OnMessageSent(const std::string& from);
 
   std::map<std::string, Recovery> recoveries_;  // by the leader's name
   uint64_t checks_ = 0;
-  uint64_t messages_until_restart_ = 0;  // 0: no restart is due
+  uint64_t messages_until_restart_ = 0;  // 0: no such restart is pending
   double restart_downtime_s_ = 0;
 };
 
--- a/simulation/compound_fault_scenario.cc
+++ b/simulation/compound_fault_scenario.cc
@@ -17,7 +17,8 @@
 constexpr double kCancellationSpreadS = 0.2;
 constexpr double kJobEndPropagationS = 1.2;
 constexpr double kUnusualRequestIntervalS = 2;
-constexpr double kObservationMarginS = 0.001;  // before and after a fault
+// The scenario observes the machines this long before and after a fault.
+constexpr double kObservationMarginS = 0.001;
 
 }  // namespace
 
@@ -130,7 +131,9 @@
   }
 }
 
-// The affected machines are known only after the fault, the tasks on them only before it.
+// Counts the running tasks just before the fault, since the fault may end them. Selects the
+// affected machines just after the fault, since only the fault determines which machines it
+// affects.
 void CompoundFaultScenario::CountBusyMachinesAround(const Fault& fault) {
   world.clock.At(fault.at - kObservationMarginS, [this] {
     for (const auto& [id, agent] : world.agents) tasks_before_fault_[id] = agent->running_tasks();
--- a/simulation/compound_fault_scenario.h
+++ b/simulation/compound_fault_scenario.h
@@ -24,14 +24,16 @@
 
   static std::vector<Fault> Faults(uint64_t seed);
 
-  // Counts that CountOccurrences() reads; other conditions are observed by the simulated
-  // environment.
+  // Counts that CountOccurrences() reads. The simulated environment observes the other conditions
+  // (SimulatedEnvironment::Observations).
   struct Counts {
-    size_t busy_unreachable = 0;  // machines with tasks that a leader couldn't reach when it failed
-    size_t busy_cut_off = 0;      // machines with tasks that only some controllers reach
-    size_t busy_terminated = 0;   // machines with tasks that a fault terminated
-    size_t cancelled = 0;         // jobs that users cancelled at a fault or at the job's end
-    size_t hung = 0;              // machines that hang with tasks of jobs being cancelled
+    // Machines that ran tasks and were cut off from the leader just before a fault of the leader.
+    size_t busy_unreachable = 0;
+    // Machines that ran tasks before a fault and that only some controllers could reach after it.
+    size_t busy_cut_off = 0;
+    size_t busy_terminated = 0;  // machines that ran tasks when a fault terminated the machines
+    size_t cancelled = 0;        // jobs that users cancelled at a kCancelNow or kCancelAtEnd fault
+    size_t hung = 0;             // machines that a kCancelNow fault hung with tasks running
   };
   const Counts& counts() const { return counts_; }
   const std::vector<Fault>& faults() const { return faults_; }
@@ -45,8 +47,8 @@
     uint32_t tasks = 1;
     double run_s = 0;
   };
-  // Adds the job with a user who polls its status. The returned user may be changed only before the
-  // day begins and before the next call.
+  // Adds the job with a user who polls the job's status. The returned user may be changed only
+  // before the day begins and before the next call.
   SimulatedUser& AddUser(const ExtraJob& job);
   void AddCancelledJobs();
   void AddJobsThatEndApart();
@@ -62,8 +64,9 @@
   void OnUserFault(const Fault& fault);
   void CancelNow(const Fault& fault);
   void HangMachinesOf(const SimulatedUser& user, double duration_s);
-  // Makes the user of a completed job cancel it, query its status and submit it again, all within
-  // the time that the job's end takes to reach the leader.
+  // Makes the user of a completed job cancel the job, query its status and submit the job again,
+  // all within the time in which the job's end becomes visible to the leader. Some users do not
+  // cancel.
   void OnJobEnd(const std::string& id);
   void RequestAfterEnd(SimulatedUsers& users, size_t user);
   void SendUnusualRequests();
--- a/simulation/compound_faults.cc
+++ b/simulation/compound_faults.cc
@@ -11,8 +11,8 @@
 
 using Kind = Fault::Kind;
 
-// Users stop retrying a submission after 60 s. In a longer outage some jobs would never be
-// submitted, and so could not be served.
+// Users stop retrying a submission after 60 s. During a longer outage, some users would stop before
+// their jobs are accepted, and these jobs could not be served.
 constexpr double kMaxOutageS = 50;
 // Multiples of this ratio modulo 1 cover an interval evenly.
 constexpr double kGoldenRatio = 0.6180;
@@ -55,20 +55,21 @@
   // Adds a fault that has no duration or ignores it.
   void AddInstant(Kind kind, double at) { Add(kind, at, 0); }
 
-  // Rounds of a kind cycle through no additional fault, the first variant and the second variant.
+  // The rounds of a kind cycle through three forms of its schedule: without an additional fault,
+  // with that of the first variant, and with that of the second variant.
   bool first_variant() const { return round % 3 == 1; }
   bool second_variant() const { return round % 3 == 2; }
 
   const std::vector<Fault>& faults() const { return faults_; }
 
   const uint64_t seed;
-  const double lease_s;  // of agents
+  const double lease_s;  // the agent lease
   const double store_lease_s;
   const double cancel_within_s;
   const double outage_s;  // longer than cancel_within_s, up to kMaxOutageS
   const double offset_s;
   const double short_offset_s;
-  const uint64_t round;   // how many lower seeds have the same kind
+  const uint64_t round;   // the number of lower seeds that have the same kind
   const bool even_round;  // whether `round` is even
 
  private:
@@ -257,7 +258,8 @@
 
 using Scenario = CompoundFaultScenario;
 
-// Returns the first fault of that kind, or null if there is none, as in a shortened schedule.
+// Returns the first fault of that kind, or null if there is none. A schedule from which faults were
+// removed may have none.
 const Fault* FindFault(const Scenario& scenario, Kind kind) {
   const auto& faults = scenario.faults();
   const auto found = std::find_if(faults.begin(), faults.end(),
@@ -265,7 +267,7 @@
   return found == faults.end() ? nullptr : &*found;
 }
 
-// Returns how many times lie strictly between `from` and `to`.
+// Returns the number of elements of `times` that lie strictly between `from` and `to`.
 size_t CountBetween(const std::vector<double>& times, double from, double to) {
   return static_cast<size_t>(std::count_if(times.begin(), times.end(),
                                            [&](double time) { return time > from && time < to; }));
--- a/simulation/compound_faults.h
+++ b/simulation/compound_faults.h
@@ -17,34 +17,39 @@
 // The order matters: a seed's kind is the seed modulo the number of kinds. "Refuses the leader"
 // means that the leader is partitioned from the store.
 enum class CompoundFault {
-  kRefusedThenOutage,    // the store refuses the leader, others confirm cancellations, then store
-                         // outage
-  kRepeatedFailover,     // repeated leader restarts, then all controllers crash and another restart
+  // The store refuses the leader, other controllers confirm cancellations, and then the store is
+  // down.
+  kRefusedThenOutage,
+  // The leader restarts repeatedly, then all controllers crash, and then one more restart follows.
+  kRepeatedFailover,
   kUnreachableMachines,  // a leader fails while its successor can't reach some machines
-  kSlowStore,            // the store is slow during cancellations, then refuses the leader
+  kSlowStore,            // during cancellations, the store is slow, then refuses the leader
   kOutdatedDuplicates,   // duplicates of heartbeats of earlier epochs and tokens
-  kLateWrites,           // unanswered store writes are applied after newer ones
+  kLateWrites,           // unanswered store writes are applied after newer writes
   kDelayedCommands,      // commands are delayed while the machine keeps running
-  kTasksEndApart,        // tasks of one job complete far apart, across failovers
-  kOnlyAgentsReachable,  // a leader reaches only machines and users; other controllers cancel jobs
-  kZonePartition,        // a zone with machines and controllers is cut off beyond a lease
-  kSlowLinks,            // commands arrive late over slow links; a leader or machines may fail
-  kDelayedHeartbeats,    // heartbeats are delayed until a new leader has acted
-  kRequestsAtJobEnd,     // cancellations, status queries, resubmissions as a job completes
-  kOutboundPartition,    // heartbeats of machines are lost, while direct commands arrive
-  kTeamAtQuota,          // a team at its quota, a new leader, unreachable machines
-  kTenFailovers,         // ten leader restarts in two minutes, in some rounds with a store outage
-  kAllControllersDown,   // all controllers are down for longer than a lease
-  kDelayedAnswers,       // answers to commands are delayed, and some machines hang meanwhile
-  kCancellationsBeforeOutage,  // cancellations as the store refuses the leader, then store outage
-  kCancellationsWithHang,      // jobs are cancelled while some of their machines hang
-  kPlacementConstraints,       // jobs with zone, single-zone or spread constraints lose machines
+  kTasksEndApart,        // tasks of a job complete far apart in time, with failovers in between
+  // A leader reaches only machines and users, while other controllers cancel jobs.
+  kOnlyAgentsReachable,
+  kZonePartition,       // a zone with machines and controllers is cut off for over an agent lease
+  kSlowLinks,           // commands arrive late over slow links; a leader or machines may fail
+  kDelayedHeartbeats,   // heartbeats are delayed until a new leader has acted
+  kRequestsAtJobEnd,    // users cancel, query and resubmit jobs just as the jobs complete
+  kOutboundPartition,   // heartbeats of machines are lost, while direct commands arrive
+  kTeamAtQuota,         // the leader changes while a team is at its quota and machines are cut off
+  kTenFailovers,        // ten leader restarts in two minutes, in some rounds with a store outage
+  kAllControllersDown,  // all controllers are down for longer than an agent lease
+  kDelayedAnswers,      // answers to commands are delayed, and some machines hang meanwhile
+  // Users cancel jobs just as the store refuses the leader, and then the store is down.
+  kCancellationsBeforeOutage,
+  kCancellationsWithHang,  // jobs are cancelled while some of their machines hang
+  kPlacementConstraints,   // jobs with zone, single-zone or spread constraints lose machines
   kKinds
 };
 
 inline constexpr uint64_t kCompoundFaultKinds = static_cast<uint64_t>(CompoundFault::kKinds);
 
-// The start of most schedules, in seconds since the start of the day. Tasks are running by then.
+// Time of the first fault in most schedules, in seconds since the start of the day. Tasks are
+// running by then.
 inline constexpr double kFirstFaultAt = 45;
 
 CompoundFault CompoundFaultOf(uint64_t seed);
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -7,9 +7,10 @@
 namespace mosspath::simulation {
 namespace {
 
-// The last contact with the store, for a process that has not reached the store yet.
+// The time of the last contact with the store, for a process that has not reached the store yet.
 constexpr double kNeverContacted = -1e18;
-constexpr double kMaxResumeDelayS = 0.02;  // after a freeze
+// Maximum delay with which held messages and timers are handled after a freeze.
+constexpr double kMaxResumeDelayS = 0.02;
 constexpr jobs::JobIndex::Limits kJobIndexLimits{.finals = 100'000, .cancellations = 600};
 
 }  // namespace
@@ -60,7 +61,7 @@
   PromiseLoop();
 }
 
-// A process keeps nothing in memory across a restart.
+// Discards the state in memory: a new process has nothing in memory of the previous process.
 void SimulatedController::ResetState() {
   leadership_ = std::make_unique<election::Leadership>(settings_, derived_, Now());
   failure_detector_ = std::make_unique<election::FailureDetector>(settings_);
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -4,7 +4,7 @@
 // The implementation is split by responsibility:
 //   controller.cc           the process: start, crash, freeze, loops
 //   controller_election.cc  store lease, campaigns, promises of peers, gaining and losing the lead
-//   controller_watch.cc     reading the store and applying what has changed
+//   controller_watch.cc     reading the store and applying the changes that were read
 //   controller_jobs.cc      submissions, status queries and cancellations of users
 //   controller_commands.cc  heartbeats, direct commands, records, completions and scaling
 //   controller_peers.cc     heartbeats between controllers, which carry the admission plan
@@ -69,7 +69,7 @@
   // Heartbeats that the controller accepted as the leader after its store lease had expired, when
   // only its peers' promises still allowed it to lead.
   int heartbeats_on_promise() const { return heartbeats_on_promise_; }
-  // Cancellations that the controller first received from peers.
+  // Cancellations that the controller received from a peer before it read them from the store.
   int cancellations_learned() const { return cancellations_learned_; }
   // Submissions that admission refused.
   uint64_t refused() const { return refused_; }
@@ -80,8 +80,8 @@
   void Crash(double downtime_s);
   // Suspends the process for the given time, while the controller's clock goes on.
   void Freeze(double duration_s);
-  // Reads from the store fail, while the store lease is still renewed, as when no socket is left
-  // for reads.
+  // Makes reads from the store fail while the store lease is still renewed. This happens to a
+  // controller that has no socket left for reads.
   void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
   // The controller does not resign because of a stale view. This simulates the backoff that follows
   // a resignation without success.
@@ -100,7 +100,8 @@
   void OnStatusQuery(const std::string& id, const StatusResponder& respond);
   void OnCancel(const std::string& id, const StatusResponder& respond);
   // Called when this controller has written the cancellation or has received it from a peer. The
-  // cancellation is durable since `revision`, even if this controller has not read that far.
+  // cancellation is durable since `revision`, even if this controller has not yet read the store up
+  // to that revision.
   void LearnCancelled(const std::string& id, uint64_t revision);
 
   // --- Admission ---
@@ -126,24 +127,24 @@
   void Start();
   void ResetState();
   // Runs the action now or, if the process is frozen, when it resumes. Drops the action if the
-  // process ends before.
+  // process ends before that.
   void RunUnlessFrozen(std::function<void()> action);
   // Runs the action after the delay, as a timer of this process. The timer ends with the process.
   void After(double delay_s, std::function<void()> action);
   // Like After(), but the timer is not cancelled when this process ends: its action then runs in
-  // the next process. The action itself must check for that.
+  // the next process. So the action must check which process it runs in.
   void AfterInAnyProcess(double delay_s, std::function<void()> action);
   void ReportStall(double from);
   void TickLoop();
   void TickLeader();
 
-  // Runs `at_store` at the store, and then `on_result` at this controller. `at_store` is not called
-  // if the store is down or the request is lost. `on_result` is not called in these cases, nor if
-  // the answer is lost or this process has ended.
+  // Runs `at_store` at the store, and then `on_result` at this controller. If the store is down or
+  // the request is lost, neither function is called. If the answer is lost or this process has
+  // ended, `on_result` is not called.
   template <typename Result>
   void CallStore(std::function<Result()> at_store, std::function<void(Result)> on_result);
-  // Like CallStore(), for changes. While the fault of late writes is active, some changes get no
-  // answer and are applied seconds later, even if this process has ended.
+  // Like CallStore(), for changes. While SimulatedEnvironment::late_writes_until has not passed,
+  // some changes get no answer and are applied seconds later, even if this process has ended.
   template <typename Result>
   void CallStoreForChange(std::function<Result()> at_store, std::function<void(Result)> on_result);
 
@@ -177,7 +178,7 @@
 
   // --- Jobs ---
 
-  // An admitted job that is not durable yet.
+  // An admitted job whose record is not durable yet.
   struct PendingJob {
     wire::JobSpec spec;
     double deadline = 0;
@@ -204,7 +205,7 @@
   void DropOverdue();
   void AcceptBatch(std::vector<PendingJob> batch);
   Revisions CommitAcceptances(const std::vector<PendingJob>& batch);
-  // `revisions`: nothing if the store did not answer in time.
+  // `revisions` has no value if the store did not answer in time.
   void OnBatchAnswered(const std::vector<PendingJob>& batch,
                        const std::optional<Revisions>& revisions);
 
@@ -214,8 +215,9 @@
                       const SimulatedEnvironment::HeartbeatResponder& respond);
   void AnswerAsLeader(const wire::Heartbeat& heartbeat,
                       const SimulatedEnvironment::HeartbeatResponder& respond);
-  // Returns the other controller that holds the machine's shard. If the holder is unknown, returns
-  // the leader, which can redirect the machine. Empty if neither is another controller.
+  // Returns the name of another controller to which the machine should send its heartbeats: the
+  // holder of the machine's shard or, if the holder is unknown, the leader, which can redirect the
+  // machine. Empty if that controller is this one or is unknown.
   std::string HolderOf(const std::string& machine) const;
   void SendCommands();
   // `shard_lease`: the shard lease under which the commands are sent; 0: commands of the leader.
@@ -242,7 +244,8 @@
 
   // --- Shards ---
 
-  // Returns whether the controller may act as the holder of a shard: its view of the jobs is fresh.
+  // Returns whether the controller may act as the holder of a shard: what it has read of the jobs
+  // must be recent enough.
   bool MayHold() const { return leadership_->ViewIsFresh(Now()); }
   void ApplyShards(const Entries& entries);
   void ApplyOwnShard(const Entries& entries);
@@ -281,8 +284,8 @@
   double reads_fail_until_ = 0;
   uint64_t reads_begun_ = 0;
   uint64_t newest_read_ = 0;    // number of the latest-begun read that was applied; 0: none
-  uint64_t revision_ = 0;       // store revision that was last read
-  uint64_t jobs_revision_ = 0;  // revision up to which the job index has all records
+  uint64_t revision_ = 0;       // newest store revision that was read
+  uint64_t jobs_revision_ = 0;  // the job index has all records up to this store revision
   std::unique_ptr<jobs::JobIndex> job_index_;
   std::map<std::string, uint64_t> job_record_versions_;  // versions of the job records read so far
   std::set<std::string> final_records_;                  // keys of the final records read so far
--- a/simulation/controller_commands.cc
+++ b/simulation/controller_commands.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kWriteTimeoutS = 1;
-constexpr double kLateCommandS = 2;  // a command that takes longer counts as late
+constexpr double kLateCommandS = 2;  // commands that arrive later than this count as late
 constexpr double kMaxAnswerDelayHeartbeats = 1.2;
-constexpr size_t kMaxRecords = 100;  // in one transaction
+constexpr size_t kMaxRecords = 100;  // maximum number of records in one transaction
 constexpr size_t kMaxRecordBytes = 48u << 10;
 
 uint64_t CountStarts(const std::vector<wire::Command>& commands) {
@@ -91,9 +91,9 @@
   AfterInAnyProcess(environment_.settings.heartbeat_s, [on_outcome] {
     on_outcome(scheduler::CommandOutcome::kUndetermined, nullptr);
   });
-  // A connection goes to the machine that is at the address now, which may not be the intended
-  // machine. Commands that are held on this connection must not reach a machine that takes over the
-  // address later, nor a later incarnation of this machine.
+  // The connection leads to the machine that has the address now, which may not be the machine of
+  // the batch. Commands that are held on this connection must not reach a machine that takes over
+  // the address later, nor a later incarnation of the machine that has the address now.
   SimulatedAgent* const agent = environment_.FindByAddress(batch.address);
   if (agent == nullptr) return;
   const auto incarnation = agent->incarnation();
@@ -104,8 +104,9 @@
   environment_.network.Send(name_, agent->id(), [agent, arrive] { agent->RunUnlessHung(arrive); });
 }
 
-// The handler ignores all outcomes but the first. It also ignores outcomes that arrive after this
-// process has ended, or after the leader's term or the shard lease has changed.
+// Returns a handler that ignores all outcomes but the first. The handler also ignores an outcome
+// that arrives after this process has ended, or after the leader's term or the shard lease has
+// changed.
 SimulatedController::OnOutcome SimulatedController::MakeOutcomeHandler(
     const scheduler::CommandBatch& batch, uint64_t shard_lease) {
   const auto answered = std::make_shared<bool>(false);
--- a/simulation/controller_election.cc
+++ b/simulation/controller_election.cc
@@ -48,8 +48,8 @@
 std::optional<std::string> SimulatedController::OnPromiseRequest(const std::string& text) {
   if (!alive_) return std::nullopt;
   if (!frozen()) return AnswerPromiseRequest(text);
-  // The request is handled when the process resumes. The promise then takes effect, but the answer
-  // would come too late and is not sent.
+  // This process is frozen, so it handles the request when it resumes. Its promise takes effect
+  // then, but its answer would arrive too late and is not sent.
   RunUnlessFrozen([this, text] { AnswerPromiseRequest(text); });
   return std::nullopt;
 }
--- a/simulation/controller_jobs.cc
+++ b/simulation/controller_jobs.cc
@@ -32,7 +32,7 @@
       respond(http_status, retry_after_s);
     });
   };
-  // A repeated submission of a known job is answered before any other check.
+  // A repeated submission of a job in the job index is answered before any other check.
   if (job_index_->Contains(spec.id)) return AnswerKnownSubmission(spec.id, send);
   if (newest_read_ == 0) return send(503, kRetryAfterS);
   if (!admission::ReasonNeverRunnable(spec, settings_.teams, environment_.types).empty()) {
@@ -49,7 +49,8 @@
   });
 }
 
-// The job can't run under the current settings, but may have been accepted under earlier settings.
+// Answers a submission of a job that can't run under the current settings. The job may have been
+// accepted under earlier settings.
 void SimulatedController::AnswerInvalidSubmission(const std::string& id,
                                                   const SubmitResponder& respond) {
   FindStatus(id, [respond](jobs::JobStatus status) {
@@ -198,7 +199,7 @@
   if (frozen()) return RunUnlessFrozen([this, id, respond] { OnCancel(id, respond); });
   const double deadline = Now() + derived_.user_deadline_s;
   TryCancel(id, deadline, [this, id, respond](jobs::JobStatus status) {
-    // Applies to every confirmation, also if another controller wrote the cancellation.
+    // Each confirmation is reported, also if another controller wrote the cancellation.
     if (status == jobs::JobStatus::kCancelled) {
       environment_.rule_checker.OnCancellationConfirmed(id, environment_.clock.now());
     }
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -227,8 +227,9 @@
   }
   if (!holder_ || !MayHold() || !holder_->OnFrame(*answer, Now())) return;
   if (answer->view_age_s >= wire::kNeverS || revision_ < answer->newest_cancellation) return;
-  // This controller has read everything that was confirmed to users before `sent_at`, less the age
-  // of the leader's own view. The factor allows for the drift of both clocks.
+  // `sent_at` less the age of the leader's view is a time on this controller's clock. This
+  // controller has read everything that was confirmed to users before that time. The factor allows
+  // for the drift of both clocks.
   const double age = answer->view_age_s * (1 + 2 * config::kMaxClockDrift);
   leadership_->OnLeaderView(sent_at - age);
 }
--- a/simulation/controller_watch.cc
+++ b/simulation/controller_watch.cc
@@ -25,8 +25,8 @@
   CallStore<SharedView>([this] { return environment_.store.Snapshot(); },
                         [this, read, sent_at, done = std::move(done)](const SharedView& view) {
                           last_store_contact_ = std::max(last_store_contact_, sent_at);
-                          // A read that began later may have been applied already. Its view
-                          // includes all that this read shows.
+                          // If a read that began later has been applied already, this read is
+                          // ignored: the later read returned all its changes.
                           if (read > newest_read_) {
                             newest_read_ = read;
                             ApplyView(*view, sent_at);
@@ -38,7 +38,8 @@
 void SimulatedController::ApplyView(const SimulatedKeyValueStore::View& view, double sent_at) {
   using Kind = election::Leadership::Step::Kind;
   const Entries& entries = view.entries;
-  // The previous process may have confirmed cancellations up to this revision to users.
+  // On the first read of a process: the previous process may have confirmed cancellations to users
+  // up to this revision.
   if (revision_ == 0) job_index_->AssumeReportedUpTo(view.revision);
   revision_ = std::max(revision_, view.revision);
   ApplyLeader(entries);
@@ -81,7 +82,8 @@
     ApplyJobChange(job_index_->OnRecord(key, &entry.value, entry.version));
   }
   job_index_->OnLoaded(jobs_revision_);
-  // A job may be accepted and end between two reads. No read then shows the job as live.
+  // A job that is accepted and ends between two reads is live in neither of them. So admission
+  // removes in-flight jobs by the revision that was read.
   admission_->controller().OnLoaded(revision_);
 }
 
