--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -72,8 +72,8 @@
   holder_->dispatcher().SetMachineTypes(environment_.types);
 }
 
-// The record that offers to hold a shard is attached to the node's store lease, so the record
-// exists only while the node renews that lease.
+// Writes the record that offers to hold a shard. The record is attached to this controller's store
+// lease, so it exists only while this controller renews that lease.
 void SimulatedController::OfferToHold(const Entries& entries) {
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
--- a/simulation/decisions.h
+++ b/simulation/decisions.h
@@ -19,7 +19,7 @@
 class Decisions {
  public:
   // A controller answered a heartbeat. `redirect_to`: the controller to which the answer redirects
-  // the machine, or empty.
+  // the machine; empty: the answer does not redirect the machine.
   void OnHeartbeatAnswered(double now, const std::string& machine, int http_status,
                            uint64_t fencing_token, const std::vector<wire::Command>& commands,
                            const std::string& redirect_to);
@@ -32,8 +32,8 @@
   void OnCommandsReceived(double now, const std::string& machine, uint64_t fencing_token,
                           uint64_t agent_epoch, const std::vector<wire::Command>& commands,
                           int http_status);
-  // The store applied a change; without a value the change removed the key. `lease`: the lease that
-  // the key is attached to; 0: none.
+  // The store applied a change. If `value` is empty, the change removed the key. `lease`: the lease
+  // that the key is attached to; 0: no lease.
   void OnStoreChange(double now, const std::string& key, const std::optional<wire::Json>& value,
                      uint64_t lease);
   // A controller requested a machine from the cloud. `machine`: the name of the new machine; empty
@@ -43,11 +43,12 @@
   // A controller requested the deletion of the machine from the cloud.
   void OnMachineReturned(double now, const std::string& machine);
 
-  // The hash of all decisions so far.
+  // Returns the hash of all decisions so far.
   size_t number() const { return number_; }
 
  private:
-  // The values are part of the hash: each decision begins with its kind and its time.
+  // The numeric values are part of the hash: the hashed data of each decision begins with its kind
+  // and its time.
   enum class Kind {
     kHeartbeatAnswered,
     kCommandsSent,
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -16,12 +16,14 @@
 constexpr double kCrashAllS = 3;
 constexpr double kSlowStoreFactor = 10;
 constexpr double kSlowLinkFactor = 150;
-constexpr size_t kAffectedMachineStride = 10;  // every tenth machine
-// An inbound cut shorter than a few agent leases is indistinguishable from a slow machine.
+constexpr size_t kAffectedMachineStride = 10;  // a fault affects every tenth machine
+// An inbound cut lasts this many times the fault's duration: a cut shorter than a few agent leases
+// is indistinguishable from a slow machine.
 constexpr double kInboundCutFactor = 6;
-constexpr double kMaxWriteDelayS = 12;  // from sending a store write to its application
+constexpr double kMaxWriteDelayS = 12;  // maximum time from sending a store write to applying it
 constexpr double kMaxDuplicateDelayLeases = 3;
-// Messages over slow links, and the messages that answer them, arrive up to this much later.
+// Maximum delay after the end of the fault of messages over slow links and of the answers to these
+// messages.
 constexpr double kLateDeliveryS = 30;
 
 // ---------------------------------------------------------------------------- affected hosts
@@ -35,7 +37,8 @@
   return zones[fault.selector % zones.size()];
 }
 
-// Returns every n-th machine. Terminated machines count too. The selector sets the offset.
+// Returns every n-th machine of all machines, including terminated ones. The selector sets the
+// offset.
 std::vector<SimulatedAgent*> EveryNthAgent(SimulatedCluster& cluster, const Fault& fault,
                                            size_t n) {
   std::vector<SimulatedAgent*> selected;
@@ -52,7 +55,7 @@
   return selected;
 }
 
-// Returns the machines of one zone, a third of all machines, or all of them.
+// Returns the machines of one zone, a third of all machines, or all machines, by the selector.
 std::vector<SimulatedAgent*> AgentsOfGroup(SimulatedCluster& cluster, const Fault& fault) {
   constexpr size_t kGroups = 3;
   std::vector<SimulatedAgent*> selected;
@@ -107,8 +110,8 @@
   constexpr uint64_t kMaxMessages = 200;
   SimulatedController& leader = cluster.Leader(fault.selector);
   cluster.RestartAfterMessages(1 + fault.selector / 500 % kMaxMessages, RestartTime(fault));
-  // In two of three cases the leader also restarts now, so that the restart after n messages
-  // happens during the election.
+  // For two of three selectors the leader also restarts now, so that the restart after n messages
+  // happens during the election that follows.
   if (fault.selector % 3 != 0) leader.Crash(RestartTime(fault));
 }
 
@@ -174,7 +177,7 @@
 }
 
 void CutAgentsInbound(SimulatedCluster& cluster, const Fault& fault) {
-  // One machine in eight; for one selector in five, every other machine.
+  // For one selector in five, every second machine is cut off; otherwise, every eighth machine.
   const size_t one_in = fault.selector % 5 == 0 ? 2 : 8;
   const double duration_s = kInboundCutFactor * fault.duration_s;
   for (const SimulatedAgent* agent : EveryNthAgent(cluster, fault, one_in)) {
@@ -204,8 +207,9 @@
   }
 }
 
-// The store, the cloud provider and the users are regional, outside all zones. For two of three
-// values of the selector the partition separates the zone's controllers from them too.
+// Partitions a zone from the other zones. The store, the cloud provider and the users are outside
+// all zones. For two of three values of the selector, the partition also separates the zone's
+// controllers from the store, the cloud provider and the users.
 void PartitionZone(SimulatedCluster& cluster, const Fault& fault) {
   SimulatedEnvironment& world = cluster.world;
   const std::string& zone = SelectedZone(cluster, fault);
@@ -313,7 +317,7 @@
   return fault.at + fault.duration_s + kMaxWriteDelayS;
 }
 
-// Answers to commands are delayed by up to an agent lease.
+// Answers to direct commands are delayed by less than an agent lease.
 double AfterLateDelivery(const Fault& fault, const config::Settings& settings) {
   return fault.at + fault.duration_s + std::max(kLateDeliveryS, settings.agent_lease_s);
 }
@@ -391,7 +395,8 @@
   Random random(seed);
   std::vector<Fault> faults;
   for (size_t i = 0; i < count; ++i) {
-    // The order of these draws must not change: a seed would stand for another schedule.
+    // The order of these draws must not change. Otherwise a seed would give another schedule than
+    // before.
     Fault fault;
     fault.kind = static_cast<Kind>(random.Below(kDrawnKinds));
     fault.at = random.Uniform(from, to);
--- a/simulation/faults.h
+++ b/simulation/faults.h
@@ -1,5 +1,5 @@
-// Fault injection for a simulated cluster. A fault schedule is drawn once from a seed, so that a
-// run can be repeated with some of the faults left out.
+// Fault injection for a simulated cluster. All faults of a schedule are drawn from a seed before
+// the day begins, so that the day can be repeated with some of the faults left out.
 #pragma once
 
 #include <cstdint>
@@ -30,29 +30,30 @@
     kLeaderReadsFail,       // the leader renews its lease but can't read the store
     kTerminateMachines,     // some machines terminate, with all tasks on them
     kHangMachines,          // some machines hang, then resume
-    kCutAgentsInbound,      // one-way: some machines send heartbeats but receive nothing
+    kCutAgentsInbound,      // one-way: some machines can send heartbeats but receive no messages
     kDuplicateHeartbeats,   // heartbeats are delivered twice, up to three leases late
     kOnlyAgentsReachable,   // a controller reaches machines and users, but not the store or its
                             // peers
     kRestartLeader,         // the leader restarts within 500 ms
     kRestartAll,            // all controllers restart within 500 ms
     kRestartAfterMessages,  // after n more messages of leaders and candidates, the sender restarts
-    kRestartMachines,       // some machines restart under their names, without their tasks
+    kRestartMachines,       // some machines restart with the same names, without their tasks
     kReplaceMachines,       // some machines terminate, and new ones take over their addresses
     kReclaimSpot,           // half of a zone's spot machines terminate without notice
-    kHalveCapacity,         // the cloud provider halves the number of machines it can provide
+    kHalveCapacity,         // the cloud provider can provide only half as many machines as before
     // The kinds below occur only in compound faults; DrawFaults() never draws them.
     kLateWrites,                 // store writes get no answer and are applied later
-    kLeaderOnlyAgentsReachable,  // as kOnlyAgentsReachable, always the leader
+    kLeaderOnlyAgentsReachable,  // like kOnlyAgentsReachable, but always affects the leader
     kRestartConfirmer,           // the controller that last confirmed a cancellation restarts
     kCutAgentsOutbound,          // one-way: heartbeats are lost, while direct commands arrive
-    kPartitionZone,              // a zone's machines and controllers are partitioned from the rest
+    kPartitionZone,              // a zone's machines and controllers are cut off from other zones
     kSlowLinks,                  // messages to and from machines take seconds
     kDelayHeartbeats,            // heartbeats are delayed, so that a later leader receives them
     kDelayAnswers,               // answers to direct commands are delayed by seconds
     kStopAll,                    // all controllers are down for the whole duration
-    kCancelNow,    // users cancel many jobs at once; with `hold`, some of the jobs' machines hang
-    kCancelAtEnd,  // users cancel jobs just as the jobs complete
+    // Users cancel many jobs at once. With `hold`, some of the machines that run these jobs hang.
+    kCancelNow,
+    kCancelAtEnd,      // users cancel jobs just as the jobs complete
     kUnusualRequests,  // users resubmit jobs, cancel completed jobs and submit invalid jobs
     kKinds
   };
@@ -60,7 +61,7 @@
   Kind kind = Kind::kCrash;
   double at = 0;  // seconds since the start of the day
   double duration_s = 0;
-  bool hold = false;      // a partition delays messages until it ends instead of dropping them
+  bool hold = false;      // a partition holds messages until its end instead of dropping them
   uint64_t selector = 0;  // pseudorandom value that selects the affected hosts
 };
 
@@ -71,7 +72,7 @@
 // by time.
 std::vector<Fault> DrawFaults(uint64_t seed, size_t count, double from, double to);
 
-// DrawFaults() draws only from this many kinds, the first ones of the enumeration.
+// The number of kinds from which DrawFaults() draws: the kinds before kLateWrites.
 inline constexpr uint64_t kDrawnKinds = static_cast<uint64_t>(Fault::Kind::kLateWrites);
 
 void SortByTime(std::vector<Fault>& faults);
--- a/simulation/main.cc
+++ b/simulation/main.cc
@@ -1,6 +1,6 @@
 // simulate SCENARIO: runs many simulated days of a cluster with several controllers, one day for
-// each seed and several days in parallel. The exit code is 0 if no rule was violated and every
-// compound fault that was played occurred at least once.
+// each seed and several days in parallel. The exit code is 0 if no rule was violated and the
+// condition of every compound fault that was injected occurred at least once.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -29,7 +29,7 @@
 using mosspath::simulation::Outcome;
 using mosspath::simulation::OverloadScenario;
 
-// The first figures identify the day and are left out of the summary.
+// The first figures of an outcome identify the day, so the summary leaves these figures out.
 constexpr size_t kIdentifyingFigures = 3;
 constexpr int kMaxSeeds = 1'000'000;
 constexpr int kMaxJobs = 256;
@@ -58,8 +58,8 @@
           }};
 }
 
-// Removes faults one by one as long as the day still violates a rule. Returns a list in which every
-// fault is needed for a violation.
+// Removes faults one by one as long as the day still violates a rule. Returns the remaining
+// faults: if any one of the remaining faults is removed, the day violates no rule.
 std::vector<Fault> MinimizeFaults(const Scenario& scenario, uint64_t seed,
                                   std::vector<Fault> faults) {
   for (size_t i = 0; i < faults.size();) {
@@ -104,7 +104,8 @@
   return outcomes;
 }
 
-// Prints the hash of the controllers' decisions for each day. Equal decisions have equal hashes.
+// Prints the hash of the controllers' decisions for each day. Days with equal decisions have equal
+// hashes.
 void PrintDecisions(uint64_t first_seed, const std::vector<Outcome>& outcomes) {
   for (size_t i = 0; i < outcomes.size(); ++i) {
     std::cout << fmt::format("seed {}: decisions {:016x}\n", first_seed + i, outcomes[i].decisions);
@@ -152,8 +153,8 @@
   return found == outcome.figures.end() ? 0 : found->value;
 }
 
-// Prints how often each compound fault occurred. Returns false if a compound fault was played but
-// never occurred.
+// Prints how often the condition of each compound fault occurred. Returns false if a compound fault
+// was injected but its condition never occurred.
 bool PrintCompoundFaults(const std::vector<Outcome>& outcomes) {
   bool all_occurred = true;
   for (uint64_t kind = 0; kind < kCompoundFaultKinds; ++kind) {
--- a/simulation/outcome.h
+++ b/simulation/outcome.h
@@ -16,7 +16,7 @@
 struct Outcome {
   std::vector<std::string> breaches;  // violated rules; empty if the day passed
   std::vector<Figure> figures;
-  size_t decisions = 0;  // a hash of all controllers' decisions
+  size_t decisions = 0;  // the hash of all controllers' decisions (decisions.h)
 };
 
 }  // namespace mosspath::simulation
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -15,7 +15,7 @@
 
 constexpr double kFloodFrom = 10;
 constexpr double kFloodTo = 90;
-constexpr double kSubmissionsUntil = 100;  // by the other teams
+constexpr double kSubmissionsUntil = 100;  // end of the submissions of the teams that do not flood
 constexpr double kEndOfDay = 420;
 constexpr size_t kMachines = 40;
 constexpr int kManyTeams = 200;
@@ -200,8 +200,10 @@
   return outcome;
 }
 
-// Tasks under way count against the free budget that a controller sees, so outdated views exceed
-// the budget by at most kPlannedFraction, a half.
+// A controller admits tasks up to its share of the free budget, which it computes from what it has
+// read of the store. If the controller has not read the newest jobs, it sees too much free budget.
+// The shares of all controllers add up to at most kPlannedFraction (a half), so the live tasks
+// exceed the budget by at most half of the budget.
 void OverloadScenario::CheckBudget(double budget) {
   if (most_live_tasks_ <= budget * (1 + admission::kPlannedFraction)) return;
   breaches_.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_tasks_, budget));
@@ -251,8 +253,9 @@
   return totals;
 }
 
-// The budget and the machines can't take the whole flood before its users stop retrying, so only
-// its accepted jobs count.
+// Checks that at least half of a group's jobs are done, if the demand of all teams is below half of
+// the machines' capacity. For the flood, only accepted jobs count:
+// the budget and the machines can't take the whole flood before its users stop retrying.
 void OverloadScenario::CheckStarvation(const Group& group, const GroupResult& result) {
   const bool floods = group.team == kFloodTeam;
   if (floods && result.accepted == 0) return;
--- a/simulation/overload.h
+++ b/simulation/overload.h
@@ -1,6 +1,6 @@
 // The overload scenario: one team submits a flood of jobs beside the regular jobs of other teams,
-// while controllers fail. The controllers' own admission and queues handle the load; users retry as
-// the API protocol prescribes.
+// while controllers fail. The controllers handle the load by their admission and their queues;
+// users retry as the API protocol prescribes.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
     kFloodsAndCancels,  // users of the flood cancel half of its jobs
     kManyTeams,         // 200 more teams with one small job each
     kOneController,     // the load balancer sends the whole flood to one controller
-    kFewWrites,         // each controller may write only one acceptance a second to the store
+    kFewWrites,         // each controller may write only one batch of acceptances a second
     kServices,          // the flood includes services, which never end and keep their machines
     kFaultyJobs,        // a third of the flood's jobs fail on every machine
     kShapes
@@ -57,12 +57,12 @@
     double from = 0;
     double to = 0;
   };
-  // What a team asks for over the day.
+  // The total work that a team submits over the day.
   struct Demand {
     double tasks = 0;
     double cpu_s = 0;
   };
-  // Outcome of a group's jobs.
+  // Counts of a group's jobs and the acceptance times of these jobs.
   struct GroupResult {
     size_t submitted = 0;
     size_t accepted = 0;
--- a/simulation/random.h
+++ b/simulation/random.h
@@ -7,7 +7,7 @@
 namespace mosspath::simulation {
 
 // Produces the same sequence for a seed on every platform. All parts of the simulation draw from
-// one sequence, so an additional draw changes everything that follows on that day.
+// one sequence, so an additional draw changes all later random values of that day.
 class Random {
  public:
   explicit Random(uint64_t seed) : engine_(seed) {}
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -12,7 +12,7 @@
 // Time limits of the users' rules, in seconds.
 constexpr double kAnsweredWithinS = 75;  // for status answers and critical replicas after faults
 constexpr double kPlacedWithinS = 90;    // for a waiting task while a machine has room for it
-constexpr double kBegunWithinS = 240;    // for the largest jobs of a class
+constexpr double kBegunWithinS = 240;    // for the first task start of a class's largest jobs
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
@@ -64,8 +64,8 @@
     AddBreach("went_back: " + id + " is reported cancelled without a request");
   }
   const bool ended = state == wire::JobState::kDone || state == wire::JobState::kCancelled;
-  // A job has one final state. A query that is sent after the user received that state must not
-  // return an earlier one.
+  // A job has one final state. After the user has received the final state, no query sent later may
+  // return a state that precedes it.
   if (job.final_state && (ended ? *job.final_state != state : sent_at >= job.final_state_at)) {
     AddBreach("went_back: " + id + " is reported in a contradictory or older state");
   }
@@ -173,7 +173,7 @@
   });
 }
 
-// Considers all tasks that must run at the same time.
+// Returns whether the job's tasks that must run at the same time fit into the zones.
 bool RuleChecker::CanEverRun(const wire::JobSpec& spec) const {
   const auto zones =
       std::count_if(settings_.zones.begin(), settings_.zones.end(),
@@ -241,7 +241,8 @@
   }
 }
 
-// All replicas of a critical service must be up again by this time, whatever the other load.
+// Reports a critical service of which replicas are missing. CheckNow() calls this kAnsweredWithinS
+// after the end of the last fault, when all replicas must be up again, whatever the other load.
 void RuleChecker::CheckReplicas(Job& job, double now) {
   const bool critical = IsService(job.spec) && job.spec.priority > wire::Priority::kHigh;
   if (!critical || !job.accepted_at || now - *job.accepted_at <= kAnsweredWithinS) return;
@@ -252,7 +253,8 @@
                         job.spec.tasks));
 }
 
-// Status queries must be answered whatever the state of this job and of other jobs.
+// Reports an accepted job whose status queries are not answered. Such queries must be answered
+// whatever the state of this job and of other jobs.
 void RuleChecker::CheckForgotten(Job& job, double now) {
   if (!job.accepted_at || job.cancellation_requested || job.reported_forgotten) return;
   const double since = std::max({job.last_answered_at, *job.accepted_at, faults_until_});
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -15,8 +15,8 @@
 namespace mosspath::simulation {
 
 // Receives the events on machines and the answers to users, and records every breach of a rule as a
-// message that begins with the rule's name. It is independent of the controllers' state. All times
-// are simulated seconds; events must be reported in order of time. Not thread-safe.
+// message that begins with the rule's name. The checker does not read the controllers' state. All
+// times are simulated seconds; events must be reported in order of time. Not thread-safe.
 class RuleChecker {
  public:
   RuleChecker(const config::Settings& settings, const std::vector<wire::MachineType>& types)
@@ -31,13 +31,13 @@
   // The user receives the acceptance of the job. From now on the controllers must never lose the
   // job.
   void OnAccepted(const std::string& id, double now);
-  // A submission of the job is refused permanently; for an accepted job this is a breach.
+  // A submission of the job is refused permanently. The refusal of an accepted job is a breach.
   void OnRefused(const std::string& id);
   // The user receives the answer to a status query or cancellation that was sent at `sent_at`.
   void OnStatusAnswered(const std::string& id, int http_status, wire::JobState state,
                         double sent_at, double now);
   void OnCancellationRequested(const std::string& id) { jobs_[id].cancellation_requested = true; }
-  // The cancellation or the completion of the job is durable and confirmed.
+  // The cancellation of the job, or its completion, is durable and confirmed.
   void OnCancellationConfirmed(const std::string& id, double now);
   void OnCompletionConfirmed(const std::string& id);
 
@@ -45,7 +45,7 @@
 
   void OnTaskStarted(const wire::TaskId& task, const std::string& machine, const std::string& type,
                      const std::string& zone, bool spot, double now);
-  // The task no longer runs on that machine, for any reason.
+  // The task no longer runs on that machine, whatever the reason.
   void OnTaskLeft(const wire::TaskId& task, const std::string& machine);
   // Returns whether this completion is the last one of the task's job.
   bool OnTaskCompleted(const wire::TaskId& task);
@@ -55,8 +55,8 @@
   // A job with tasks to start.
   struct WaitingJob {
     const wire::JobSpec* spec = nullptr;  // valid until the next call of a non-const member
-    std::map<std::string, size_t> running_by_zone;  // number of the job's running tasks
-    bool team_has_room = true;                      // one more task stays within the team's quota
+    std::map<std::string, size_t> running_by_zone;  // number of the job's running tasks by zone
+    bool team_has_room = true;                      // the team's quota allows one more task
   };
   // Returns the accepted, live jobs with tasks that are neither completed nor running.
   std::vector<WaitingJob> WaitingJobs() const;
@@ -67,13 +67,13 @@
 
   // --- Time ---
 
-  // A fault lasts until that time. The liveness rules apply after the end of the last fault.
+  // A fault lasts until the time `until`. The liveness rules apply after the end of the last fault.
   void OnFaultUntil(double until) { faults_until_ = std::max(faults_until_, until); }
   double faults_until() const { return faults_until_; }
   // Checks the rules that the passing of time can break. Must be called at short intervals.
   void CheckNow(double now);
-  // At the end of the day, reports teams and classes of which less than half of the jobs were
-  // served, and large jobs that started too late. `capacity_cpus` is the total of all machines.
+  // At the end of the day, reports teams and classes with fewer than half of their jobs served, and
+  // large jobs that started too late. `capacity_cpus` is the number of CPUs of all machines.
   void CheckEndOfDay(double capacity_cpus);
 
   // --- Results ---
@@ -118,7 +118,9 @@
     bool reported_waiting = false;
     std::optional<wire::JobState> final_state;  // the first one that the user received
     double final_state_at = 0;
-    std::map<std::string, double> room_since;  // by machine with room; start of that state
+    // For each machine that has room for one more task of the job: the time since which it has
+    // room.
+    std::map<std::string, double> room_since;
     double last_start_at = 0;
   };
   // Counts of a group of jobs.
@@ -137,7 +139,7 @@
   void CheckQuota(const wire::JobSpec& spec, const std::string& task_name);
   void CheckReplicas(Job& job, double now);
   void CheckForgotten(Job& job, double now);
-  // Checks the tenth of a class's jobs that have the most tasks.
+  // Checks the largest jobs of a class: the tenth of the class's jobs with the most tasks.
   void CheckLargest(const std::string& job_class, std::vector<const Job*> jobs,
                     double capacity_cpus, ServedCount& count);
 
--- a/simulation/simulated_agent.cc
+++ b/simulation/simulated_agent.cc
@@ -12,18 +12,19 @@
 using wire::TaskState;
 
 constexpr double kMaxFirstHeartbeatDelayS = 0.5;
-constexpr double kHeartbeatSpread = 0.25;  // relative deviation of the interval
+constexpr double kHeartbeatSpread = 0.25;  // maximum relative deviation from the interval
 constexpr double kMinHeartbeatGapS = 0.5;
-constexpr double kJustSentS = 0.499;  // no other heartbeat is sent within this time after one
+// A heartbeat that is due within this time after another heartbeat is not sent.
+constexpr double kJustSentS = 0.499;
 constexpr double kMinLeaseCheckS = 0.001;
 constexpr double kAnswerTimeoutS = 4;
 constexpr double kNextControllerDelayS = 1;
 constexpr double kRedirectDelayS = 0.1;
 constexpr double kMinDuplicateDelayS = 0.5;
 constexpr double kMaxDuplicateDelayLeases = 3;
-constexpr double kMaxResumeDelayS = 0.01;  // after a hang
+constexpr double kMaxResumeDelayS = 0.01;  // maximum delay of held actions after a hang
 constexpr double kFailedRunS = 0.2;
-constexpr double kRunTimeSpread = 0.5;  // relative deviation from the estimate
+constexpr double kRunTimeSpread = 0.5;  // maximum relative deviation from the estimate
 constexpr double kCpuTolerance = 1e-6;  // rounding tolerance for sums of CPUs
 
 }  // namespace
@@ -149,8 +150,8 @@
   if (new_leader) SendHeartbeatSoon();
 }
 
-// Returns false if the controller is unknown or is the one that has just answered. Otherwise the
-// next heartbeat goes to that controller.
+// Sends the next heartbeat to `controller` and returns true. Returns false if that controller is
+// unknown or is the controller that has just answered.
 bool SimulatedAgent::FollowRedirect(const std::string& controller) {
   const auto& nodes = environment_.nodes;
   const auto found = std::find(nodes.begin(), nodes.end(), controller);
@@ -259,7 +260,8 @@
   });
 }
 
-// A task that has completed before finds its results and ends immediately.
+// Returns the run time of an attempt. If the task has completed in an earlier attempt, the new
+// attempt finds the results and ends immediately.
 double SimulatedAgent::DrawRunTime(const wire::TaskId& task, const wire::JobSpec& spec) {
   if (environment_.completed_at.contains(task)) return 0;
   const auto fixed = environment_.run_times_s.find(task);
--- a/simulation/simulated_agent.h
+++ b/simulation/simulated_agent.h
@@ -64,23 +64,24 @@
   // tasks are processed afterwards.
   void Hang(double duration_s);
   bool hung() const;
-  // A one-way partition: heartbeats are lost for the given time and so get no answer. Direct
-  // commands still arrive, and so do their answers.
+  // Starts a one-way partition: for the given time, heartbeats are lost and get no answer. Direct
+  // commands still reach the machine, and the answers to direct commands still reach the
+  // controller.
   void CutOutbound(double duration_s);
   bool outbound_cut() const;
   // Restarts the machine under its name, without tasks and cached images. The agent continues with
   // its next epoch, or starts over with the first epoch, as a new machine does.
   void Restart(bool next_epoch);
-  // Every task of a batch job that runs on this machine fails.
+  // If true, every task of a batch job that runs on this machine fails.
   bool fails_all_tasks = false;
 
   // --- State ---
 
   // Runs the action now, or shortly after the end of the hang.
   void RunUnlessHung(std::function<void()> action);
-  // Returns whether the machine existed at that time.
+  // Returns whether the machine existed at the time `then`.
   bool ExistedAt(double then) const;
-  // The CPUs of all tasks that have not exited.
+  // Returns the CPUs of all tasks that have not exited.
   double used_cpus() const;
   size_t running_tasks() const;
   bool RunsJob(const std::string& job) const;
@@ -94,8 +95,8 @@
   struct Attempt {
     wire::TaskState state = wire::TaskState::kFetching;
     wire::ExitReason exit_reason = wire::ExitReason::kNone;
-    bool reported_running = false;  // to the rule checker
-    uint64_t timer = 0;             // the current timer; earlier timers are ignored
+    bool reported_running = false;  // whether the start was reported to the rule checker
+    uint64_t timer = 0;             // number of the current timer; earlier timers are ignored
   };
   // One request that sends a heartbeat to a controller.
   struct HeartbeatAttempt {
@@ -121,12 +122,13 @@
 
   void Execute(const std::vector<wire::Command>& commands);
   void Start(const AttemptId& id);
-  // Returns why the attempt can't start; nothing if it can.
+  // Returns the reason for which the attempt can't start; nothing if the attempt can start.
   std::optional<wire::ExitReason> FindRefusal(const AttemptId& id) const;
   void BeginRun(const AttemptId& id);
   void EndRun(const AttemptId& id, bool failed);
   double DrawRunTime(const wire::TaskId& task, const wire::JobSpec& spec);
-  // Returns the attempt if it is still in that state and `timer` is its current timer; else null.
+  // Returns the attempt if it is in the state `state` and `timer` is its current timer; otherwise
+  // null.
   Attempt* FindForTimer(const AttemptId& id, uint64_t timer, wire::TaskState state);
   void Exit(const AttemptId& id, wire::ExitReason reason);
   void CheckLease();
--- a/simulation/simulated_environment.cc
+++ b/simulation/simulated_environment.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr size_t kNameDigits = 6;
-// Bounds of a machine's boot time, as multiples of its type's boot time.
+// Bounds of a machine's boot time, as multiples of the boot time of the machine's type.
 constexpr double kMinBootFactor = 0.6;
 constexpr double kMaxBootFactor = 1.5;
 
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -38,7 +38,7 @@
 
   using HeartbeatResponder = std::function<void(const HeartbeatReply&)>;
   // Handles an encoded message at a controller. Returns the encoded answer; nothing if the
-  // controller does not answer, as while it is down.
+  // controller does not answer, for instance while it is down.
   using MessageHandler = std::function<std::optional<std::string>(const std::string&)>;
   using ShardFrameHandler =
       std::function<std::optional<wire::ShardFrame>(const std::string& encoded)>;
@@ -62,7 +62,8 @@
   // Returns the name of a new machine that is up after its boot time; empty: no capacity.
   std::string RentMachine(const std::string& type, const std::string& zone, bool spot);
   void DeleteMachine(const std::string& id);
-  // Returns the list of machines with the cloud's lag: as of machine_list_lag_s ago.
+  // Returns the list of the machines that existed machine_list_lag_s ago, since the cloud's list
+  // lags by that time.
   std::vector<wire::ListedMachine> ListMachines() const;
   // Returns the machine that is up at the address now; null if there is none.
   SimulatedAgent* FindByAddress(const std::string& address);
@@ -74,13 +75,14 @@
 
   // --- Faults, each active until a simulated time ---
 
-  // Each heartbeat is delivered a second time later, to a random controller.
+  // Until this time, each heartbeat is delivered a second time, later and to a random controller.
   double duplicate_heartbeats_until = 0;
-  // This share of the store changes gets no answer and is applied seconds later, possibly after
-  // newer changes, and even if the controller that sent the change has crashed meanwhile.
+  // Until late_writes_until, the share late_writes_share of the store changes gets no answer. Such
+  // a change is applied seconds later, possibly after newer changes, and even if the controller
+  // that sent the change has crashed meanwhile.
   double late_writes_until = 0;
   double late_writes_share = 0;
-  // Answers to direct commands are delayed by seconds.
+  // Until this time, answers to direct commands are delayed by seconds.
   double delayed_answers_until = 0;
 
   // --- Observations, with which a scenario checks that its fault condition occurred ---
@@ -89,8 +91,8 @@
     size_t late_writes = 0;            // store changes applied late
     size_t outdated_duplicates = 0;    // duplicates of heartbeats with an earlier epoch or token
     size_t late_commands = 0;          // command batches that arrived seconds after they were sent
-    size_t outbound_cut_commands = 0;  // batches executed while heartbeats are cut off
-    size_t late_answers = 0;           // to commands, after a newer heartbeat was accepted
+    size_t outbound_cut_commands = 0;  // batches that a machine with lost heartbeats executed
+    size_t late_answers = 0;           // command answers that arrived after a newer heartbeat
     std::vector<double> elections;     // times at which a controller was elected
     std::string last_confirmer;        // the controller that last confirmed a cancellation
   };
@@ -113,7 +115,7 @@
   RuleChecker rule_checker;
   std::map<std::string, wire::JobSpec> specs;  // all submitted jobs
   std::set<std::string> faulty_jobs;           // jobs whose tasks fail on every machine
-  std::map<wire::TaskId, double> run_times_s;  // replaces the random run time
+  std::map<wire::TaskId, double> run_times_s;  // preset run times, instead of random run times
   std::map<std::string, std::unique_ptr<SimulatedAgent>> agents;  // terminated agents are kept
   std::vector<std::string> nodes;                                 // names of the controllers
 
--- a/simulation/simulated_key_value_store.h
+++ b/simulation/simulated_key_value_store.h
@@ -22,10 +22,10 @@
  public:
   struct Entry {
     wire::Json value;
-    uint64_t version = 0;  // the revision of the change that wrote it
-    uint64_t lease = 0;    // the entry is removed with this lease; 0: no lease
+    uint64_t version = 0;  // the revision of the change that wrote the value
+    uint64_t lease = 0;    // the store removes the entry with this lease; 0: no lease
   };
-  // Requires that the key has this version; 0: that the key is absent.
+  // Requires that the key has the version `version`. Version 0 requires that the key is absent.
   struct Condition {
     std::string key;
     uint64_t version = 0;
@@ -35,7 +35,7 @@
     std::string key;
     std::optional<wire::Json> value;
   };
-  // All entries as of a revision.
+  // All entries at one revision.
   struct View {
     std::map<std::string, Entry> entries;
     uint64_t revision = 0;
@@ -46,15 +46,15 @@
       : clock_(clock), decisions_(decisions) {}
 
   bool up() const { return clock_.now() >= down_until_; }
-  // Makes the store unavailable. No lease expires during an outage, and the full lifetime of each
-  // lease begins anew at its end.
+  // Makes the store unavailable. No lease expires during an outage. At the end of the outage, the
+  // full lifetime of each lease begins again.
   void Outage(double duration_s);
 
   uint64_t GrantLease(double life_s);
   // Returns false if the lease has expired.
   bool RenewLease(uint64_t lease);
-  // Removes the lease and its entries. An unknown lease is ignored. During an outage the lease is
-  // removed later, once it has expired.
+  // Removes the lease and its entries. An unknown lease is ignored. During an outage, the
+  // lease is removed only when the outage ends.
   void RevokeLease(uint64_t lease);
 
   // Applies all changes atomically if all conditions hold and the lease, unless it is 0, exists.
@@ -63,7 +63,7 @@
                   uint64_t lease = 0);
 
   const std::map<std::string, Entry>& entries();
-  // Returns all current entries. Calls between two changes share one copy.
+  // Returns a copy of all current entries. All calls between two changes return the same copy.
   std::shared_ptr<const View> Snapshot();
   // Returns the version of the key; 0 if the key is absent.
   uint64_t VersionOf(const std::string& key);
--- a/simulation/simulated_network.cc
+++ b/simulation/simulated_network.cc
@@ -7,11 +7,12 @@
 
 constexpr double kMinDelayS = 0.001;
 constexpr double kMaxDelayS = 0.02;
-// One message in this many is lost and retransmitted, which adds a delay within these bounds.
+// On average, one in kRetransmittedOneIn messages is lost and retransmitted. The retransmission
+// adds a delay within these bounds.
 constexpr uint64_t kRetransmittedOneIn = 200;
 constexpr double kMinRetransmissionS = 0.2;
 constexpr double kMaxRetransmissionS = 3;
-constexpr double kMaxSlowDelayS = 30;  // to or from a slow host
+constexpr double kMaxSlowDelayS = 30;  // maximum delay of a message to or from a slow host
 
 }  // namespace
 
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -34,7 +34,7 @@
   // Multiplies the delay of messages to and from the host by `factor`, up to a maximum delay.
   void Slow(const std::string& host, double factor, double duration_s);
 
-  // Called with the sender's name for each message, also for one that a cut drops.
+  // Called with the sender's name for each message, also for a message that a cut drops.
   std::function<void(const std::string& from)> on_sent;
 
  private:
--- a/simulation/store_keys.h
+++ b/simulation/store_keys.h
@@ -12,7 +12,7 @@
 inline const std::string kProgressPrefix = "progress/";  // packed progress of tasks
 inline const std::string kMachinesPrefix = "machines/";  // packed machine records
 inline const std::string kShardPrefix = "block/";        // shard leases, by holder
-inline const std::string kOfferPrefix = "holder/";       // offers to hold a shard, by node
+inline const std::string kOfferPrefix = "holder/";       // offers to hold a shard, by controller
 
 // Returns the pack number in the key of a packed record.
 inline int PackOf(const std::string& key) { return std::stoi(key.substr(key.find('/') + 1)); }
--- a/simulation/users.cc
+++ b/simulation/users.cc
@@ -7,10 +7,10 @@
 namespace mosspath::simulation {
 namespace {
 
-constexpr double kGiveUpAfterS = 60;   // from the first submission attempt
+constexpr double kGiveUpAfterS = 60;   // time since the first submission attempt
 constexpr double kAnswerTimeoutS = 5;  // for submissions and cancellations
 constexpr double kStatusTimeoutS = 2;
-constexpr double kRetryAfterS = 1;  // minimum retry delay; an answer may ask for a longer one
+constexpr double kRetryAfterS = 1;  // minimum retry delay; an answer may request a longer delay
 constexpr double kPollIntervalS = 5;
 constexpr double kPollSpread = 0.1;  // maximum relative deviation from the interval
 constexpr size_t kConnectAttempts = 3;
--- a/simulation/users.h
+++ b/simulation/users.h
@@ -22,7 +22,7 @@
   std::optional<double> accepted_at;  // when the user received the acceptance
   bool gave_up = false;               // the submission was not accepted within 60 s
   bool cancelled = false;             // the user has started to send cancellations
-  size_t balancer_position = 0;       // round-robin position of the last connection
+  size_t balancer_position = 0;  // the load balancer's round-robin position at the last connection
 };
 
 // All users of a simulated day. Member functions identify a user by its index in all().
@@ -36,7 +36,7 @@
   SimulatedUser& Add(SimulatedUser user);
   // Schedules the first submission attempt of every user.
   void Begin();
-  // Selects the users whose connections all go to the first controller.
+  // Returns whether all connections of the user go to the first controller.
   std::function<bool(const SimulatedUser&)> pinned = [](const SimulatedUser&) { return false; };
 
   // --- During the day ---
@@ -52,7 +52,7 @@
   void SubmitAgain(size_t user);
   // Sends one status query for the job.
   void QueryStatus(size_t user);
-  // Cancels a completed job, which must stay done.
+  // Sends a cancellation of a completed job. The job must stay done.
   void CancelDone(size_t user) { SendCancellation(user); }
   // Submits a job that can never run. An acceptance breaks a rule.
   void SubmitInvalid(const wire::JobSpec& spec);
