--- a/include/mosspath/config/operator_settings.h
+++ b/include/mosspath/config/operator_settings.h
@@ -1,6 +1,5 @@
-// Settings that operators may change while the service runs. The administration API is the only way
-// to change these settings. The durations in boot times are multiples of a machine type's boot
-// time.
+// Settings that operators may change while the service runs, only through the administration API.
+// Durations in boot times are multiples of the boot time of a machine type.
 #pragma once
 
 #include <map>
--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -98,7 +98,7 @@
   double agent_lease_over_s;    // an agent that got no answer for this long has stopped its tasks
   double probe_answer_s;        // timeout of a new leader's probe of an agent
   double agents_find_leader_s;  // nearly all agents reach a new leader this soon after a failover
-  double agents_try_all_s;      // an agent has tried all controllers within this time
+  double agents_try_all_s;      // an agent without an answer tries all controllers in this time
   double max_view_age_s;        // no leader or holder acts on a view of the jobs older than this
   double shard_hold_s;     // a holder may command machines this long after its shard lease ended
   double agent_suspect_s;  // an agent without contact for this long is presumed unreachable
--- a/include/mosspath/net/http_client.h
+++ b/include/mosspath/net/http_client.h
@@ -34,7 +34,8 @@
     ConnectionClass connection_class = ConnectionClass::kOutbound;
   };
   using Callback = std::function<void(HttpResult)>;
-  // Called right before a request is written. If it returns false, the request fails unsent.
+  // Called right before a request is written. If the function returns false, the request fails
+  // and is not sent.
   using StillWanted = std::function<bool()>;
 
   HttpClient(asio::io_context& io, const std::string& address, Options options);
--- a/include/mosspath/net/rate_limit.h
+++ b/include/mosspath/net/rate_limit.h
@@ -5,8 +5,8 @@
 
 namespace mosspath::net {
 
-// A token bucket that starts full, with `burst` tokens. Taking more than
-// `burst` tokens requires a full bucket and leaves a negative number of tokens in the bucket.
+// A token bucket that starts full, with `burst` tokens. Taking more than `burst` tokens requires a
+// full bucket and leaves a negative number of tokens in the bucket.
 class TokenBucket {
  public:
   TokenBucket(double per_second, double burst)
--- a/include/mosspath/net/socket_budget.h
+++ b/include/mosspath/net/socket_budget.h
@@ -5,7 +5,7 @@
 // Sockets are the first resource to run out as the number of machines grows. Without limits by
 // class, agents' connections took all sockets, and none were left for users, probes and the
 // requests to the state service. A leader then kept renewing its store lease over its open
-// connection, but received no updates.
+// connection, but received no updates from the state service.
 #pragma once
 
 #include <array>
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -45,9 +45,10 @@
   std::string node;
   std::string zone;
   bool is_leader = false;
-  double heard_ago_s = kNeverS;          // since any controller last received this one's heartbeat
+  // Seconds since any controller last received a heartbeat of this controller.
+  double heard_ago_s = kNeverS;
   std::string heard_by;                  // the controller that received that heartbeat
-  std::vector<std::string> unreachable;  // peers and outside systems that this one can't reach
+  std::vector<std::string> unreachable;  // peers and outside systems it can't reach
 };
 
 std::string Encode(const PeerHeartbeat& p);
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -20,12 +20,13 @@
     // The machine `name` is handed over to the shard. These tasks of `job` may be running on that
     // machine.
     kHandOverTasks = 2,
-    kCompletionsDurable = 3,  // the completions of these tasks are durable
-    kStopTasks = 4,      // the holder stops these tasks, which are done or run outside the shard
+    kCompletionsDurable = 3,  // the completions of these tasks of the job `name` are durable
+    // The holder stops these tasks of the job `name`, which are done or run outside the shard.
+    kStopTasks = 4,
     kRecallMachine = 5,  // the holder returns the machine `name` once no task runs there
-    // Sets the draining state of the machine `name`, by `count`. 0: the machine accepts tasks. 1:
-    // it
-    // drains and accepts no tasks. 2: it is cordoned and accepts only urgent tasks.
+    // Sets the draining state of the machine `name`, by `count`. 0: the machine accepts tasks.
+    // 1: the machine drains and accepts no tasks. 2: the machine is cordoned and accepts only
+    // urgent tasks.
     kSetDraining = 6,
     kMachineDeleted = 7,  // the machine `name` no longer exists
     // From the holder.
@@ -36,16 +37,15 @@
     // These tasks of the job `name` have completed. The holder measured the run times of `count` of
     // these tasks; the sum of these run times is `seconds`.
     kTasksDone = 22,
-    // The holder no longer has these tasks of the job `name`, and none of its machines can run
-    // them.
+    // The holder no longer has these tasks of the job `name`, and none of its machines can still be
+    // running these tasks.
     kReturnTasks = 23,
     kMachineStatus = 24,  // the state of the machine `name`
     // The machine `name` is empty or lost, and the holder sends it no more commands. `count`: twice
     // the revision at which the machine was handed over, plus 1 if the machine was lost.
     kMachineReturned = 25,
     // The load of the shard. `seconds` holds the CPUs that the shard's pending tasks request.
-    // `count`:
-    // the number of the last batch of delegated tasks that is included.
+    // `count` is the number of the last batch of delegated tasks that this load includes.
     kLoad = 26,
     kCrashLoop = 27,  // the job `name` fails on every machine; `count`: its retries
   };
--- a/include/mosspath/wire/status_snapshot.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -95,9 +95,9 @@
     std::string team;
     std::string job_class;
     uint64_t requested = 0;  // jobs submitted since the process started
-    uint64_t refused = 0;    // the submitted jobs that admission refused
+    uint64_t refused = 0;    // the submitted jobs refused at a limit of admission
   };
-  // The controller's view is what it has read of the state service.
+  // The controller's view is what the controller has read of the state service.
   double budget = 0;     // the maximum number of tasks of all live jobs together
   double live = 0;       // number of tasks of the live jobs in the controller's view
   double in_flight = 0;  // number of tasks that this controller accepted and has not read back yet
--- a/simulation/compound_fault_scenario.cc
+++ b/simulation/compound_fault_scenario.cc
@@ -61,8 +61,8 @@
   return extra_users_.Add(std::move(user));
 }
 
-// Adds jobs of long tasks whose users cancel them from 1 s before the first fault to 1.5 leases
-// after it.
+// Adds jobs of long tasks. The users cancel these jobs at times from 1 s before the first fault to
+// 1.5 agent leases after the first fault.
 void CompoundFaultScenario::AddCancelledJobs() {
   constexpr uint64_t kJobs = 14;
   const double lease_s = world.settings.agent_lease_s;
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -106,8 +106,8 @@
 
 void SimulatedController::RunUnlessFrozen(std::function<void()> action) {
   if (frozen()) {
-    // Messages and timers of the frozen time are all handled right after the process resumes, in
-    // random order.
+    // Messages that arrive and timers that expire during the freeze are handled right after the
+    // process resumes, in random order.
     const double resumes_at = frozen_until_ + environment_.random.Uniform(0, kMaxResumeDelayS);
     environment_.clock.At(resumes_at, [this, process = process_, action = std::move(action)] {
       if (IsProcess(process)) RunUnlessFrozen(action);
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -83,8 +83,8 @@
   // Makes reads from the store fail while the store lease is still renewed. This happens to a
   // controller that has no socket left for reads.
   void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
-  // The controller does not resign because of a stale view. This simulates the backoff that follows
-  // a resignation without success.
+  // If true, the controller does not resign when what it has read of the store is outdated. This
+  // simulates the backoff that follows a resignation without success.
   bool never_resigns = false;
   // Sets how often per second the controller may write a batch of acceptances.
   void SetAcceptanceRate(double changes_per_s) { acceptance_rate_ = changes_per_s; }
--- a/simulation/controller_election.cc
+++ b/simulation/controller_election.cc
@@ -107,8 +107,8 @@
 void SimulatedController::OnElected(const Entries& entries) {
   environment_.observed.elections.push_back(environment_.clock.now());
   admission_->OnElected(token(), Now());
-  // A leader holds no shard. It queries the machines of its former shard for their tasks, like all
-  // other inherited machines.
+  // A leader holds no shard. As the new leader, this controller queries the machines of its former
+  // shard for their tasks, like all other inherited machines.
   holder_.reset();
   shard_leases_.reset();
   scheduler_ = std::make_unique<scheduler::Scheduler>(settings_, derived_, token(), Now());
--- a/simulation/controller_jobs.cc
+++ b/simulation/controller_jobs.cc
@@ -76,8 +76,8 @@
   if (!alive_) return;
   After(1 / acceptance_rate_, [this] { AcceptanceLoop(); });
   DropOverdue();
-  // The limit of service/job_submitter: a store transaction may have four times as many conditions
-  // as changes. Each job takes two conditions, and the batch record takes one.
+  // Limits the batch as service/job_submitter does: a store transaction may have four times as many
+  // conditions as changes. Each job takes two conditions, and the batch record takes one.
   const auto max_batch_size =
       static_cast<size_t>((4 * settings_.store_transaction_changes - 1) / 2);
   std::vector<PendingJob> batch;
--- a/simulation/simulated_agent.h
+++ b/simulation/simulated_agent.h
@@ -60,8 +60,8 @@
 
   // Terminates the machine and all its tasks permanently.
   void Terminate();
-  // Suspends the machine for the given time. Messages that arrive meanwhile and completions of
-  // tasks are processed afterwards.
+  // Suspends the machine for the given time. Messages that arrive and tasks that complete
+  // during the hang are processed afterwards.
   void Hang(double duration_s);
   bool hung() const;
   // Starts a one-way partition: for the given time, heartbeats are lost and get no answer. Direct
--- a/src/cli/cli.cc
+++ b/src/cli/cli.cc
@@ -140,8 +140,8 @@
       json, FormatSettings);
 }
 
-// The arguments of all subcommands. Arguments that the command line does not set
-// keep their defaults.
+// The arguments of all subcommands. Arguments that the command line does not set keep their
+// defaults.
 struct Arguments {
   std::string settings_file;
   bool check_only = false;
--- a/src/wire/read_heartbeat.cc
+++ b/src/wire/read_heartbeat.cc
@@ -1,6 +1,6 @@
 // Fast parsing of agent heartbeats. A controller receives hundreds of heartbeats per second, with
-// dozens of tasks each, so this parser builds no Json document. The parser makes the
-// same checks as ParseHeartbeat.
+// dozens of tasks each, so this parser builds no Json document. The parser makes the same checks as
+// ParseHeartbeat.
 #include <simdjson.h>
 
 #include "mosspath/wire/json.h"
