--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -254,8 +254,8 @@
 }
 
 // Checks that at least half of a group's jobs are done, if the demand of all teams is below half of
-// the machines' capacity. For the flood, only accepted jobs count:
-// the budget and the machines can't take the whole flood before its users stop retrying.
+// the machines' capacity. For the flood, only accepted jobs count: the budget and the machines
+// can't take the whole flood before its users stop retrying.
 void OverloadScenario::CheckStarvation(const Group& group, const GroupResult& result) {
   const bool floods = group.team == kFloodTeam;
   if (floods && result.accepted == 0) return;
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -10,9 +10,11 @@
 namespace {
 
 // Time limits of the users' rules, in seconds.
-constexpr double kAnsweredWithinS = 75;  // for status answers and critical replicas after faults
-constexpr double kPlacedWithinS = 90;    // for a waiting task while a machine has room for it
-constexpr double kBegunWithinS = 240;    // for the first task start of a class's largest jobs
+// After the last fault, status queries are answered and critical services are whole within this
+// time.
+constexpr double kAnsweredWithinS = 75;
+constexpr double kPlacedWithinS = 90;  // for a waiting task while a machine has room for it
+constexpr double kBegunWithinS = 240;  // for the first task start of a class's largest jobs
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
