--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -7,9 +7,10 @@
 namespace mosspath::simulation {
 namespace {
 
-// The last contact with the store, for a process that has not reached the store yet.
+// The time of the last contact with the store, for a process that has not reached the store yet.
 constexpr double kNeverContacted = -1e18;
-constexpr double kMaxResumeDelayS = 0.02;  // after a freeze
+// Maximum delay with which held messages and timers are handled after a freeze.
+constexpr double kMaxResumeDelayS = 0.02;
 constexpr jobs::JobIndex::Limits kJobIndexLimits{.finals = 100'000, .cancellations = 600};
 
 }  // namespace
@@ -60,7 +61,7 @@
   PromiseLoop();
 }
 
-// A process keeps nothing in memory across a restart.
+// Discards the state in memory: a new process has nothing in memory of the previous process.
 void SimulatedController::ResetState() {
   leadership_ = std::make_unique<election::Leadership>(settings_, derived_, Now());
   failure_detector_ = std::make_unique<election::FailureDetector>(settings_);
@@ -105,8 +106,8 @@
 
 void SimulatedController::RunUnlessFrozen(std::function<void()> action) {
   if (frozen()) {
-    // Messages and timers of the frozen time are all handled right after the process resumes, in
-    // random order.
+    // Messages that arrive and timers that expire during the freeze are handled right after the
+    // process resumes, in random order.
     const double resumes_at = frozen_until_ + environment_.random.Uniform(0, kMaxResumeDelayS);
     environment_.clock.At(resumes_at, [this, process = process_, action = std::move(action)] {
       if (IsProcess(process)) RunUnlessFrozen(action);
--- a/simulation/controller_election.cc
+++ b/simulation/controller_election.cc
@@ -48,8 +48,8 @@
 std::optional<std::string> SimulatedController::OnPromiseRequest(const std::string& text) {
   if (!alive_) return std::nullopt;
   if (!frozen()) return AnswerPromiseRequest(text);
-  // The request is handled when the process resumes. The promise then takes effect, but the answer
-  // would come too late and is not sent.
+  // This process is frozen, so it handles the request when it resumes. Its promise takes effect
+  // then, but its answer would arrive too late and is not sent.
   RunUnlessFrozen([this, text] { AnswerPromiseRequest(text); });
   return std::nullopt;
 }
@@ -107,8 +107,8 @@
 void SimulatedController::OnElected(const Entries& entries) {
   environment_.observed.elections.push_back(environment_.clock.now());
   admission_->OnElected(token(), Now());
-  // A leader holds no shard. It queries the machines of its former shard for their tasks, like all
-  // other inherited machines.
+  // A leader holds no shard. As the new leader, this controller queries the machines of its former
+  // shard for their tasks, like all other inherited machines.
   holder_.reset();
   shard_leases_.reset();
   scheduler_ = std::make_unique<scheduler::Scheduler>(settings_, derived_, token(), Now());
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -72,8 +72,8 @@
   holder_->dispatcher().SetMachineTypes(environment_.types);
 }
 
-// The record that offers to hold a shard is attached to the node's store lease, so the record
-// exists only while the node renews that lease.
+// Writes the record that offers to hold a shard. The record is attached to this controller's store
+// lease, so it exists only while this controller renews that lease.
 void SimulatedController::OfferToHold(const Entries& entries) {
   const std::string key = kOfferPrefix + name_;
   const auto offer = entries.find(key);
@@ -227,8 +227,9 @@
   }
   if (!holder_ || !MayHold() || !holder_->OnFrame(*answer, Now())) return;
   if (answer->view_age_s >= wire::kNeverS || revision_ < answer->newest_cancellation) return;
-  // This controller has read everything that was confirmed to users before `sent_at`, less the age
-  // of the leader's own view. The factor allows for the drift of both clocks.
+  // `sent_at` less the age of the leader's view is a time on this controller's clock. This
+  // controller has read everything that was confirmed to users before that time. The factor allows
+  // for the drift of both clocks.
   const double age = answer->view_age_s * (1 + 2 * config::kMaxClockDrift);
   leadership_->OnLeaderView(sent_at - age);
 }
