--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -1,4 +1,5 @@
-// The admission controller compared with a slow reference model, and under floods of one team.
+// Tests of the admission controller: its decisions equal those of a slow reference model, and a
+// flood of jobs from one team leaves budget to the other teams.
 #include "mosspath/admission/admission_controller.h"
 
 #include <gtest/gtest.h>
@@ -100,8 +101,9 @@
   }
 }
 
-// The views of controllers lag. With the shares of all controllers limited to kPlannedFraction in
-// all, the accepted tasks exceed the budget by at most that fraction, plus one job per controller.
+// Each controller has a view, which shows the jobs that other controllers accepted only after a
+// delay. The admission shares of all controllers sum to kPlannedFraction. The accepted tasks
+// therefore exceed the budget by at most that fraction of the budget, plus one job per controller.
 RC_GTEST_PROP(AdmissionControllerTest, LaggingViewsExceedTheBudgetByTheirShareAtMost, ()) {
   constexpr double kBudget = 1000;
   const size_t count = static_cast<size_t>(*rc::gen::inRange(1, 6));
@@ -112,7 +114,8 @@
   const int steps = *rc::gen::inRange(1, 200);
   for (int i = 0; i < steps; ++i) {
     const auto which = static_cast<size_t>(*rc::gen::inRange<int>(0, static_cast<int>(count)));
-    if (*rc::gen::inRange(0, 3) == 0) {  // the view receives some events
+    if (*rc::gen::inRange(0, 3) ==
+        0) {  // The controller's view receives some of the accepted jobs.
       for (int k = *rc::gen::inRange(0, 10); k > 0 && !unseen[which].empty(); --k) {
         controllers[which].OnAccepted(unseen[which].front());
         unseen[which].pop_front();
@@ -149,7 +152,8 @@
   EXPECT_GT(flood("guest", "f", wire::Priority::kLow), 2'000);
   EXPECT_GT(flood("guest", "g", wire::Priority::kLow), 400);  // another class of the same team
   EXPECT_GT(flood("desk", "low", wire::Priority::kLow), 1'000);
-  EXPECT_GT(flood("desk", "urgent", wire::Priority::kHigh), 500);  // urgent jobs are still admitted
+  EXPECT_GT(flood("desk", "urgent", wire::Priority::kHigh),
+            500);  // The flood of low-priority jobs leaves room.
   for (int t = 0; t < 20; ++t)
     EXPECT_GE(flood("t" + std::to_string(t), "c", wire::Priority::kLow), 50);
   EXPECT_LE(controller.live(), 10'000);
@@ -158,7 +162,7 @@
 TEST(AdmissionControllerTest, WeightsScaleTheLimits) {
   AdmissionController controller(1000, {"none", "b"}, 1, 10);
   controller.SetWeights({{"none", 0}, {"b", 3}});
-  // A team without weight may have one job at a time.
+  // A team of weight 0 may have one job at a time.
   EXPECT_TRUE(controller.Request(Spec(1, "none", "x", 10), 0.5, 0).admit);
   const AdmissionVerdict refused = controller.Request(Spec(2, "none", "x", 10), 0.5, 0);
   EXPECT_FALSE(refused.admit);
@@ -168,10 +172,12 @@
     const auto spec = Spec(i, "b", "x", 10);
     if (controller.Request(spec, 1, 0).admit) controller.OnAccepted(spec);
   }
-  EXPECT_GT(controller.TasksOf("b"), 450);  // team weight 3; its class gets 2/3 of the limit
+  EXPECT_GT(controller.TasksOf("b"),
+            450);  // Team "b" has weight 3; its class gets 2/3 of its limit.
 }
 
-// Retries must not coincide, and must come soon enough for several attempts.
+// The retry delays of refused jobs must differ, so that their retries do not arrive all at once.
+// Each delay must be at most 15 s, so that a client can make several attempts.
 TEST(AdmissionControllerTest, RetriesAreSpread) {
   AdmissionController controller(100, {"a"}, 1, 10);
   EXPECT_TRUE(controller.Request(Spec(0, "a", "x", 50), 0.5, 0).admit);
@@ -186,8 +192,9 @@
   EXPECT_GE(seconds.size(), 6u);
 }
 
-// A view that is reloaded never shows a job that ended while its acceptance was in flight. Without
-// the release in OnLoaded the budget of that job would stay in use forever.
+// A job may end before the controller's view has shown its acceptance. If the controller then
+// reloads its view, the view never shows that job. OnLoaded must release the budget of the job,
+// which would otherwise stay in use forever.
 TEST(AdmissionControllerTest, AJobThatEndedUnseenIsReleased) {
   AdmissionController controller(100, {"a"}, 1, 10);
   ASSERT_TRUE(controller.Request(Spec(1, "a", "x", 50), 0.5, 0).admit);
--- a/tests/admission_plan_model_test.cc
+++ b/tests/admission_plan_model_test.cc
@@ -1,4 +1,4 @@
-// Admission plans under every order of events of a small model, up to a bounded length.
+// Enumerates the orders of events of a small model of admission plans, up to a bounded length.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -13,9 +13,14 @@
 namespace mosspath::admission {
 namespace {
 
-// The events: either of two controllers requests a plan, with or without demand; a response arrives
-// late, twice or never; time passes; a new leader starts while plans of the old leader are valid.
-// In every order, the shares in force never sum to more than kPlannedFraction.
+// A model of a leader that plans admission shares and of two controllers that request them. The
+// events are:
+//   - a controller requests a plan, with or without demand;
+//   - a response arrives at a controller late, twice or never;
+//   - time passes;
+//   - a new leader starts while plans of the old leader are valid.
+// In every order of events, the shares in force on the two controllers must sum to at most
+// kPlannedFraction.
 class Model {
  public:
   static constexpr int kChoices = 8;
@@ -67,7 +72,8 @@
     in_flight_[i].emplace_back(planner_->PlanFor(std::to_string(i), demand, now_), now_);
     return true;
   }
-  // Delivers the oldest response in flight. Every second delivery leaves a duplicate in flight.
+  // Delivers the oldest response in flight to controller `i`. Every second delivery leaves the
+  // response in flight, so that it is delivered again.
   bool Deliver(size_t i) {
     if (in_flight_[i].empty()) return false;
     const auto [plan, requested_at] = in_flight_[i].front();
@@ -111,7 +117,7 @@
   }
   RecordProperty("states", static_cast<int>(seen.size()));
   EXPECT_GT(seen.size(), 5000u);
-  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // the shares are used, not only bounded
+  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // The bound is nearly reached.
 }
 
 }  // namespace
--- a/tests/admission_plan_test.cc
+++ b/tests/admission_plan_test.cc
@@ -8,7 +8,7 @@
 
 TEST(AdmissionPlanTest, SharesFollowDemand) {
   AdmissionPlanner planner({"a", "b"}, 5, 4, 0);
-  EXPECT_EQ(planner.PlanFor("a", 10, 3).life_s, 0);  // plans of an earlier leader may be in force
+  EXPECT_EQ(planner.PlanFor("a", 10, 3).life_s, 0);  // Earlier plans may still be valid.
   double share_a = 0;
   for (double now = 5; now < 30; now += 1) {
     share_a = planner.PlanFor("a", 300, now).share;
@@ -21,9 +21,9 @@
 TEST(AdmissionPlanTest, AnOlderPlanChangesNothing) {
   AdmissionShare share(2);
   share.OnPlan({7, 3, 4, 0.3}, 10);
-  share.OnPlan({6, 9, 4, 0.4}, 11);  // of an earlier leader
+  share.OnPlan({6, 9, 4, 0.4}, 11);  // This plan has the lower token of an earlier leader.
   share.OnPlan({7, 2, 4, 0.4}, 11);
-  share.OnPlan({8, 1, 0, 0.4}, 11);  // a response without a plan
+  share.OnPlan({8, 1, 0, 0.4}, 11);  // A validity of 0 s means that the response has no plan.
   EXPECT_EQ(share.Current(13.9), 0.3);
   EXPECT_EQ(share.Current(14), MinimumShare(2));
 }
--- a/tests/builders.h
+++ b/tests/builders.h
@@ -1,6 +1,6 @@
 // Builders of test values: settings, machine types, job specifications, heartbeats, task statuses
-// and status snapshots. A builder sets the fields that its comment names and leaves all other
-// fields at their defaults, so that a test states every value that affects its outcome.
+// and status snapshots. A builder leaves most fields at their defaults, so that a test itself sets
+// the values that affect its outcome.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 inline constexpr size_t kMaxBatchPacks = 100;
 inline constexpr size_t kMaxBatchBytes = 48u << 10;
 
-// Sets the request and size limits of the state service and of the cloud to those of a small
-// cluster.
+// Sets the limits of the state service and the cloud to values for a small cluster: request rates,
+// record sizes, and the delay after which the cloud lists a new machine.
 inline void SetServiceLimits(config::Settings& settings) {
   settings.store_requests_per_s = 100;
   settings.store_writes_per_s = 25;
@@ -81,12 +81,12 @@
 inline wire::TaskStatus Running(const wire::TaskId& task, uint64_t attempt) {
   return {task, attempt, wire::TaskState::kRunning, wire::ExitReason::kNone, false};
 }
-// Returns the status of the attempt that the command `start` started, while the attempt runs.
+// Returns the status of the attempt that the command `start` started, as a running attempt.
 inline wire::TaskStatus Running(const wire::Command& start) {
   return Running(start.task, start.attempt);
 }
-// Returns the status of the attempt that the command `start` started, after the attempt has exited
-// for `reason`.
+// Returns the status of the attempt that the command `start` started, as an attempt that exited for
+// `reason`.
 inline wire::TaskStatus Exited(const wire::Command& start, wire::ExitReason reason) {
   return {start.task, start.attempt, wire::TaskState::kExited, reason, false};
 }
--- a/tests/cancellation_log_test.cc
+++ b/tests/cancellation_log_test.cc
@@ -1,4 +1,4 @@
-// The log of cancellations that a controller may have confirmed to users.
+// Tests of the log of the job cancellations that a controller may have confirmed to users.
 #include "mosspath/election/cancellation_log.h"
 
 #include <gtest/gtest.h>
@@ -20,13 +20,13 @@
 
 TEST(CancellationLogTest, ListsWhatCameSince) {
   CancellationLog log(10);
-  log.AssumeReportedUpTo(100);  // by the previous process
+  log.AssumeReportedUpTo(100);  // The previous process may have confirmed these.
   log.Add("req-1", 90);
   EXPECT_EQ(log.newest(), 100u);
   EXPECT_TRUE(log.Since(0).entries.empty());
   EXPECT_EQ(log.Since(0).from_revision, 100u);
   log.Add("req-2", 120);
-  log.Add("req-2", 120);  // once from the response to its write, once from the watch cache
+  log.Add("req-2", 120);  // The write's response and the watch cache both report it.
   log.Add("req-3", 110);
   EXPECT_EQ(Ids(log.Since(100)), (std::vector<std::string>{"req-3", "req-2"}));
   EXPECT_EQ(Ids(log.Since(110)), std::vector<std::string>{"req-2"});
--- a/tests/capacity_reservation_test.cc
+++ b/tests/capacity_reservation_test.cc
@@ -1,4 +1,4 @@
-// The capacity of on-demand machines that is reserved for urgent jobs.
+// Tests of the on-demand machine capacity that the scheduler reserves for urgent jobs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 using CapacityReservationTest = SchedulerTest;
 
-// Array jobs that may use spot machines filled all capacity of the on-demand machines, and services
-// that may use only those waited for a minute.
+// Guards against delayed services: array jobs that may run on spot machines filled all on-demand
+// machines. Services that may run only on on-demand machines then waited for a minute.
 TEST_F(CapacityReservationTest, CapacityIsReservedForUrgentJobsThatMayNotUseSpotMachines) {
   AddReadyMachine("vm-1", 0);
   AddReadyMachine("vm-2", 0);
@@ -22,7 +22,8 @@
   const auto starts = [&](double now) {
     return Starts(SendHeartbeat("vm-1", now)).size() + Starts(SendHeartbeat("vm-2", now)).size();
   };
-  // Of eight CPUs the urgent job uses two, and two are reserved for the next urgent job.
+  // The urgent job uses two of the eight CPUs. The scheduler reserves two more CPUs for the next
+  // urgent job.
   EXPECT_EQ(starts(2), 6u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 2u);
   // The next urgent job uses the reserved CPUs.
@@ -58,8 +59,8 @@
   EXPECT_EQ(scheduler_.Counts("req-4").running, 0u);
 }
 
-// Machines for reserved capacity are rented before the jobs that need it arrive, and kept while the
-// reservation lasts.
+// The scheduler rents machines for the reserved capacity before an urgent job needs that capacity,
+// and keeps the machines while the reservation lasts.
 TEST_F(CapacityReservationTest, OnDemandMachinesAreKeptForTheNextUrgentJob) {
   type_.spot_price = 0.3;
   scheduler_.SetMachineTypes({type_});
--- a/tests/decisions_test.cc
+++ b/tests/decisions_test.cc
@@ -19,8 +19,9 @@
   return decisions.number();
 }
 
-// Guards against a field that is left out of the hash: two builds with different decisions would
-// then have the same hash. The time and the machine are part of the hash as well.
+// Guards against a command field that is left out of the hash of a run's decisions: two builds with
+// different decisions would then have the same hash. The hash also covers the time of a command and
+// its machine.
 TEST(DecisionsTest, EachFieldOfACommandCounts) {
   const auto answered = [](double now, const std::string& machine, int status, uint64_t token,
                            const Command& command) {
--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -12,9 +12,9 @@
 using FailoverTest = SchedulerTest;
 
 // A third of the machines dies with the leader. The new leader probes all machines, with a bounded
-// number of probes in flight, and probes silent machines again at bounded intervals. Meanwhile
-// it may start tasks of new jobs. It starts tasks of earlier jobs only once no agent lease can be
-// valid any more.
+// number of probes in flight, and probes silent machines again at bounded intervals. Meanwhile the
+// leader may start tasks of new jobs. It starts tasks of earlier jobs only once no agent lease can
+// be valid any more.
 TEST_F(FailoverTest, FailoverAfterAThirdOfTheMachinesDied) {
   constexpr size_t kMachines = 900;
   const auto dead = [](const std::string& id) { return id.back() % 3 == 0; };
@@ -44,14 +44,15 @@
       EXPECT_EQ(scheduler_.Counts("req-1").running, 0u) << now;
     }
   }
-  EXPECT_GE(recovered_at,
-            derived_.agent_lease_over_s);  // too many to delete: more likely a partition
+  // The leader does not delete that many silent machines, because a partition is more likely. It
+  // waits until the leases of their agents have expired.
+  EXPECT_GE(recovered_at, derived_.agent_lease_over_s);
   EXPECT_LE(recovered_at, derived_.agent_lease_over_s + 0.3);
   EXPECT_LE(static_cast<double>(failed_probes),
             kMachines / 2.0 * (recovered_at / derived_.probe_answer_s + 1));
   scheduler_.AddJob(Job(2, 5, 1, wire::Priority::kNormal), 11, recovered_at);
-  // No heartbeat has arrived for a whole lease, and commands do not renew leases. A machine whose
-  // heartbeat arrives now gets tasks at once.
+  // No heartbeat has arrived for a whole agent lease, and commands do not renew leases. A machine
+  // that sends a heartbeat now still gets tasks at once.
   const auto send_heartbeat = [&](double now) {
     return scheduler_.OnHeartbeat(NextHeartbeat("vm-1001", 2), now);
   };
@@ -63,20 +64,20 @@
 }
 
 // Guards against a delay of recovery: in a large cluster a few machines are always gone after a
-// failover, and a new leader that waited for them started no task of earlier jobs for up to 17 s.
-// The leader deletes the few machines that send no heartbeat.
+// failover. A new leader that waited for these machines started no task of earlier jobs for up to
+// 17 s. The leader must delete the few machines that send no heartbeat.
 TEST_F(FailoverTest, ANewLeaderDeletesTheFewMachinesWithoutHeartbeats) {
   wire::Json record = wire::Json::object();
   for (int i = 0; i < 100; ++i) record["vm-" + std::to_string(100 + i)] = "a";
   scheduler_.LoadMachinesPack(0, record, 1);
-  scheduler_.AddJob(Job(1, 5000, 1, wire::Priority::kNormal), 9,
-                    0);  // keeps all machines in demand
+  // The job needs more CPUs than all machines have, so no machine is deleted as idle.
+  scheduler_.AddJob(Job(1, 5000, 1, wire::Priority::kNormal), 9, 0);
   for (int i = 0; i < 60; ++i) SendHeartbeat("vm-" + std::to_string(100 + i), 1);
-  EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s + 1)
-                  .scale_in.empty());  // too many: more likely a partition
+  // 40 of 100 machines are silent. A partition is more likely than the loss of that many machines.
+  EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s + 1).scale_in.empty());
   for (int i = 60; i < 98; ++i) SendHeartbeat("vm-" + std::to_string(100 + i), 2);
-  EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s - 0.1)
-                  .scale_in.empty());  // their heartbeats may still come
+  // The two silent machines may still send heartbeats.
+  EXPECT_TRUE(scheduler_.PlanScaling(derived_.agents_find_leader_s - 0.1).scale_in.empty());
   const auto plan = scheduler_.PlanScaling(derived_.agents_find_leader_s + 0.1);
   EXPECT_EQ(plan.scale_in, (std::vector<std::string>{"vm-198", "vm-199"}));
   EXPECT_FALSE(scheduler_.recovery_complete());
@@ -86,14 +87,14 @@
 }
 
 // Guards against a slow recovery: agents took 4 to 9 s to find a new leader, because their
-// heartbeats to the old leader had to time out first. The new leader probes the machines instead
-// and reconciles them from the answers.
+// heartbeats to the old leader had to time out first. The new leader therefore probes the machines
+// and reconciles each machine from its answer.
 TEST_F(FailoverTest, ANewLeaderProbesTheMachinesItTookOver) {
   scheduler_.LoadMachinesPack(
       0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "east"}}, 1);
   scheduler_.AddJob(Job(1, 2, 1, wire::Priority::kHigh), 9, 0);
   const auto batches = scheduler_.TakeCommands(0);
-  ASSERT_EQ(batches.size(), 2u);  // the record of vm-3 has no address
+  ASSERT_EQ(batches.size(), 2u);  // vm-3 has no address in its record.
   EXPECT_TRUE(scheduler_.TakeCommands(0).empty());
   const auto answer = [&](const CommandBatch& batch, uint64_t agent_epoch, CommandOutcome outcome) {
     wire::Heartbeat heartbeat = NextHeartbeat(batch.machine, agent_epoch);
@@ -109,8 +110,8 @@
   const auto again = scheduler_.TakeCommands(settings_.heartbeat_s);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].agent_epoch, 4u);
-  scheduler_.OnCommandOutcome(again[0], CommandOutcome::kUndetermined, nullptr,
-                              3);  // proves nothing
+  // A probe without an answer does not reconcile vm-2.
+  scheduler_.OnCommandOutcome(again[0], CommandOutcome::kUndetermined, nullptr, 3);
   for (const auto& batch : scheduler_.TakeCommands(3)) EXPECT_NE(batch.machine, "vm-2");
   SendHeartbeat("vm-2", 4);
   EXPECT_FALSE(scheduler_.recovery_complete());
@@ -119,8 +120,8 @@
 }
 
 // Guards against needless resignations: with two of three controllers stalled, agents took 10 s to
-// find the remaining controller. It concluded that it was partitioned from the agents and resigned
-// repeatedly, although there was no other candidate.
+// find the remaining controller. That controller concluded that it was partitioned from the agents
+// and resigned repeatedly, although there was no other candidate.
 TEST_F(FailoverTest, ANewLeaderResignsOnlyWhenItsProbesFail) {
   scheduler_.LoadMachinesPack(
       0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}, {"vm-3", "vm-3:1"}}, 1);
@@ -131,7 +132,8 @@
   EXPECT_TRUE(scheduler_.recovery_complete());
   EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(8));
   EXPECT_FALSE(scheduler_.IsPartitionedFromAgents(8 + settings_.heartbeat_s));
-  EXPECT_EQ(scheduler_.TakeCommands(8).size(), 3u);  // probed again until their agents find it
+  // The leader probes the machines again, because their agents have sent it no heartbeat.
+  EXPECT_EQ(scheduler_.TakeCommands(8).size(), 3u);
 
   Scheduler partitioned(settings_, derived_, 20, 0);
   partitioned.LoadMachinesPack(
@@ -142,12 +144,13 @@
                                    now + derived_.probe_answer_s);
     }
   }
-  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // has not lasted long enough
+  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // The probes have failed too briefly.
   EXPECT_TRUE(partitioned.IsPartitionedFromAgents(3.1 + settings_.heartbeat_s / 2));
 }
 
-// Guards against a needless deletion: a new leader deleted machines whose agents had not found it
-// yet. By the age that the cloud reported, it classified them as machines that had failed to boot.
+// Guards against needless deletions: a new leader deleted machines whose agents had not found the
+// leader yet. Because of the age that the cloud reported for each machine, the leader concluded
+// that the machine had failed to boot.
 TEST_F(FailoverTest, InheritedMachinesAreNotTakenForFailedBoots) {
   Scheduler fresh(settings_, derived_, 20, 100);
   fresh.SetMachineTypes({});
@@ -162,7 +165,7 @@
   fresh.Tick(112);
   EXPECT_TRUE(fresh.PlanScaling(112).scale_in.empty());
   EXPECT_FALSE(fresh.recovery_complete());
-  fresh.Tick(100 + derived_.agent_lease_over_s + 0.1);  // by now every lease has expired
+  fresh.Tick(100 + derived_.agent_lease_over_s + 0.1);  // Every lease has expired.
   EXPECT_TRUE(fresh.recovery_complete());
 }
 
@@ -181,13 +184,14 @@
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
 }
 
-// Guards against a delay of unstarted jobs: with a zone unreachable, a new leader started no task
-// of earlier jobs for a whole lease, although most pending jobs had never been started.
+// Guards against a delay of unstarted jobs: while a zone was unreachable, a new leader started no
+// task of earlier jobs for a whole agent lease, although most pending jobs had never been started.
 TEST_F(FailoverTest, JobsWithoutAStartMarkerStartBeforeRecoveryIsComplete) {
   scheduler_.SetMarkersSince(5);
   AddReadyMachine("vm-1", 0);
-  scheduler_.AddJob(Job(1, 2, 1, wire::Priority::kNormal), 11, 0);  // accepted under this leader
-  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());            // the marker is written first
+  // The job is accepted under this leader. Its start marker must be durable before its first start.
+  scheduler_.AddJob(Job(1, 2, 1, wire::Priority::kNormal), 11, 0);
+  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());
   auto records = scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes);
   ASSERT_FALSE(records.progress.empty());
   scheduler_.OnRecordsFailed();
@@ -196,8 +200,8 @@
   scheduler_.OnRecordsWritten(20, 0);
   scheduler_.Place(3);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(), 2u);
-  // The leader's view of which controllers write markers is empty during a reload. It keeps writing
-  // markers.
+  // While the leader reloads its view, it has not read which controllers write start markers. The
+  // leader must keep writing them, or its successor would take a started job for an unstarted one.
   scheduler_.SetMarkersSince(TaskPlacer::kNever);
   scheduler_.AddJob(Job(9, 1, 1, wire::Priority::kNormal), 15, 3);
   scheduler_.Place(3.5);
@@ -208,13 +212,15 @@
   next.SetMarkersSince(5);
   next.SetMachineTypes({type_});
   for (const auto& write : records.progress) next.LoadProgressPack(write.pack, write.value, 1);
-  next.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-9", "vm-9:1"}},
-                        1);                                   // vm-9 sends no heartbeat
-  next.AddJob(Job(1, 8, 1, wire::Priority::kNormal), 11, 0);  // has a marker: tasks may be on vm-9
-  next.AddJob(Job(2, 1, 1, wire::Priority::kHigh), 12, 0);    // urgent jobs get no markers
-  next.AddJob(Job(3, 1, 1, wire::Priority::kNormal), 4,
-              0);  // accepted before all controllers wrote markers
-  next.AddJob(Job(4, 1, 1, wire::Priority::kNormal), 13, 0);  // never started
+  next.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}, {"vm-9", "vm-9:1"}}, 1);
+  // Job 1 has a start marker, so its tasks may run on vm-9, which sends no heartbeat.
+  next.AddJob(Job(1, 8, 1, wire::Priority::kNormal), 11, 0);
+  // Job 2 is urgent. Urgent jobs get no start markers, so its tasks may have been started.
+  next.AddJob(Job(2, 1, 1, wire::Priority::kHigh), 12, 0);
+  // Job 3 was accepted before all controllers wrote start markers.
+  next.AddJob(Job(3, 1, 1, wire::Priority::kNormal), 4, 0);
+  // Job 4 would have a start marker if it had been started.
+  next.AddJob(Job(4, 1, 1, wire::Priority::kNormal), 13, 0);
   wire::Heartbeat heartbeat = NextHeartbeat("vm-1", 1);
   heartbeat.fencing_token = 30;
   next.OnHeartbeat(heartbeat, 101);
@@ -228,8 +234,8 @@
 }
 
 // A heartbeat that was sent under the old leader arrives after the new leader has probed the
-// machine, found the task gone and started it elsewhere. Accepting it would add the ended attempt
-// to the machine again.
+// machine, found that the task no longer ran there and started the task on another machine. If the
+// new leader accepted that heartbeat, it would add the ended attempt to the first machine again.
 TEST_F(FailoverTest, AHeartbeatDelayedFromAnEarlierLeaderIsRejected) {
   scheduler_.LoadMachinesPack(0, {{"vm-1", "vm-1:1"}, {"vm-2", "vm-2:1"}}, 1);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 9, 0);
@@ -253,8 +259,8 @@
 }
 
 // Guards against tasks that run twice: a machine that was probed in a new epoch executed starts.
-// The leader considered them ended one lease after the last heartbeat answer of any leader, while
-// the lease of the new epoch was still valid.
+// The leader considered the started tasks ended one agent lease after the last possible heartbeat
+// answer of any leader, while the lease of the new epoch was still valid.
 TEST_F(FailoverTest, ANewAgentEpochHasAWholeLeaseWithoutAnyAnswer) {
   scheduler_.LoadMachinesPack(0, wire::Json{{"vm-1", "vm-1:1"}}, 1);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -270,10 +276,13 @@
   answer(1, 0.5, {});
   MakeRecordsDurable(scheduler_);
   const double later = derived_.agents_try_all_s - 4;
-  answer(2, later, {});      // the lease of the first epoch has ended
-  answer(2, later + 3, {});  // probed in the new epoch, and sent the start
+  // The lease of epoch 1 has expired. The agent is in epoch 2 and refuses the commands for epoch 1.
+  answer(2, later, {});
+  // The leader has probed the machine in epoch 2 and sends it the start.
+  answer(2, later + 3, {});
   ASSERT_GE(scheduler_.machines().at("vm-1").agent_epoch, 2u);
-  // A lease that the last possible answer of any leader renewed has expired by this time.
+  // By this time, a lease that the last possible heartbeat answer of any leader renewed has
+  // expired.
   const double expired = derived_.agent_lease_over_s + 0.1;
   scheduler_.Tick(expired);
   EXPECT_FALSE(scheduler_.machines().at("vm-1").lost);
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -1,4 +1,5 @@
-// Which controllers are suspected, and which peer last received a heartbeat of each.
+// Tests of the failure detector: which controllers it suspects, and which peer last received a
+// heartbeat of each controller.
 #include "mosspath/election/failure_detector.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +19,8 @@
   return settings;
 }
 
-// A heartbeat of `node`, whose last contacts with the state service and with the other peer were
-// `state_ago_s` and `other_ago_s` ago.
+// Returns a heartbeat of the controller `node`. Its last contact with the state service was
+// `state_ago_s` seconds ago, and its last contact with the other peer `other_ago_s` seconds ago.
 wire::PeerHeartbeat HeartbeatFrom(const char* node, double state_ago_s, double other_ago_s) {
   wire::PeerHeartbeat heartbeat;
   heartbeat.node = node;
@@ -32,7 +33,7 @@
 
 TEST(FailureDetectorTest, ReportsLastContactAndUnreachableServicesOfEachController) {
   FailureDetector detector(Settings());
-  EXPECT_FALSE(detector.IsSuspected("hut-1", 100));  // no heartbeat yet, so no evidence
+  EXPECT_FALSE(detector.IsSuspected("hut-1", 100));  // hut-1 has sent no heartbeat yet.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 30, 0.2), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-9", 0, 0), 100);  // not a controller of this cluster
@@ -59,7 +60,7 @@
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 90);
   detector.OnProcessStall(100.2, 130);
   EXPECT_FALSE(detector.IsSuspected("hut-1", 130.1));
-  EXPECT_TRUE(detector.IsSuspected("hut-2", 130.1));  // was silent before the stall
+  EXPECT_TRUE(detector.IsSuspected("hut-2", 130.1));  // hut-2 was silent before.
 }
 
 // A controller that can't reach the state service and its peers, but is still reachable for agents
@@ -68,7 +69,7 @@
   FailureDetector detector(Settings());
   constexpr double kContactTimeoutS = 5;
   EXPECT_TRUE(detector.ShouldServeUsers(100, kContactTimeoutS, 104));
-  // An outage of the state service for all controllers, according to the heartbeats.
+  // The state service is down for all controllers, according to the heartbeats of the peers.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 10, 0.1), 110);
@@ -76,16 +77,17 @@
   // Only this controller is cut off from the state service.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 110.2);
   EXPECT_FALSE(detector.ShouldServeUsers(100, kContactTimeoutS, 110.2));
-  // The contact is restored and then lost together with the peers. The controller is not isolated
-  // before heartbeats of the peers are overdue.
+  // This controller reaches the state service again at 111. It then loses contact with the state
+  // service and with both peers. It is not isolated before heartbeats of the peers are overdue.
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 0.1, 0.1), 111);
   EXPECT_TRUE(detector.ShouldServeUsers(111, kContactTimeoutS, 112));
   EXPECT_FALSE(detector.IsIsolated(112));
   EXPECT_TRUE(detector.IsIsolated(120));
   EXPECT_FALSE(detector.ShouldServeUsers(111, kContactTimeoutS, 120));
-  // The state service answers, which is sufficient.
+  // A controller that reaches the state service serves users, also without contact to its peers.
   EXPECT_TRUE(detector.ShouldServeUsers(120, kContactTimeoutS, 121));
-  // Or a peer is reachable and has the same outage.
+  // Without the state service, a controller serves users if a peer that it reaches can't reach the
+  // state service either.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 30, 0.1), 125);
   EXPECT_TRUE(detector.ShouldServeUsers(113, kContactTimeoutS, 125));
 }
--- a/tests/fair_queue_test.cc
+++ b/tests/fair_queue_test.cc
@@ -1,4 +1,4 @@
-// The fair queue of submissions, by team and class.
+// Tests of the fair queue, which orders submissions by team and class.
 #include "mosspath/admission/fair_queue.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   const int flood = *rc::gen::inRange(1, 300);
   for (int i = 0; i < flood; ++i) queue.Push("flood", "f", 1, {"flood", i});
   const int served = *rc::gen::inRange(0, flood);
-  for (int i = 0; i < served; ++i) RC_ASSERT(queue.Pop().second == i);  // each class in order
+  for (int i = 0; i < served; ++i) RC_ASSERT(queue.Pop().second == i);  // first in, first out
   const int others = *rc::gen::inRange(1, 8);
   for (int t = 0; t < others; ++t) {
     queue.Push("t" + std::to_string(t), "c", 1, {"t" + std::to_string(t), 0});
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -1,4 +1,5 @@
-// Fair share: each team and class holds its floor, however much work of others waits.
+// Tests of fair share: each team and class gets CPUs up to its floor, however many tasks of other
+// teams and classes are pending.
 #include "mosspath/scheduler/fair_share.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// A job of which `placed` tasks are no longer pending.
+// Returns a job of `tasks` tasks. All but `placed` of them are pending.
 jobs::Job PendingJob(const std::string& team, const std::string& job_class, uint32_t tasks,
                      uint32_t placed) {
   wire::JobSpec spec = test::MakeJobSpec("req-" + team + job_class, team, tasks);
@@ -21,7 +22,8 @@
   return job;
 }
 
-// The deficit of a team or class is its floor less its use, however much work of others is pending.
+// The deficit of a team or class is its floor minus the CPUs that it uses, or 0 if it uses more.
+// The number of pending tasks of other teams and classes has no effect on the deficit.
 TEST(FairShareTest, EachTeamAndClassHasADeficitUpToItsFloor) {
   FairShare fair_share({{"desk", 0, 0, 0, 0}, {"guest", 0, 0, 0, 0}, {"guaranteed", 300, 0, 0, 0}});
   fair_share.Configure(0.15, {});
@@ -35,7 +37,7 @@
   EXPECT_EQ(fair_share.DeficitCpus(urgent), 0);
   EXPECT_NEAR(fair_share.DeficitCpus(low), 0.15 * 910 / 2 - 10, 1e-9);
   EXPECT_NEAR(fair_share.DeficitCpus(guest), 50 - 20, 1e-9);
-  EXPECT_NEAR(fair_share.DeficitCpus(guaranteed), 300 - 70, 1e-9);  // its guarantee
+  EXPECT_NEAR(fair_share.DeficitCpus(guaranteed), 300 - 70, 1e-9);  // guaranteed CPUs
   for (int i = 0; i < 30; ++i) fair_share.OnAllocated(guest, 1);
   EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
   EXPECT_FALSE(fair_share.MayPreempt(guest, 1));
@@ -54,13 +56,13 @@
   EXPECT_FALSE(fair_share.has_deficit());
 }
 
-// However many urgent tasks are pending, a team holds its floor: in a placement pass, when capacity
-// is freed on one machine, and against preemption.
+// A team gets its floor, however many urgent tasks are pending: in a placement pass and when
+// capacity is freed on one machine. Urgent tasks do not preempt the team's tasks within its floor.
 class FairShareSchedulingTest : public SchedulerTest {
  protected:
   FairShareSchedulingTest() {
     config::OperatorSettings settings;
-    settings.turn_share = 0.5;  // 2 of 8 CPUs for each of two teams
+    settings.turn_share = 0.5;  // Each of two teams has a floor of 2 of 8 CPUs.
     scheduler_.Apply(settings);
     AddReadyMachine("vm-1", 1);
     AddReadyMachine("vm-2", 1);
@@ -101,7 +103,8 @@
   AddGuestJob(10, 2);
   SendHeartbeat("vm-1", 3, tasks);
   EXPECT_EQ(RunningTasks(2), 0u);
-  // By now the job has waited long enough for an image fetch to be acceptable.
+  // At 10 s the guest job has waited long enough to be placed on a machine that must fetch its
+  // image.
   for (int i : {0, 1, 2}) {
     test::MarkExited(tasks[static_cast<size_t>(i)], wire::ExitReason::kSucceeded);
   }
--- a/tests/fakes/fake_agent.h
+++ b/tests/fakes/fake_agent.h
@@ -16,12 +16,13 @@
 
 namespace mosspath::fakes {
 
-// Runs every task for a fixed time and sends a heartbeat soon after each change. Encodes the
-// protocol's JSON without the project's code.
+// Runs every task for a fixed time and sends a heartbeat soon after it executes commands and after
+// a task ends. Encodes the protocol's JSON without the project's code.
 class FakeAgent {
  public:
-  // `nodes`: addresses of the controllers. Tasks run for `run_s` seconds, or, if their job is in
-  // `long_jobs`, until they are stopped. `long_jobs` must outlive the agent.
+  // `nodes`: addresses of the controllers. `heartbeat_s`: interval between heartbeats. Tasks run
+  // for `run_s` seconds, or, if their job is in `long_jobs`, until they are stopped. `long_jobs`
+  // must outlive the agent.
   FakeAgent(asio::io_context& io, std::string id, std::vector<std::string> nodes,
             double heartbeat_s, double run_s, const std::set<std::string>& long_jobs);
 
@@ -48,10 +49,10 @@
   uint64_t fencing_token_ = 0;
   uint64_t sequence_ = 0;
   bool awaiting_answer_ = false;
-  std::map<std::string, nlohmann::json> tasks_;  // heartbeat entries, by "task attempt"
+  std::map<std::string, nlohmann::json> tasks_;  // Heartbeat entries by "TASK ATTEMPT".
   std::vector<std::unique_ptr<net::Timer>> run_timers_;
   net::Timer heartbeat_timer_;
-  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // one per element of nodes_
+  std::vector<std::unique_ptr<net::HttpClient>> clients_;  // One client per address in nodes_.
   std::unique_ptr<net::HttpServer> server_;
 };
 
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -14,12 +14,13 @@
 
 namespace mosspath::fakes {
 
-// Rents out a few machines without boot time. Each machine is a FakeAgent. Requests to delete
-// machines are acknowledged but have no effect. Encodes the protocol's JSON without the project's
-// code.
+// Rents out a few machines. Each machine is a FakeAgent, which starts without a boot time. Requests
+// to delete machines are acknowledged but have no effect. Encodes the protocol's JSON without the
+// project's code.
 class FakeCloud {
  public:
-  // `nodes`: addresses of the controllers. All arguments are passed on to the agents.
+  // Passes all arguments on to the agents. `nodes`: addresses of the controllers. `heartbeat_s`:
+  // interval between heartbeats. `run_s`: run time of a task.
   FakeCloud(asio::io_context& io, std::vector<std::string> nodes, double heartbeat_s, double run_s);
 
   std::string address() const;
@@ -35,7 +36,8 @@
   void Handle(const net::HttpRequest& request, const Responder& respond);
   void HandleTypes(const Responder& respond);
   void HandleList(const Responder& respond);
-  // Answers a repeated request like the first one.
+  // Rents a machine. If the request id repeats, returns the answer to the first request with that
+  // id.
   void HandleRent(const net::HttpRequest& request, const Responder& respond);
 
   asio::io_context& io_;
--- a/tests/fakes/fake_key_value_store.cc
+++ b/tests/fakes/fake_key_value_store.cc
@@ -87,7 +87,8 @@
     if (pair.value("berth", uint64_t{0}) == lease) keys.push_back(key);
   }
   for (const auto& key : keys) Apply(key, nullptr, 0);
-  // Deferred: the caller is the lease's own timer, which must not be destroyed while it runs.
+  // The caller is the lease's own timer, which must not be destroyed while it runs. A later
+  // callback therefore erases the lease.
   asio::post(io_, [this, lease] { leases_.erase(lease); });
   AnswerWatches();
 }
--- a/tests/fakes/fake_key_value_store.h
+++ b/tests/fakes/fake_key_value_store.h
@@ -37,7 +37,8 @@
 
   // Writes the value as another client would. Returns the new revision.
   uint64_t Put(const std::string& key, const nlohmann::json& value);
-  // Returns all pairs by key, in the JSON form of the responses: {k, v, mark, berth}.
+  // Returns all key-value pairs by key, in the JSON form of the responses: {k, v, mark, berth},
+  // which are the key, the value, its revision and its lease.
   const std::map<std::string, nlohmann::json>& pairs() const { return pairs_; }
 
  private:
--- a/tests/fakes/plain_agent.h
+++ b/tests/fakes/plain_agent.h
@@ -12,8 +12,9 @@
 
 namespace mosspath::fakes {
 
-// Has no timers and no network: the test calls a function for each event. The state is public, so
-// that a test can compare states and set them. No task ends by itself.
+// Has no timers and no network: the test calls a function for each event. The agent's state is
+// public, so that a test can compare and set it. A task ends only when the test or a command ends
+// it.
 struct PlainAgent {
   struct Attempt {
     wire::TaskState state = wire::TaskState::kRunning;
@@ -21,11 +22,11 @@
   };
 
   std::string id;
-  uint64_t epoch = 1;           // the agent epoch
+  uint64_t epoch = 1;           // agent epoch
   uint64_t sequence = 0;        // sequence number of the last heartbeat
   uint64_t token = 0;           // the highest fencing token received
-  double lease_renewed_at = 0;  // when the lease was last renewed
-  std::map<std::pair<wire::TaskId, uint64_t>, Attempt> attempts;  // by task and attempt
+  double lease_renewed_at = 0;  // time of the last lease renewal, in s
+  std::map<std::pair<wire::TaskId, uint64_t>, Attempt> attempts;  // by task and attempt number
 
   // Returns whether an attempt of the task is present and has not exited.
   bool Has(const wire::TaskId& task) const {
@@ -55,7 +56,8 @@
     for (const auto& command : commands) Execute(command);
   }
 
-  // Lets all running attempts of the task exit successfully. Returns whether there was one.
+  // Lets all running attempts of the task exit successfully. Returns whether any attempt was
+  // running.
   bool Finish(const wire::TaskId& task) {
     bool any = false;
     for (auto& [key, attempt] : attempts) {
