--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -114,8 +114,8 @@
   const int steps = *rc::gen::inRange(1, 200);
   for (int i = 0; i < steps; ++i) {
     const auto which = static_cast<size_t>(*rc::gen::inRange<int>(0, static_cast<int>(count)));
-    if (*rc::gen::inRange(0, 3) ==
-        0) {  // The controller's view receives some of the accepted jobs.
+    if (*rc::gen::inRange(0, 3) == 0) {
+      // The controller's view receives some of the accepted jobs.
       for (int k = *rc::gen::inRange(0, 10); k > 0 && !unseen[which].empty(); --k) {
         controllers[which].OnAccepted(unseen[which].front());
         unseen[which].pop_front();
@@ -152,8 +152,8 @@
   EXPECT_GT(flood("guest", "f", wire::Priority::kLow), 2'000);
   EXPECT_GT(flood("guest", "g", wire::Priority::kLow), 400);  // another class of the same team
   EXPECT_GT(flood("desk", "low", wire::Priority::kLow), 1'000);
-  EXPECT_GT(flood("desk", "urgent", wire::Priority::kHigh),
-            500);  // The flood of low-priority jobs leaves room.
+  // Urgent jobs of the flooding team are still admitted.
+  EXPECT_GT(flood("desk", "urgent", wire::Priority::kHigh), 500);
   for (int t = 0; t < 20; ++t)
     EXPECT_GE(flood("t" + std::to_string(t), "c", wire::Priority::kLow), 50);
   EXPECT_LE(controller.live(), 10'000);
@@ -172,8 +172,8 @@
     const auto spec = Spec(i, "b", "x", 10);
     if (controller.Request(spec, 1, 0).admit) controller.OnAccepted(spec);
   }
-  EXPECT_GT(controller.TasksOf("b"),
-            450);  // Team "b" has weight 3; its class gets 2/3 of its limit.
+  // Team "b" has weight 3. Its class gets 2/3 of the team's limit.
+  EXPECT_GT(controller.TasksOf("b"), 450);
 }
 
 // The retry delays of refused jobs must differ, so that their retries do not arrive all at once.
--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -138,7 +138,7 @@
     return SendRequest(*public_clients_[0], "POST", "/api/jobs", SpecText(id, kind));
   }
   std::string NextId() { return "req-" + std::to_string(++jobs_); }
-  // Submits jobs one at a time until one is stored in a record under the prefix. Returns the
+  // Submits jobs one at a time until a job is stored in a record under the prefix. Returns the
   // record's key. Which record format the controller writes depends on the settings and on the
   // record formats of the other controllers that it has read by then.
   std::string SubmitUntilStoredUnder(const std::string& prefix) {
--- a/tests/golden_frames_test.cc
+++ b/tests/golden_frames_test.cc
@@ -348,7 +348,7 @@
   EXPECT_EQ(decoded.share, 0.375);
 }
 
-// The response of a controller that is not the leader.
+// A controller that is not the leader responds with an empty plan.
 TEST(GoldenFrames, EmptyAdmissionPlan) {
   EXPECT_EQ(ToHex(Encode(admission::AdmissionPlan())), kEmptyAdmissionPlan);
   EXPECT_EQ(DecodeAdmissionPlan(FromHex(kEmptyAdmissionPlan)), admission::AdmissionPlan());
@@ -434,7 +434,7 @@
   EXPECT_EQ(read.machine->used_memory_gb, 5.5);
 }
 
-// The number of each kind, in a message with no other content.
+// Each kind of message has its fixed number. The messages of this test have no other content.
 TEST(GoldenFrames, KindsOfShardMessages) {
   using Kind = ShardMessage::Kind;
   const std::vector<std::pair<Kind, const char*>> kinds{
@@ -446,7 +446,7 @@
       {Kind::kReturnTasks, "17"},        {Kind::kMachineStatus, "18"},
       {Kind::kMachineReturned, "19"},    {Kind::kLoad, "1a"},
       {Kind::kCrashLoop, "1b"}};
-  // No name, job, tasks, seconds, count or machine.
+  // The encoding of a message without a name, job, tasks, seconds, count and machine.
   constexpr const char* kNothingElse = "000000000000";
   for (const auto& [kind, number] : kinds) {
     ShardMessage message;
@@ -466,10 +466,10 @@
       {&Machine::idle, "04"},
       {&Machine::has_on_demand_work, "08"},
       {&Machine::unresponsive, "10"}};
-  // kMachineStatus; no name, job, tasks, seconds or count; a machine without address, type and
-  // zone.
+  // The encoding of a kMachineStatus message up to the flags: no name, job, tasks, seconds or
+  // count, and a machine without address, type and zone.
   const std::string before = "18000000000001000000";
-  const std::string after = "0000000000";  // no amounts
+  const std::string after = "0000000000";  // All amounts are 0.
   for (const auto& [flag, bits] : flags) {
     ShardMessage message;
     message.kind = ShardMessage::Kind::kMachineStatus;
--- a/tests/golden_json_test.cc
+++ b/tests/golden_json_test.cc
@@ -175,7 +175,7 @@
   d.token = 41;
   d.recovery_complete = true;
   d.leader_for_s = 12.5;
-  d.jobs = {{"req-1", 3, 4}};  // not shown
+  d.jobs = {{"req-1", 3, 4}};  // The document omits this list.
   d.queues = {{"train", 1, 2, 3, 4.5, 5.5, 6.5, "no room"}};
   d.teams = {{"vision", 7, 8, 9, kNeverS, kNeverS, 10.5, ""}};
   d.machines = {{"g8", "zone-a", true, 11, 12, 13, 14.5, 15.5}};
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -180,7 +180,7 @@
   }
 }
 
-// The older record format: one job per record, under job/.
+// Tests the older record format: one job per record, under job/.
 TEST(GoldenRecords, Job) {
   constexpr uint64_t kVersion = 17;
   EXPECT_EQ(jobs::JobRecords::EncodeEntry(FullSpec(), kFullSubmitted).dump(), FullEntry());
@@ -195,8 +195,8 @@
   EXPECT_EQ(accepted->submitted_wall_s, kFullSubmitted);
 }
 
-// The batch format: several jobs per record, under batch/. First the record as accepted, then the
-// record after one of its jobs has ended.
+// Tests the batch format: several jobs per record, under batch/. The test first checks the record
+// of the accepted jobs, and then the record after one of its jobs has ended.
 TEST(GoldenRecords, Batch) {
   constexpr uint64_t kAcceptedVersion = 17;
   constexpr uint64_t kEndedVersion = 23;
@@ -232,7 +232,8 @@
   const jobs::AcceptedJob* small = reader.Find("req-7");
   ASSERT_NE(small, nullptr);
   ExpectSmallSpec(small->spec);
-  EXPECT_EQ(small->version, kAcceptedVersion);  // from `born`, not the record's current version
+  EXPECT_EQ(small->version,
+            kAcceptedVersion);  // The version is `born`, not the record's current version.
   EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
   // `over` marks the job as ended, so another record of the same job does not make it live again.
@@ -255,7 +256,8 @@
   EXPECT_EQ(index.cancellations().newest(), 32u);
 }
 
-// Packs of progress and machine entries, as a leader writes them and the next leader reads them.
+// Fixture for packs of progress and machine entries. A leader writes the packs, and the next leader
+// reads them.
 class GoldenPacks : public ::testing::Test {
  protected:
   static constexpr uint64_t kToken = 41;
@@ -265,7 +267,8 @@
   static constexpr size_t kMaxPacks = 10;
   static constexpr size_t kMaxBytes = 48u << 10;
 
-  // Tasks 0, 3 and 9 of the first segment, and 513 and 599 (the last) of the second.
+  // The done tasks are 0, 3 and 9 in the first segment, and 513 and 599 (the job's last task) in
+  // the second segment.
   static constexpr const char* kProgress =
       R"({"req-000412!":7,"req-000412#0":"904","req-000412#1":"4000000000000000000001"})";
   static constexpr const char* kMarks = R"({"req-000412+":1})";
@@ -343,7 +346,7 @@
   EXPECT_EQ(leased.lease, kLease);
   EXPECT_EQ(leased.handover_revision, kToken);
   EXPECT_EQ(scheduler::EncodeMachineRecord(leased), "10.0.0.2:9002/77/41");
-  // An entry written by an earlier version, without the revision of the handover.
+  // An earlier version of the program wrote entries without the revision of the handover.
   const scheduler::MachineRecord older = scheduler::DecodeMachineRecord("10.0.0.3:9003/78");
   EXPECT_EQ(older.address, "10.0.0.3:9003");
   EXPECT_EQ(older.lease, 78u);
--- a/tests/heartbeat_json_test.cc
+++ b/tests/heartbeat_json_test.cc
@@ -59,7 +59,7 @@
       texts.push_back(json.dump());
     }
   }
-  for (int i = 0; i < 400; ++i) {  // one random byte changed; one text in three also truncated
+  for (int i = 0; i < 400; ++i) {  // Changes a byte; truncates every third text.
     std::string text = good;
     text[random() % text.size()] = static_cast<char>(random() % 128);
     if (i % 3 == 0) text.resize(random() % text.size());
--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -1,4 +1,4 @@
-// The HTTP client against a server on loopback.
+// Tests of the HTTP client against a server on loopback.
 #include "mosspath/net/http_client.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,8 @@
 namespace mosspath::net {
 namespace {
 
-// A request that was queued before a leader stalled must not be sent after the stall.
+// A queued request must not be sent once its caller no longer wants it. For example, a leader must
+// not send requests after a stall that it queued before the stall.
 TEST(HttpClientTest, ARequestThatIsNoLongerWantedIsNotSent) {
   asio::io_context io;
   int handled = 0;
@@ -31,8 +32,8 @@
     const size_t before = results.size();
     while (results.size() == before) io.run_one();
   };
-  send(true);   // over a new connection
-  send(false);  // over the same connection
+  send(true);   // Opens a connection.
+  send(false);  // Would reuse the connection.
   ASSERT_EQ(results.size(), 2u);
   EXPECT_EQ(results[0].status, 200);
   EXPECT_EQ(results[1].status, 0);
@@ -42,7 +43,7 @@
 
 // Guards against a leak: a connection retained the callbacks of its last request, the callbacks
 // owned the former leader, and the leader owned the connection. The sockets of former leaders
-// stayed open until none were left.
+// stayed open until no free socket was left.
 TEST(HttpClientTest, ReleasesTheCallbacksOfAFinishedRequest) {
   asio::io_context io;
   HttpServer server(io, "127.0.0.1:0", {}, [&](const HttpRequest&, const auto& respond) {
--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -1,7 +1,8 @@
 // Exhaustive model check: a search over every order of the events below. The last task of a job has
 // ended. The leader's completion races with a cancellation at a second controller, and with queries
 // and a repeated submission at a third controller. No other faults occur. The controllers use the
-// real JobIndex. Users must never be told two different final states, or that an ended job is live.
+// real JobIndex. The controllers must never report two different final states to users, or
+// report a job as live after they have reported its end.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
@@ -152,7 +153,7 @@
         return true;
       case Event::kResubmit:
         if (submit_stage_ != 0) return false;
-        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // a known job is answered like a query
+        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // an indexed job: query
         return true;
       case Event::kCommitResubmission:
         if (submit_stage_ != 1) return false;
@@ -248,8 +249,8 @@
                                                   final_ ? final_->second : 0, controller.read,
                                                   controller.read);
   }
-  // Reports a status to a user. `before` holds the final states that users had been told when this
-  // user's request began.
+  // Reports a status to a user. `before`: the final states that had been reported to any user
+  // when this user's request began.
   void Report(JobStatus job_status, const ReportedStatuses& before) {
     if (job_status == JobStatus::kMissing) violation_ = "an accepted job is reported as missing";
     if (job_status == JobStatus::kLive && !before.empty())
--- a/tests/job_json_test.cc
+++ b/tests/job_json_test.cc
@@ -1,4 +1,4 @@
-// Job specifications and task names as JSON, with hostile and incomplete input.
+// Tests of job specifications and task names as JSON, with hostile and incomplete input.
 #include <gtest/gtest.h>
 
 #include <set>
--- a/tests/job_records_test.cc
+++ b/tests/job_records_test.cc
@@ -1,5 +1,5 @@
-// Job records against a model of the state service: acceptances, ends, cleanups, watches and
-// reloads in any order, with writes that are lost or delayed.
+// Tests job records against a model of the state service. Jobs are accepted and end, and
+// controllers clean up, watch and reload the records, in random order. Writes are lost or delayed.
 #include "mosspath/jobs/job_records.h"
 
 #include <gtest/gtest.h>
@@ -74,7 +74,7 @@
     for (const auto& change : store.log) {
       if (change.revision <= revision) continue;
       if (max_transactions-- == 0) return;
-      const uint64_t transaction = change.revision;  // a transaction is applied as a whole
+      const uint64_t transaction = change.revision;  // Applies all its changes.
       for (const auto& other : store.log) {
         if (other.revision == transaction && records.OwnsKey(other.key)) {
           records.OnRecord(other.key, other.value ? &*other.value : nullptr, other.revision);
@@ -119,7 +119,7 @@
       write.conditions.emplace_back(kJob + id, 0);
       write.conditions.emplace_back("final/" + id, 0);
       entries.push_back(JobRecords::EncodeEntry(Spec(id), 1.0));
-      if (Below(6) == 0) {  // a controller of a version that writes the older form
+      if (Below(6) == 0) {  // A controller may still write the older format.
         write.changes.emplace_back(kJob + id, entries.back());
         in_flight.push_back(std::move(write));
         return;
@@ -152,7 +152,8 @@
   }
 
   void Check() {
-    // A controller that loads now finds exactly the accepted jobs live that have not ended.
+    // The live jobs of a controller that loads the records now are exactly the accepted jobs that
+    // have not ended.
     Controller fresh;
     fresh.Load(store);
     for (const auto& [id, job] : fresh.records.live()) {
@@ -163,7 +164,7 @@
         EXPECT_NE(fresh.records.Find(id), nullptr) << id << " is lost";
       }
     }
-    // The revision of the first acceptance counts, even after the record was rewritten.
+    // A job's version is the revision of its first acceptance, even after its record was rewritten.
     for (const auto& [id, job] : fresh.records.live())
       EXPECT_EQ(job.version, first_version[id]) << id;
   }
@@ -173,7 +174,7 @@
     const size_t i = Below(in_flight.size());
     const Write write = in_flight[i];
     in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
-    if (Below(10) == 0) return;  // lost
+    if (Below(10) == 0) return;  // The write is lost.
     if (!store.Commit(write.conditions, write.changes)) return;
     for (const auto& [key, value] : write.changes) {
       if (!value || value->contains("born")) continue;
--- a/tests/job_service_test.cc
+++ b/tests/job_service_test.cc
@@ -1,5 +1,5 @@
-// Which cancellations a controller counts as reported to users, and which jobs as ended, for each
-// way in which the controller learns of a cancellation.
+// Tests, for each way in which a controller receives a cancellation, that the controller logs the
+// cancellation as possibly confirmed to users and treats the job as ended.
 #include "mosspath/service/job_service.h"
 
 #include <gtest/gtest.h>
@@ -82,14 +82,15 @@
   std::vector<std::string> accepted_;
 };
 
-// A job is accepted and cancelled between the check of the live jobs and the read of the job's
-// final record, and this controller reports the cancellation. A leader that has not read the record
-// must learn of the cancellation from this controller.
+// A job is accepted and cancelled after the controller has checked its live jobs and before it
+// reads the job's final record. The controller then reports the cancellation to the user, so it
+// must have logged the cancellation: a leader that has not read the final record receives the
+// cancellation from this log.
 TEST_F(JobServiceTest, ACancellationReadFromItsFinalRecordCountsAsReported) {
   uint64_t cancelled = 0;
   bool answered = false;
   store_.before_single_read = [&] {
-    store_.down = true;  // nothing else can be read
+    store_.down = true;  // All later reads fail.
     cancelled = store_.Put(keys::Final("req-2"),
                            {{"stage", wire::JobStateName(wire::JobState::kCancelled)}});
   };
@@ -103,8 +104,8 @@
   EXPECT_GT(cancelled, before);
 }
 
-// A cancellation counts as reported before the user is answered, even if the watch cache does not
-// show it yet.
+// The controller logs its own cancellation before it answers the user, even if the watch cache does
+// not show the cancellation yet.
 TEST_F(JobServiceTest, ItsOwnCancellationCountsAtOnce) {
   bool answered = false;
   jobs_.Cancel("req-1", [&](JobStatus status) {
@@ -126,8 +127,8 @@
   EXPECT_EQ(jobs_.FindLive("req-1"), nullptr);
 }
 
-// The tasks of a cancelled job end at once, not when the watch cache shows the cancellation, which
-// takes as long as an outage lasts.
+// The controller receives a cancellation from a peer during an outage of the state service. The job
+// must end at once, because the watch cache shows the cancellation only after the outage.
 TEST_F(JobServiceTest, AJobCancelledAheadOfTheWatchCacheHasEnded) {
   ASSERT_NE(jobs_.FindLive("req-1"), nullptr);
   store_.down = true;
@@ -140,9 +141,9 @@
   EXPECT_EQ(jobs_.cancellations().newest(), revision);
 }
 
-// The watch cache shows the job's acceptance, and then nothing more while an outage lasts. A leader
-// that treated the job as live kept running it, although the user had received the confirmation of
-// the cancellation.
+// The controller receives a cancellation from a peer. The watch cache then shows the job's
+// acceptance, and no later change while an outage lasts. A leader that treated the job as live kept
+// running the job, although the user had received the confirmation of the cancellation.
 TEST_F(JobServiceTest, AJobCancelledBeforeItsAcceptanceIsSeenIsNotAccepted) {
   jobs_.OnCancellationLearned("req-3", watch_cache_.revision() + 2);
   store_.Put(keys::Job("req-3"), jobs::JobRecords::EncodeEntry(Spec("req-3"), 0));
--- a/tests/job_submitter_test.cc
+++ b/tests/job_submitter_test.cc
@@ -1,4 +1,4 @@
-// Bursts of submissions: the number of transactions, and the outcomes.
+// Tests of bursts of submissions: the number of transactions, and the outcome of each submission.
 #include "mosspath/service/job_submitter.h"
 
 #include <gtest/gtest.h>
@@ -52,8 +52,8 @@
   JobSubmitter submitter_;
 };
 
-// With one transaction for each job, 100 submissions took five seconds at this write rate, and were
-// answered 503 after two seconds.
+// At this test's write rate, 100 transactions take five seconds. With one transaction for each job,
+// 100 submissions were therefore answered with status 503 after two seconds.
 TEST_F(JobSubmitterTest, AHundredSubmissionsAtOnceTakeFewTransactions) {
   submitter_.SetBatching(true);
   const auto outcomes = Submit(0, 100);
@@ -61,8 +61,8 @@
   EXPECT_LE(BatchRecords(), 12u);
 }
 
-// While a controller may still run the previous version, each job has a record that this version
-// can read.
+// While another controller may still run the previous version, each job is written to a record of
+// its own, which the previous version can read.
 TEST_F(JobSubmitterTest, WithoutBatchingOneRecordPerJobIsWritten) {
   const auto outcomes = Submit(0, 10);
   EXPECT_EQ(outcomes.at(JobSubmitter::Outcome::kNew), 10);
--- a/tests/job_test.cc
+++ b/tests/job_test.cc
@@ -1,4 +1,4 @@
-// A job's tasks: the bitmap of done tasks, and the memory per task.
+// Tests of a job's tasks: the bitmap of done tasks, and the memory per task.
 #include "mosspath/jobs/job.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_EQ(copy.done, job.done);
   EXPECT_EQ(copy.pending, job.pending);
   EXPECT_TRUE(copy.done_not_durable.empty());
-  // Malformed segments change nothing.
+  // Malformed segments of the bitmap have no effect on the job.
   ApplyDoneBitmap(wire::Json("x"), 0, &copy);
   ApplyDoneBitmap(wire::Json("ff"), 5, &copy);
   ApplyDoneBitmap(wire::Json(std::string(200, 'f')), 0, &copy);
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -26,7 +26,8 @@
 
 using fakes::PlainAgent;
 
-// A transaction is committed when it is processed, unless one of its conditions does not hold.
+// When the state service processes a transaction, it commits the transaction if all its conditions
+// hold, and rejects it otherwise.
 enum class Event {
   kSendTransaction,      // the leader sends its pending records in one transaction
   kTransactionAnswered,  // the last transaction is processed, and the leader receives the answer
@@ -38,8 +39,8 @@
   kSecondHeartbeat,      // the second machine sends a heartbeat and receives the answer
   kFirstTaskEnds,        // the first task exits successfully on each machine that runs it
   kSecondTaskEnds,       // the second task exits successfully on each machine that runs it
-  kCompleteJob,          // the leader records that the job is done, and is answered
-  kCancel,               // another controller cancels the job, and the leader reads it
+  kCompleteJob,          // the leader records the done job and receives the answer
+  kCancel,               // another controller cancels the job; the leader reads this
   kElect,                // another leader is elected and has read all records
   kFirstMachineDies,     // the first machine is deleted, and the leader is notified
   kEvents
@@ -252,7 +253,7 @@
       case Event::kCommitOldest:
       case Event::kCommitNewest: {
         // Excludes the transaction whose answer the leader awaits. kTransactionAnswered processes
-        // that one. After a timeout or an election, the leader no longer awaits its answer.
+        // that transaction. After a timeout or an election, the leader awaits no answer.
         const size_t n = in_flight_.size() - (awaiting_answer_ ? 1 : 0);
         if (n == 0 || (event == Event::kCommitNewest && n == 1)) return false;
         const auto it = event == Event::kCommitOldest
@@ -348,7 +349,7 @@
 
 struct SearchResult {
   size_t states = 0;
-  size_t late = 0;  // states that follow a late commit
+  size_t late = 0;  // states that were reached after a late commit
   std::string violation;
 };
 
--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -33,9 +33,9 @@
   kStoreLeaseTime,  // a fraction of a store lease passes
   kRefuseLeader,    // toggles whether the state service refuses the first controller alone
   kOutage,          // toggles whether the state service is down for all controllers
-  kCancel,          // the second controller cancels the job and confirms this to the user
-  kRestart,         // the second controller restarts at once and has read nothing yet
-  kDelayResponses,  // toggles whether promise responses are delayed; delivers the delayed ones
+  kCancel,          // the second controller cancels the job and confirms it to the user
+  kRestart,         // the second controller restarts at once without any data
+  kDelayResponses,  // starts to delay promise responses, or stops and delivers them
   kPartitionThird,  // toggles whether the third controller is partitioned from the other two
   kEvents
 };
@@ -91,7 +91,7 @@
   }
   // Returns whether the task ran for longer than allowed after the confirmed cancellation.
   bool IsViolated() const { return violated_; }
-  // Returns whether a leader that learned of a cancellation from a peer continues to lead while the
+  // Returns whether a leader that received a cancellation from a peer continues to lead while the
   // state service is down.
   bool ContinuesInOutage() const { return learned_ && store_down_ && task_running_ && AnyMayAct(); }
   // Returns a text that identifies the state: everything that affects later steps, with times
@@ -120,8 +120,8 @@
     std::optional<CancellationLog> cancellations;
     double contact = -1e18;         // when the state service last answered
     int loaded = 0;                 // 0: nothing was read, 1: the first page, 2: all keys
-    bool has_cancellation = false;  // whether this controller has read or received it
-    uint64_t incarnation = 0;       // the number of starts; responses to an earlier one are dropped
+    bool has_cancellation = false;  // whether this controller has the cancellation
+    uint64_t incarnation = 0;       // number of starts; drops responses to earlier ones
   };
 
   void StartController(size_t i) {
--- a/tests/leadership_promises_test.cc
+++ b/tests/leadership_promises_test.cc
@@ -1,4 +1,5 @@
-// Rounds of peers' promises not to lead.
+// Tests of promise rounds. In a round, the leader requests from each peer a promise not to lead for
+// a short time.
 #include "mosspath/election/leadership_promises.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,8 @@
 namespace mosspath::election {
 namespace {
 
-// A round counts from its requests, and only once all peers have promised in it.
+// The promises of a round take effect once all peers have promised in that round. They are then
+// valid from the time at which the round's requests were sent.
 TEST(LeadershipPromisesTest, PromisesOfAllPeersCountFromTheRequest) {
   LeadershipPromises promises(1.0, 2);
   const uint64_t round = promises.BeginRound(50);
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -1,5 +1,5 @@
-// Election, promises not to lead, and what a leader receives from its peers during an outage of the
-// state service.
+// Tests of the election, of promises not to lead, and of the cancellations that a leader receives
+// from its peers during an outage of the state service.
 #include "mosspath/election/leadership.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,8 @@
   LeadershipTest()
       : settings_(test::PeerSettings()), derived_(settings_), leadership_(settings_, derived_, 0) {}
 
-  // Elects this controller at 10 s under `token`, with all records up to that revision read.
+  // Elects this controller at 10 s under `token`. The controller has read all records up to the
+  // revision `token`.
   void Lead(uint64_t token) {
     leadership_.OnStoreLeaseGranted(7, 10);
     leadership_.OnLoaded(false);
@@ -29,7 +30,8 @@
     EXPECT_EQ(leadership_.NextStep(10).kind, Kind::kElected);
     leadership_.OnReadUpTo(10, token);
   }
-  // A promise with a slice of the cancellation log.
+  // Returns a promise with a slice of the cancellation log. The slice is complete after the
+  // revision `from`.
   static wire::PromiseResponse Promise(uint64_t newest, uint64_t from,
                                        std::vector<wire::CancellationLogSlice::Entry> ids = {}) {
     return {true, {newest, from, std::max(newest, from), std::move(ids)}};
@@ -68,7 +70,7 @@
   EXPECT_FALSE(leadership_.MayAct(10 + derived_.store_lease_s));
   for (double now = 10; now < 40; now += derived_.store_lease_renew_s)
     leadership_.OnStoreLeaseRenewed(now);
-  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));  // its view is too old
+  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));  // The view is too old.
   leadership_.OnReadUpTo(39, 60);
   EXPECT_TRUE(leadership_.MayAct(40));
   const auto lost = leadership_.OnLeaderKey({"hut-1", 9, 61});
@@ -77,7 +79,8 @@
   EXPECT_FALSE(leadership_.MayAct(40));
 }
 
-// The previous process may have made a promise just before it ended.
+// The previous process of this controller may have promised not to lead just before it ended. The
+// restarted controller must wait until that promise has expired.
 TEST_F(LeadershipTest, LeadsOnlyAfterItsOwnPromiseExpires) {
   Leadership restarted(settings_, derived_, 10);
   restarted.OnStoreLeaseGranted(8, 10);
@@ -100,40 +103,42 @@
   leadership_.OnLeaderKey({});
   EXPECT_EQ(leadership_.NextStep(11).kind, Kind::kWait);
   EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 4).kind, Kind::kWait);
-  EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind,
-            Kind::kCampaign);  // no other controller campaigns
+  // No other controller has campaigned in the meantime.
+  EXPECT_EQ(leadership_.NextStep(11 + derived_.store_lease_s / 2 + 0.01).kind, Kind::kCampaign);
 }
 
 TEST_F(LeadershipTest, ContinuesWhileAllPeersPromise) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
-  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // the state service answers
+  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // The state service answers.
   auto round = leadership_.BeginPromiseRound(10, now);
   ASSERT_TRUE(round);
   Receive(*round, "hut-1", Promise(40, 50), now);
-  EXPECT_FALSE(leadership_.MayAct(now));  // one peer of two
+  EXPECT_FALSE(leadership_.MayAct(now));  // Only one of two peers has promised.
   Receive(*round - 1, "hut-2", Promise(40, 50), now);
-  EXPECT_FALSE(leadership_.MayAct(now));  // in an earlier round
+  EXPECT_FALSE(leadership_.MayAct(now));  // hut-2 promised in an earlier round.
   Receive(*round, "hut-2", {false, Promise(40, 50).cancellations}, now);
-  EXPECT_FALSE(leadership_.MayAct(now));  // no promise
+  EXPECT_FALSE(leadership_.MayAct(now));  // hut-2 refused to promise.
   Receive(*round, "hut-2", Promise(40, 50), now + 0.1);
   EXPECT_TRUE(leadership_.MayAct(now + 0.1));
-  EXPECT_NEAR(leadership_.view_age_s(now + 0.1), 0.1,
-              1e-9);  // as fresh as a read at the time of the request
+  // The promises make the view as fresh as a read at the time of the promise requests.
+  EXPECT_NEAR(leadership_.view_age_s(now + 0.1), 0.1, 1e-9);
   EXPECT_FALSE(leadership_.MayAct(now + derived_.promise_s));
 }
 
-// A peer confirms a cancellation to its user while only this leader can't reach the state service.
-// The leader must not keep the job's tasks running.
+// A peer confirms a cancellation to its user while the leader alone can't reach the state service.
+// The leader must receive the cancellation before it may act, or it would keep the job's tasks
+// running.
 TEST_F(LeadershipTest, AnUnreadCancellationIsLearnedFirst) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
   const uint64_t round = *leadership_.BeginPromiseRound(10, now);
   Receive(round, "hut-1", Promise(0, 50), now);
-  // The peer has restarted and can't list what its previous process confirmed.
+  // hut-2 has restarted. It can't list the cancellations up to revision 60 that its previous
+  // process may have confirmed, and the leader has read only up to revision 50.
   EXPECT_TRUE(Receive(round, "hut-2", Promise(60, 60), now).empty());
   EXPECT_FALSE(leadership_.MayAct(now));
-  // Later entries don't close that gap.
+  // A cancellation after revision 60 does not replace those between revisions 50 and 60.
   Receive(round, "hut-2", Promise(70, 60, {{"req-1", 70}}), now);
   EXPECT_FALSE(leadership_.MayAct(now));
   leadership_.OnReadUpTo(10, 60);
@@ -145,9 +150,10 @@
   EXPECT_TRUE(leadership_.MayAct(now));
 }
 
-// A peer receives the responses to two changes in reverse order, and so logs the earlier
-// cancellation after it has sent the later one to the leader. A leader that requested only later
-// entries never received the earlier one.
+// A peer cancels two jobs and receives the responses of the state service in reverse order. The
+// peer therefore logs the earlier cancellation after it has sent the later cancellation to the
+// leader. A leader that then requested only entries after the later cancellation never received the
+// earlier cancellation.
 TEST_F(LeadershipTest, AnEarlierCancellationMayBecomeKnownLater) {
   Lead(50);
   CancellationLog peer(10);
@@ -166,7 +172,7 @@
 }
 
 // If there are more cancellations than a response holds, the leader ends the listed jobs, but the
-// response does not refresh its view.
+// response does not refresh the leader's view.
 TEST_F(LeadershipTest, APartialCancellationListDoesNotRefreshTheView) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
@@ -178,8 +184,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));
 }
 
-// During a reload the leader lacks jobs that have ended since, even if the revision of the first
-// page is recent.
+// During a reload the leader has not read the ends of all jobs, even if the revision of the first
+// page is recent. Promises must not make such a view fresh.
 TEST_F(LeadershipTest, ALeaderThatReloadsGetsNoPromises) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
@@ -192,25 +198,27 @@
 }
 
 TEST_F(LeadershipTest, APeerPromisesOnlyWhatItKnows) {
-  EXPECT_FALSE(GetsPromise(90, 0, 20));  // nothing was read yet
+  EXPECT_FALSE(GetsPromise(90, 0, 20));  // This controller has read nothing.
   leadership_.OnLeaderKey({"hut-1", 9, 90});
-  // Before the load is complete, the confirmations of the previous process are unknown.
+  // Before the load is complete, this controller can't tell which cancellations its previous
+  // process may have confirmed.
   EXPECT_FALSE(GetsPromise(90, 0, 20));
   Follow();
-  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // this peer reaches the state service
+  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // The state service answers.
   EXPECT_TRUE(GetsPromise(90, 0, 20));
-  EXPECT_FALSE(GetsPromise(89, 0, 20));  // an earlier leader
+  EXPECT_FALSE(GetsPromise(89, 0, 20));  // Token 89 is an earlier leader's.
   leadership_.OnLeaderKey({});
   leadership_.OnReadUpTo(15, 110);
-  EXPECT_FALSE(GetsPromise(90, 0, 20));  // the leader key is gone
+  EXPECT_FALSE(GetsPromise(90, 0, 20));  // The leader key was deleted.
 }
 
-// Only the first leader loses the state service, a second leader is elected, and then no controller
-// can read. The first leader has not read the second election. When it refused to promise the
-// second leader, all leases expired.
+// Guards against expired leases: the first leader alone lost contact with the state service, a
+// second leader was elected, and then the state service was down for all controllers. The first
+// leader had not read the second election. It refused the promise to the second leader, and all
+// leases expired.
 TEST_F(LeadershipTest, ALaterLeaderIsAccepted) {
   Lead(50);
-  EXPECT_FALSE(GetsPromise(50, 10, 20));  // no other controller can lead under this token
+  EXPECT_FALSE(GetsPromise(50, 10, 20));  // Token 50 is this controller's own.
   EXPECT_EQ(leadership_.token(), 50u);
   const auto promise = leadership_.OnPromiseRequest({"hut-1", 60, 0}, 10, 20);
   EXPECT_TRUE(promise.promised);
@@ -218,9 +226,9 @@
   EXPECT_EQ(promise.loss->token, 50u);
   EXPECT_EQ(leadership_.token(), 0u);
   EXPECT_EQ(leadership_.leader(), "hut-1");
-  EXPECT_FALSE(GetsPromise(50, 10, 20, "hut-2"));  // a leader of an earlier term
+  EXPECT_FALSE(GetsPromise(50, 10, 20, "hut-2"));  // Token 50 is of an earlier term.
   EXPECT_EQ(leadership_.NextStep(20).kind, Kind::kNone);
-  // A later read takes precedence over a request.
+  // A leader key that is read later takes precedence over a promise request.
   leadership_.OnLeaderKey({});
   leadership_.OnReadUpTo(21, 70);
   EXPECT_FALSE(GetsPromise(60, 10, 22));
--- a/tests/locality_test.cc
+++ b/tests/locality_test.cc
@@ -41,8 +41,9 @@
                                         const LocalityPolicy& policy) {
   std::vector<size_t> eligible;
   for (size_t m = 0; m < pool.size(); ++m) {
-    const bool adds_nothing =
-        ReferenceMissingGb(pool[m], image) == 0;  // see ALargeImageOfAnotherTeam...
+    // The cap does not apply to a machine that holds all layers of the image; see the test
+    // ALargeImageOfAnotherTeamDoesNotExcludeAMachineThatHoldsTheLayers.
+    const bool adds_nothing = ReferenceMissingGb(pool[m], image) == 0;
     const double cap = policy.gamma / static_cast<double>(pool.size());
     if (pool[m].room && (adds_nothing || ReferenceShare(pool, m) <= cap)) {
       eligible.push_back(m);
@@ -96,7 +97,7 @@
   }
 }
 
-// The picker makes the same choice for each task as a scan of all machines.
+// For each task, LocalityPicker chooses the same machine as BestMachine, which scans all machines.
 TEST(LocalityTest, ThePickerChoosesAsBestMachineDoes) {
   std::mt19937_64 random(8);
   for (int round = 0; round < 3000; ++round) {
@@ -121,7 +122,7 @@
         picker.DropBest();
         continue;
       }
-      // The image is fetched; other images may be evicted.
+      // The machine fetches the image and may evict other images.
       const double held =
           std::max(0.5, best.held_gb + best.missing_gb - 0.25 * static_cast<double>(random() % 4));
       total_gb += held - best.held_gb;
@@ -137,8 +138,9 @@
   EXPECT_EQ(BestMachine({{0, 2, 0, true}, {1, 2, 0, true}}, 0, 2, LocalityPolicy{}), 0u);
 }
 
-// A large image of another team raised a machine's share, and the cap excluded the machine although
-// it held what the task needed. The cap still excludes machines that would have to fetch layers.
+// Guards against an excluded machine: a large image of another team raised a machine's share of the
+// layers in the pool above the cap. The cap excluded the machine, although it held all layers that
+// the task needed. The cap must still exclude a machine that would have to fetch layers.
 TEST(LocalityTest, ALargeImageOfAnotherTeamDoesNotExcludeAMachineThatHoldsTheLayers) {
   const std::vector<Candidate> holds{{0, 0, 1 + 30, true}, {1, 1, 1, true}, {2, 1, 1, true}};
   EXPECT_EQ(BestMachine(holds, 33, 3, LocalityPolicy{1.5, 1e-3}), 0u);
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -181,7 +181,8 @@
     }
   }
   EXPECT_LT(state_.single_reads - before, 20u);
-  // A controller caches that a job is unknown; a submission of the job invalidates that entry.
+  // The controllers have cached that the job does not exist. A submission of the job must
+  // invalidate that cache entry.
   EXPECT_EQ(Request(0, "POST", "/api/jobs", Job("req-888888", 1).dump()).first, 201);
   EXPECT_NE(JobStage(1, "req-888888"), "404");
   EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-888888") == "done"; }));
@@ -236,13 +237,14 @@
   EXPECT_EQ(Request(0, "POST", "/api/jobs/req-000100/cancel").first, 200);
   EXPECT_TRUE(WaitUntil(
       [&] { return Request(0, "POST", "/api/jobs", Job("req-000004", 1).dump()).first != 429; }));
-  // The submission of a known id is answered before its specification is validated.
+  // A submission with the id of an accepted job is answered without validation of its
+  // specification.
   EXPECT_EQ(Request(0, "POST", "/api/jobs", job.dump()).first, 200);
 }
 
 // One team fills its whole budget while the controllers crash one after the other. Jobs that
-// another team submits meanwhile must be accepted and run to completion. Accepted jobs must stay
-// known.
+// another team submits meanwhile must be accepted and run to completion. No accepted job may be
+// lost.
 TEST_F(Loopback, AFloodLeavesBudgetToAnotherTeamThroughCrashes) {
   int accepted_flood_jobs = 0;
   const auto submit_flood_job = [&](int node) {
@@ -274,7 +276,7 @@
 }
 
 // The leader or all controllers restart within a tenth of a second, also during an election.
-// Accepted jobs must stay known at every controller and run to completion, once.
+// Every controller must continue to report the accepted jobs, and each job must run to completion.
 TEST_F(Loopback, NoJobIsLostWhenControllersRestartAtOnce) {
   std::vector<std::string> ids;
   const auto leader = [&] {
@@ -303,7 +305,7 @@
     for (int i = 0; i < kNodes; ++i) {
       if (all || i == first) Start(i);
     }
-    if (round == 4) {  // a second restart during the election
+    if (round == 4) {  // The leader restarts again, in the election.
       io_.run_for(std::chrono::milliseconds(60));
       Kill(first);
       Start(first);
@@ -339,11 +341,11 @@
   EXPECT_TRUE(WaitUntil([&] { return JobStage(1, "req-000005") == "done"; }));
 }
 
-// The first compound failure in docs/compound-failures.md: the state service refuses the leader
-// alone, another controller confirms a cancellation, and then the state service is down for all
-// controllers. The leader must receive the cancellation from its peer and stop the tasks of that
-// job. All other tasks must continue. The fake agents keep their tasks even if no heartbeat is
-// answered, so nothing else can stop a task.
+// The first compound failure in docs/compound-failures.md: the state service refuses only the
+// requests of the leader, another controller confirms a cancellation, and then the state service is
+// down for all controllers. The leader must receive the cancellation from its peer and stop the
+// tasks of that job. All other tasks must continue. The fake agents keep their tasks even if no
+// heartbeat is answered, so nothing else can stop a task.
 TEST_F(Loopback, ALeaderCutFromTheStoreLearnsOfCancellationsInAnOutage) {
   cloud_.long_jobs = {"req-000020", "req-000021"};
   for (const auto& id : cloud_.long_jobs) {
