--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -1,4 +1,4 @@
-// The HTTP server when connections are scarce.
+// Tests of the HTTP server when sockets are scarce.
 #include "mosspath/net/http_server.h"
 
 #include <gtest/gtest.h>
@@ -57,8 +57,8 @@
   EXPECT_EQ(test_server.sockets->used(ConnectionClass::kAgent), 1u);
 }
 
-// There are more agents than sockets, and each agent keeps its own connection open while the server
-// allows it. All agents are served, and so is a user.
+// There are more agents than sockets on the public address, and each agent keeps its connection
+// open while the server allows it. All agents and a user must be served.
 TEST(HttpServerTest, MoreAgentsThanSocketsAreAllServed) {
   TestServer test_server(80);
   std::vector<std::unique_ptr<HttpClient>> agents;
--- a/tests/machine_health_test.cc
+++ b/tests/machine_health_test.cc
@@ -17,7 +17,7 @@
 TEST_F(MachineHealthTest, AMachineThatIsFarSlowerIsQuarantined) {
   for (const char* id : {"vm-1", "vm-2", "vm-3"}) AddReadyMachine(id, 0);
   for (int i = 0; i < 4; ++i) scheduler_.AddJob(Job(10 + i, 30, 1, wire::Priority::kNormal), 11, 0);
-  // vm-3 takes 60 s for tasks that take 12 s on the others.
+  // vm-3 takes 60 s for tasks that take 12 s on the other machines.
   std::map<std::string, std::map<std::pair<wire::TaskId, uint64_t>, double>> started_at;
   for (double now = 1; now < 400; now += 1) {
     for (const char* id : {"vm-1", "vm-2", "vm-3"}) {
@@ -86,7 +86,8 @@
   next.AddJob(Job(1, 8, 1, wire::Priority::kNormal), 11, 0);
   EXPECT_TRUE(next.FindJob("req-1")->crash_looping);
   EXPECT_GT(next.FindJob("req-1")->not_before, 100);
-  // The job does not cause a scale-out either while there are machines to try it on.
+  // The crash looping job also causes no scale-out while there are machines on which the scheduler
+  // can try it.
   EXPECT_TRUE(scheduler_.PlanScaling(500).scale_out.empty());
 }
 
--- a/tests/one_way_partition_test.cc
+++ b/tests/one_way_partition_test.cc
@@ -1,4 +1,5 @@
-// Tests agents whose heartbeats arrive but which receive nothing, and the reverse.
+// Tests of one-way partitions: agents whose heartbeats reach the leader but which receive nothing,
+// and agents that receive commands but whose heartbeats are lost.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,9 +9,10 @@
 namespace mosspath::scheduler {
 namespace {
 
-// Guards against tasks that are lost with a lease: the machine's heartbeats are lost while it
-// executes direct commands and answers them. Each answer made the machine look healthy, so it got
-// tasks until its lease expired, which ended them.
+// Guards against tasks that end with an agent lease: a machine's heartbeats were lost, but the
+// machine executed direct commands and answered them. Because of these answers, the leader treated
+// the machine as healthy and placed tasks on it, until the agent's lease expired and ended all of
+// them.
 TEST_F(OneWayPartitionTest, AMachineWhoseHeartbeatsAreLostTakesNoTasks) {
   AddReadyMachine("vm-1", 0);
   double now = 0.5;
@@ -23,7 +25,7 @@
     }
     scheduler_.Tick(now);
     for (const CommandBatch& batch : scheduler_.TakeCommands(now)) {
-      // Each task has succeeded by the time of the answer.
+      // The answer reports that each started task has succeeded.
       wire::Heartbeat heartbeat = NextHeartbeat("vm-1", 1);
       heartbeat.sequence = ++sequence;
       for (const auto& command : batch.commands) {
@@ -42,8 +44,9 @@
   EXPECT_TRUE(IsSchedulable("vm-1", now));
 }
 
-// Guards against a blocked recovery: a machine that answers did not reach kept a new leader from
-// starting any task of earlier jobs for as long as the machine's heartbeats arrived.
+// Guards against a blocked recovery: a machine's heartbeats reached the new leader, but the
+// leader's answers did not reach the machine. As long as such heartbeats arrived, the leader
+// started no task of earlier jobs.
 TEST_F(OneWayPartitionTest, FailoverDoesNotWaitForIt) {
   wire::Json record = wire::Json::object();
   for (int i = 0; i < 20; ++i) record["vm-" + std::to_string(100 + i)] = "a:1";
@@ -52,14 +55,15 @@
   double now = 1;
   uint64_t agent_epoch = 1;
   while (now < 1 + derived_.agent_lease_over_s) {
-    // The leases expire repeatedly, as no answer renews them.
+    // The agents' leases expire repeatedly, because no answer renews them.
     if (now > static_cast<double>(agent_epoch) * settings_.agent_lease_s) ++agent_epoch;
     for (int i = 0; i < 5; ++i) {
       EXPECT_TRUE(
           SendHeartbeatUnderToken("vm-" + std::to_string(100 + i), now, agent_epoch, 3).accepted);
     }
     scheduler_.Tick(now);
-    EXPECT_FALSE(IsScaledIn("vm-100", now)) << now;  // too many, and possibly reachable again soon
+    // 5 of 20 machines are too many to delete. The machines may also be reachable again soon.
+    EXPECT_FALSE(IsScaledIn("vm-100", now)) << now;
     now += settings_.heartbeat_s;
   }
   EXPECT_FALSE(scheduler_.recovery_complete());
@@ -82,19 +86,19 @@
   EXPECT_TRUE(IsScaledIn("vm-100", derived_.agent_suspect_s + 1.1));
 }
 
-// Two consecutive answers to the machine have no effect. It gets no new tasks until it has
-// confirmed a higher token.
+// Two consecutive heartbeat answers to a machine have no effect. The machine gets no new tasks
+// until it has confirmed a higher fencing token.
 TEST_F(OneWayPartitionTest, ItTakesNoTasksUntilItConfirmsAHigherToken) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 4, 1, wire::Priority::kNormal), 11, 0);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 1)).size(), 4u);
-  EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(),
-            4u);  // a single lost answer is tolerated
+  // The leader tolerates a single lost answer.
+  EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(), 4u);
   EXPECT_TRUE(IsSchedulable("vm-1", 3));
   SendHeartbeat("vm-1", 5);
   scheduler_.Tick(5);
   scheduler_.OnRecordsWritten(20, 5);
-  scheduler_.Tick(5.1);  // raises the token
+  scheduler_.Tick(5.1);  // Raises the fencing token.
   const uint64_t token = scheduler_.machines().at("vm-1").fencing_token;
   EXPECT_GT(token, 10u);
   for (const double now : {7.0, 9.0, 11.0}) {
@@ -104,7 +108,7 @@
     EXPECT_TRUE(answer.commands.empty());
     EXPECT_FALSE(IsSchedulable("vm-1", now));
   }
-  EXPECT_EQ(scheduler_.Counts("req-1").running, 0u);  // the tasks may be placed elsewhere
+  EXPECT_EQ(scheduler_.Counts("req-1").running, 0u);  // The tasks may now start on other machines.
   SendHeartbeat("vm-1", 13, {}, token);
   EXPECT_TRUE(IsSchedulable("vm-1", 13));
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 14, {}, token)).size(), 4u);
@@ -116,7 +120,7 @@
   for (const double now : {1.0, 3.0, 5.0, 7.0}) {
     const auto starts = Starts(SendHeartbeat("vm-1", now));
     if (starts.empty()) continue;
-    // One command is executed and its task fails at once; the other commands are lost.
+    // The agent executes one command, and its task fails at once. The other commands are lost.
     SendHeartbeat("vm-1", now + 1,
                   {test::Exited(starts[0], wire::ExitReason::kInsufficientResources)});
     scheduler_.Tick(now + 1);
@@ -124,7 +128,8 @@
   EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 0u);
 }
 
-// The leader has answered each heartbeat, but the agent's lease expires and a new epoch begins.
+// The leader has answered each heartbeat, but the agent reports a new epoch. The agent's lease must
+// have expired, so the answers did not arrive.
 TEST_F(OneWayPartitionTest, AnUnexpectedAgentEpochMeansThatAnswersAreLost) {
   AddReadyMachine("vm-1", 0);
   for (double now = 2; now < 22; now += 2) SendHeartbeat("vm-1", now);
@@ -132,8 +137,8 @@
   EXPECT_EQ(scheduler_.machines().at("vm-1").ignored_answers_token, 10u);
 }
 
-// A late duplicate of a heartbeat changes nothing: neither tasks nor the machine's address, contact
-// times and reclaim notice.
+// A late duplicate of a heartbeat has no effect on the machine's tasks, address, contact times and
+// reclaim notice.
 TEST_F(OneWayPartitionTest, ADuplicateHeartbeatChangesNothing) {
   AddReadyMachine("vm-1", 0);
   wire::Heartbeat copy = NextHeartbeat("vm-1", 1);
--- a/tests/packed_map_test.cc
+++ b/tests/packed_map_test.cc
@@ -1,4 +1,4 @@
-// Maps that are stored in packs of bounded size.
+// Tests of maps that are stored in packs of bounded size.
 #include "mosspath/kvstore/packed_map.h"
 
 #include <gtest/gtest.h>
@@ -45,21 +45,21 @@
 }
 
 // A write without an answer may be executed minutes later, after newer writes of the same leader.
-// It would then remove machines from the record that may still run tasks. So each write is
-// conditional on the version that it is based on.
+// An old write of a machine record would then remove machines that may still run tasks. Each write
+// is therefore conditional on the version of the pack on which it is based.
 TEST(PackedMapTest, ALateWriteCarriesAnOldVersion) {
   kvstore::PackedMap map(300);
   map.Set("vm-1", "a");
   const auto late = map.TakeDirty(1, 300);
-  map.MarkDirty(0);  // no answer
+  map.MarkDirty(0);  // The write gets no answer.
   map.Set("vm-2", "a");
   const auto next = map.TakeDirty(1, 300);
   ASSERT_EQ(next.size(), 1u);
-  EXPECT_EQ(next[0].version, late[0].version);  // so only one of the two can succeed
+  EXPECT_EQ(next[0].version, late[0].version);  // Only one of the two can succeed.
   map.OnPackVersion(0, 7);
   map.Set("vm-3", "a");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
-  map.OnPackVersion(0, 5);  // a delayed event
+  map.OnPackVersion(0, 5);  // The event is delayed.
   map.Touch("vm-3");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,4 +1,4 @@
-// Placement: which tasks start, in which order and on which machines.
+// Tests of placement: which tasks start, in which order and on which machines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,9 +14,10 @@
 
 using PlacementTest = SchedulerTest;
 
-// In queue order, large jobs and jobs that can meet no objective come last. Under several times the
-// load that the machines can carry, the largest job of a class started after minutes. One task of
-// an overdue job therefore goes ahead of all other work.
+// Guards against starvation: large jobs and jobs that can meet no objective come last in queue
+// order. When the load was several times the capacity of the machines, the largest job of a class
+// started only after minutes. The scheduler therefore places one task of an overdue job before all
+// other tasks.
 TEST_F(PlacementTest, EachJobStartsItsFirstTaskInTimeUnderOverload) {
   AddReadyMachine("vm-1", 0);
   auto large = Job(1, 500, 1, wire::Priority::kLow);
@@ -55,7 +56,8 @@
             3);
 }
 
-// Best-effort jobs, which have no objective, were placed before low-priority jobs with one.
+// Guards against a wrong order: best-effort jobs, which have no objective, were placed before
+// low-priority jobs that have an objective.
 TEST_F(PlacementTest, LowPriorityJobsWithoutAnObjectiveArePlacedLast) {
   AddReadyMachine("vm-1", 50);
   scheduler_.AddJob(Job(1, 4, 1, wire::Priority::kLow), 11, 0);
@@ -93,13 +95,14 @@
   scheduler.Place(1);
   EXPECT_EQ(used(largest), 4.0 * sizes[largest]);
   for (const auto& [shard, n] : sizes) EXPECT_EQ(used(shard), shard == largest ? 4.0 * n : 0.0);
-  scheduler.AddJob(Job(2, 200, 1, wire::Priority::kNormal), 12, 1);  // more than any shard holds
+  // No single shard has room for the job.
+  scheduler.AddJob(Job(2, 200, 1, wire::Priority::kNormal), 12, 1);
   scheduler.Place(2);
   for (const auto& [shard, n] : sizes) EXPECT_EQ(used(shard), 4.0 * n);
 }
 
-// Small best-effort tasks filled all freed capacity before there was enough of it for a larger task
-// with an objective.
+// Guards against a task that never fits: small best-effort tasks took freed capacity before enough
+// of it was free for a larger task with an objective.
 TEST_F(PlacementTest, BestEffortTasksLeaveCapacityToJobsWithAnObjective) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 2, 1.5, wire::Priority::kNormal), 11, 0);
@@ -124,7 +127,7 @@
   auto gang = Job(1, 6, 1, wire::Priority::kNormal);
   gang.kind = wire::JobKind::kGang;
   scheduler_.AddJob(gang, 11, 0);
-  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());  // only four of six fit
+  EXPECT_TRUE(Starts(SendHeartbeat("vm-1", 1)).empty());  // Only four of the six tasks fit.
   AddReadyMachine("vm-2", 1);
   const size_t first = Starts(SendHeartbeat("vm-1", 2)).size();
   EXPECT_EQ(first + Starts(SendHeartbeat("vm-2", 2)).size(), 6u);
@@ -139,7 +142,7 @@
     std::vector<wire::TaskStatus> refused;
     for (const auto& command : Starts(SendHeartbeat("vm-1", ++now))) {
       EXPECT_TRUE(attempts.insert(command.attempt).second);
-      // Every second start is lost; all other starts are refused.
+      // Every second start command is lost, and the machine refuses all other starts.
       if (attempts.size() % 2 == 0) continue;
       refused.push_back(test::Exited(command, wire::ExitReason::kInsufficientResources));
     }
@@ -160,9 +163,9 @@
   EXPECT_EQ(Forgets(SendHeartbeat("vm-1", 3, done)).size(), 1u);
 }
 
-// At the largest size, placing an array filters each machine about once, further jobs that fit
-// nowhere filter no more machines, and records stay within the size limits of a value and a
-// request.
+// Tests the work that the scheduler does in the largest clusters. To place an array job, it filters
+// each machine about once. For further jobs that fit on no machine, it filters no more machines.
+// Records stay within the size limits of a value and of a request.
 class LargestClusterTest : public SchedulerTest, public ::testing::WithParamInterface<size_t> {};
 
 TEST_P(LargestClusterTest, WorkIsBounded) {
@@ -189,15 +192,15 @@
   scheduler_.Place(2);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 700u);
   EXPECT_LE(scheduler_.candidates_scored() - scored, machines);
-  scheduler_.AddJob(Job(2, static_cast<uint32_t>(5 * machines), 1, wire::Priority::kNormal), 11,
-                    0);  // more than there is capacity for
+  // The job has more tasks than the machines have room for.
+  scheduler_.AddJob(Job(2, static_cast<uint32_t>(5 * machines), 1, wire::Priority::kNormal), 11, 0);
   scheduler_.Place(3);
   scored = scheduler_.candidates_scored();
   for (int i = 0; i < 300; ++i)
     scheduler_.AddJob(Job(100 + i, 600, 1, wire::Priority::kNormal), 11, 0);
   scheduler_.Place(4);
   EXPECT_LE(scheduler_.candidates_scored() - scored, machines);
-  // A heartbeat refills its own machine and filters no other.
+  // After a heartbeat, the scheduler places tasks on that machine and filters no other machine.
   scored = scheduler_.candidates_scored();
   SendHeartbeat(ids[0], 5);
   EXPECT_LE(scheduler_.candidates_scored() - scored, machines);
--- a/tests/preemption_test.cc
+++ b/tests/preemption_test.cc
@@ -1,4 +1,4 @@
-// Preemption of tasks of lower priority.
+// Tests of the preemption of tasks of lower priority.
 #include <gtest/gtest.h>
 
 #include "scheduler_fixture.h"
@@ -8,8 +8,8 @@
 
 using PreemptionTest = SchedulerTest;
 
-// Preemption waits for one heartbeat interval. With a long interval that wait missed the objective
-// for starts.
+// Guards against a missed objective: a job waited for one heartbeat interval before it could
+// preempt tasks. With a long heartbeat interval, this wait alone missed the objective for starts.
 TEST_F(PreemptionTest, PreemptionDoesNotWaitForSlowHeartbeats) {
   settings_.heartbeat_s = 8;
   settings_.agent_lease_s = 36;
--- a/tests/process_stall_test.cc
+++ b/tests/process_stall_test.cc
@@ -1,4 +1,4 @@
-// A stall of the leader's own process proves nothing about agents.
+// Tests that the leader draws no conclusions about agents from a stall of its own process.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -49,7 +49,7 @@
   };
   EXPECT_EQ(run("vm-1", 1, 6, false), 4u);  // the usual run time: 5 s
   EXPECT_EQ(run("vm-1", 7, 12, false), 4u);
-  EXPECT_EQ(run("vm-2", 13, 43, true), 4u);  // 30 s, most of them a stall
+  EXPECT_EQ(run("vm-2", 13, 43, true), 4u);  // 30 s, mostly a stall of the leader
   EXPECT_FALSE(scheduler_.machines().at("vm-2").quarantined);
   EXPECT_EQ(run("vm-2", 44, 74, false), 4u);  // the same run time without a stall
   EXPECT_TRUE(scheduler_.machines().at("vm-2").quarantined);
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,4 +1,4 @@
-// Tasks of unknown team or unknown end count towards team quotas.
+// Tests that tasks count towards team quotas even if their team is unknown or they may have ended.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,9 +14,9 @@
 namespace mosspath::scheduler {
 namespace {
 
-// A new leader finds a task of a cancelled job, so the task's team and size are unknown. One
-// machine can't be probed either. A team with a limit starts no task before that task and that
-// machine are known to be gone.
+// A new leader finds a running task of a cancelled job. The task's team and size are unknown,
+// because the job is no longer live. The leader also can't probe one machine. It starts no task of
+// a team with a limit until that task has ended and that machine is gone.
 TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
   config::Settings settings = simulation::SmallSettings();
   const config::DerivedSettings derived(settings);
@@ -34,7 +34,7 @@
     scheduler.OnHeartbeat(heartbeat, now);
   };
   const wire::TaskStatus found = test::Running({"req-8", 0}, /*attempt=*/5);
-  // Accepted under this leader.
+  // The job is accepted under this leader.
   wire::JobSpec job = test::MakeJobSpec("req-1", "tight", /*tasks=*/1);
   job.image = "img";
   scheduler.AddJob(job, 11, 0);
@@ -44,7 +44,7 @@
   };
   send_heartbeat("vm-1", 1, {found});
   send_heartbeat("vm-2", 1, {});
-  EXPECT_EQ(started(1.1), 0u);  // one machine can't be probed, one runs a task of unknown size
+  EXPECT_EQ(started(1.1), 0u);  // vm-3 can't be probed; vm-1 runs the task.
   scheduler.OnMachineDeleted("vm-3", 2);
   EXPECT_TRUE(scheduler.recovery_complete());
   EXPECT_EQ(started(2.1), 0u);
@@ -55,7 +55,8 @@
   EXPECT_EQ(started(3.1), 1u);
 }
 
-// A withheld task may be running, so it counts towards its team's quota, even after its job has
+// A task is withheld from placement while an unanswered start of the task may still be executed.
+// The task may thus be running, so it counts towards its team's quota, even after its job has
 // ended.
 TEST(QuotaTest, WithheldTasksCountTowardsTheirTeam) {
   const config::Settings settings = simulation::SmallSettings();  // "tight" may use 10 CPUs
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -1,4 +1,4 @@
-// Token buckets and retry backoff.
+// Tests of token buckets and of the retry backoff.
 #include "mosspath/net/rate_limit.h"
 
 #include <gtest/gtest.h>
--- a/tests/reconciliation_test.cc
+++ b/tests/reconciliation_test.cc
@@ -11,8 +11,9 @@
 
 using ReconciliationTest = SchedulerTest;
 
-// Guards against tasks that run twice. The agent's answer to a command batch, made while the answer
-// to a heartbeat was in flight, was taken as proof that the starts in the latter were lost.
+// Guards against tasks that run twice: the agent answered a command batch while the leader's answer
+// to a heartbeat was in flight to the agent. The leader concluded from the command outcome that the
+// starts in its heartbeat answer were lost.
 TEST_F(ReconciliationTest, CommandOutcomesDoNotDisproveStartsInHeartbeatAnswers) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -20,8 +21,8 @@
   const auto batches = scheduler_.TakeCommands(1);
   ASSERT_EQ(batches.size(), 1u);
   scheduler_.AddJob(Job(2, 1, 1, wire::Priority::kNormal), 12, 0);
-  ASSERT_EQ(Starts(SendHeartbeat("vm-1", 1.1)).size(),
-            1u);  // in flight to the agent
+  // The answer with this start is in flight to the agent.
+  ASSERT_EQ(Starts(SendHeartbeat("vm-1", 1.1)).size(), 1u);
   wire::Heartbeat command_answer;
   command_answer.machine = "vm-1";
   command_answer.agent_epoch = 1;
@@ -34,8 +35,8 @@
   EXPECT_EQ(scheduler_.Counts("req-2").running, 1u);
 }
 
-// The heartbeat in a command outcome was made before a heartbeat that has arrived already, so it
-// must not undo what the newer one has reported.
+// A delayed command outcome contains a heartbeat that is older than the last heartbeat that the
+// leader has received. The outcome must not undo what the newer heartbeat has reported.
 TEST_F(ReconciliationTest, ADelayedCommandOutcomeChangesNothing) {
   AddReadyMachine("vm-1", 0);
   scheduler_.AddJob(Job(1, 1, 1, wire::Priority::kNormal), 11, 0);
@@ -66,8 +67,10 @@
   ASSERT_EQ(batches.size(), 1u);
   scheduler_.OnCommandOutcome(batches[0], CommandOutcome::kUndetermined, nullptr, 2);
   SendHeartbeat("vm-1", 2.5);
-  EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);  // the start may still be executed
-  scheduler_.Tick(2.6);  // a higher token is a store revision, so a record is written
+  EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);  // The agent may still execute the start.
+  // To get a higher fencing token, which is a revision of the state service, the leader writes a
+  // record.
+  scheduler_.Tick(2.6);
   ASSERT_FALSE(scheduler_.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty());
   scheduler_.OnRecordsWritten(30, 0);
   scheduler_.Tick(3);
@@ -75,7 +78,9 @@
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
   SendHeartbeat("vm-1", 4, {}, 30);
   const auto starts = Starts(SendHeartbeat("vm-1", 4.5, {}, 30));
-  ASSERT_EQ(starts.size(), 1u);  // the first start is certainly void, so the task starts again
+  // The agent has confirmed the higher token and will reject the first start. The task starts
+  // again.
+  ASSERT_EQ(starts.size(), 1u);
   EXPECT_NE(starts[0].attempt, batches[0].commands[0].attempt);
 }
 
--- a/tests/reliable_channel_test.cc
+++ b/tests/reliable_channel_test.cc
@@ -1,4 +1,4 @@
-// The reliable channel over frames that are lost, repeated and reordered.
+// Tests of the reliable channel over frames that are lost, repeated and reordered.
 #include "mosspath/shard/reliable_channel.h"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
           const size_t which = random() % queue.size();
           const wire::ShardFrame frame = queue[which];
           if (random() % 3 != 0) queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(which));
-          if (random() % 4 == 0) break;  // lost
+          if (random() % 4 == 0) break;  // The frame is lost.
           for (const auto& message : (&queue == &to_receiver ? receiver : sender).Receive(frame))
             received.push_back(message.count);
         }
--- a/tests/resignation_backoff_test.cc
+++ b/tests/resignation_backoff_test.cc
@@ -1,4 +1,4 @@
-// The minimum time between an election and a resignation.
+// Tests of the minimum time between the election of a leader and its resignation.
 #include "mosspath/election/resignation_backoff.h"
 
 #include <gtest/gtest.h>
--- a/tests/reused_address_test.cc
+++ b/tests/reused_address_test.cc
@@ -9,7 +9,7 @@
 namespace mosspath::scheduler {
 namespace {
 
-// vm-1 is gone. vm-2 has reused its address and receives the commands for vm-1.
+// vm-1 is gone. vm-2 has reused the address of vm-1 and receives the commands for vm-1.
 class ReusedAddressTest : public OneWayPartitionTest {
  protected:
   ReusedAddressTest() {
@@ -31,7 +31,7 @@
     return Starts(SendHeartbeat(id, now)).size();
   }
   CommandBatch command_batch_;  // the commands for vm-1
-  wire::Heartbeat heartbeat_;   // from vm-2, which has executed them
+  wire::Heartbeat heartbeat_;   // sent by vm-2 after it has executed command_batch_
   uint64_t revision_ = 12;
 };
 
@@ -61,15 +61,16 @@
 }
 
 // The outcome of the command batch is lost, and vm-1 is deleted before vm-2 sends a heartbeat. A
-// task that was restarted at once ran twice, so the task waits until no other machine can run it.
+// task that was restarted at once also ran on vm-2. The task must wait until no other machine with
+// the address of vm-1 can run it.
 TEST_F(ReusedAddressTest, TheAddressIsReconciledBeforeTheTaskIsRestarted) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   AddReadyMachine("vm-3", 1);
   scheduler_.OnMachineDeleted("vm-1", 1.5);
   EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
-  // The list may not show all machines that were up when the commands were sent, so it proves
-  // nothing.
+  // This list may lack machines that were up when the commands were sent. Even if it shows no other
+  // machine with the address, such a machine may exist.
   const wire::ListedMachine third{"vm-3", "vm-3:1", "box", "a", false, wire::MachineState::kRunning,
                                   9};
   wire::ListedMachine other = third;
@@ -78,7 +79,7 @@
   scheduler_.OnMachineList({third}, 0.5 + settings_.machine_list_lag_s, 5);
   scheduler_.Tick(5);
   EXPECT_EQ(CountStartsOn("vm-3", 5.1), 0u);
-  // vm-2 is listed, and has sent no heartbeat.
+  // The list shows vm-2, which has sent no heartbeat.
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnMachineList({third, other}, late, late);
   scheduler_.Tick(late);
@@ -131,8 +132,8 @@
   EXPECT_EQ(on_third + Starts(scheduler_.OnHeartbeat(again, late + 1)).size(), 1u);
 }
 
-// The usual case: no other machine has reused the address. The task is restarted as soon as a list
-// that was requested late enough shows this.
+// The usual case: no other machine has reused the address of vm-1. The task is restarted as soon as
+// a machine list shows no machine with that address, if the list was requested late enough.
 TEST_F(ReusedAddressTest, NoOtherMachineHasTheAddress) {
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
@@ -142,8 +143,9 @@
   EXPECT_EQ(CountStartsOn("vm-3", late + 2), 1u);
 }
 
-// vm-2 confirms a token that was raised for vm-1. Guards against a needless rejection: such
-// heartbeats were rejected as if the token were a later leader's.
+// vm-2 confirms a fencing token that the leader raised for vm-1. Guards against a needless
+// rejection: the leader rejected such heartbeats, because it treated the token as that of a later
+// leader.
 TEST_F(ReusedAddressTest, ATokenRaisedForAnotherMachineIsAccepted) {
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
   scheduler_.Tick(0.8);
@@ -159,7 +161,7 @@
   EXPECT_FALSE(scheduler_.OnHeartbeat(later, 2).accepted);
 }
 
-// A new leader probes vm-1, and the answer comes from vm-2, which has no record.
+// A new leader probes vm-1, and the answer comes from vm-2, which is in no machine record.
 TEST_F(ReusedAddressTest, ANewLeaderFindsTheTaskOnTheOtherMachine) {
   Scheduler next(settings_, derived_, 20, 10);
   next.SetMachineTypes({type_});
--- a/tests/routing_table_test.cc
+++ b/tests/routing_table_test.cc
@@ -1,4 +1,4 @@
-// The routing of a machine's heartbeats to the holder of its shard.
+// Tests of the routing of a machine's heartbeats to the holder of the machine's shard.
 #include "mosspath/shard/routing_table.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   routes.OnLease("hut-1", 7);
   EXPECT_EQ(routes.HolderOf("vm-2"), "hut-1");
   EXPECT_EQ(routes.HolderOf("vm-1"), "");
-  EXPECT_EQ(routes.HolderOf("vm-3"), "");  // lease 8 has no holder
+  EXPECT_EQ(routes.HolderOf("vm-3"), "");  // Lease 8 has no holder.
   EXPECT_EQ(routes.MachinesUnder(7).at("vm-2").address, "b:1");
   EXPECT_EQ(routes.MachinesUnder(7).at("vm-2").version, 20u);
   routes.OnLease("hut-1", 8);
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -1,4 +1,4 @@
-// The rule checker of the simulation reports violations that the tests inject.
+// Tests that the simulation's rule checker reports violations, which the tests inject.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -69,19 +69,19 @@
   world.Submit(spec_);
   auto& agent = world.AddMachine("box", "east", false);
   world.rule_checker.OnCancellationConfirmed("req-1", 0);
-  world.clock.At(25, [&] { agent.OnCommands(1, 3, {Start(0)}); });  // the agent's third epoch
+  world.clock.At(25, [&] { agent.OnCommands(1, 3, {Start(0)}); });  // The agent is in epoch 3.
   world.clock.RunUntil(27);
   world.rule_checker.CheckNow(27);
   EXPECT_TRUE(Found("ran_cancelled"));
 }
 
-// The agent's lease is still valid after the hang, so the agent continues a task that was cancelled
-// meanwhile.
+// The agent's lease is still valid after the hang, so the agent continues a task whose job was
+// cancelled during the hang.
 TEST_F(RuleCheckerTest, DetectsACancelledTaskOnAMachineThatHung) {
   spec_.kind = wire::JobKind::kService;
   world.Submit(spec_);
   auto& agent = world.AddMachine("box", "east", false);
-  world.clock.At(15, [&] {  // the agent's second epoch
+  world.clock.At(15, [&] {  // The agent is in epoch 2.
     agent.OnCommands(1, 2, {Start(0)});
     agent.Hang(4);
   });
@@ -97,8 +97,8 @@
   for (double now = 0; now <= 88; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-1", "vm-2"}, now);
   EXPECT_FALSE(Found("waits"));
-  // Room on one machine after another is fragmented capacity of a full cluster, which is no breach.
-  // The time limit applies to each machine.
+  // A full cluster has fragmented capacity: there is room on one machine after another. The time
+  // limit applies to each machine separately, so this is no breach.
   for (double now = 90; now <= 178; now += 2)
     world.rule_checker.OnMachinesWithRoom("req-1", {"vm-3"}, now);
   EXPECT_FALSE(Found("waits"));
--- a/tests/runnable_test.cc
+++ b/tests/runnable_test.cc
@@ -1,4 +1,4 @@
-// Jobs are rejected for good if and only if they can never run.
+// Tests that jobs are rejected for good if and only if they can never run.
 #include "mosspath/admission/runnable.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
   EXPECT_TRUE(IsRunnable());
   spec_.cpus = 9;
   EXPECT_TRUE(IsRunnable());
-  spec_.zone = "a";  // has only small machines
+  spec_.zone = "a";  // Zone "a" has only small machines.
   EXPECT_FALSE(IsRunnable());
   spec_.cpus = 8;
   EXPECT_TRUE(IsRunnable());
@@ -89,7 +89,7 @@
   EXPECT_TRUE(IsRunnable());
   spec_.single_zone = false;
   spec_.tasks = 2;
-  spec_.cpus = 9;  // large machines are in one zone only
+  spec_.cpus = 9;  // Only one zone has machines for 9 CPUs.
   EXPECT_FALSE(IsRunnable());
 }
 
--- a/tests/scaling_planner_test.cc
+++ b/tests/scaling_planner_test.cc
@@ -1,4 +1,4 @@
-// Which machines the scaling planner adds, keeps, cordons and deletes.
+// Tests of the scaling planner: which machines it adds, keeps, cordons and deletes.
 #include "mosspath/autoscaler/scaling_planner.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using ScalingPlannerTest = SchedulerTest;
 
-// A machine of the type "box" that is up and takes tasks.
+// Returns a machine of the type "box" that is up and takes tasks.
 autoscaler::FleetMachine SchedulableMachine(const std::string& id, const std::string& zone,
                                             bool spot) {
   autoscaler::FleetMachine machine;
@@ -47,8 +47,9 @@
 }
 
 // Guards against a replica that waits for ever (`simulate addition`, seed 45): each on-demand
-// machine had one free CPU, too little for the replica. The planner counted these CPUs and an idle
-// spot machine that the replica may not use, so it requested no machine.
+// machine had one free CPU, too little for the replica. The planner counted these CPUs, and also an
+// idle spot machine, which the replica may not use, as capacity for the replica. It therefore
+// requested no machine.
 TEST_F(ScalingPlannerTest, FragmentedCapacityDoesNotCoverDemand) {
   type_.spot_price = 0.3;
   autoscaler::ScalingInput input;
@@ -75,8 +76,8 @@
 }
 
 // Guards against tasks that wait for ever (`simulate meetings`, seed 161): spot machines and the
-// other zone had enough capacity, so the planner drained every machine that the tasks may use. The
-// capacity of these machines still counted, so no machine was requested.
+// other zone had enough free capacity, so the planner drained every machine that the tasks could
+// use. The planner still counted the capacity of the draining machines, so it requested no machine.
 TEST_F(ScalingPlannerTest, CapacityThatPendingTasksNeedIsNotDrained) {
   type_.spot_price = 0.3;
   type_.zones = {"a", "b"};
@@ -105,7 +106,7 @@
   };
   EXPECT_FALSE(drains("a1"));
   EXPECT_FALSE(drains("a2"));
-  EXPECT_TRUE(drains("a0"));  // no task fits
+  EXPECT_TRUE(drains("a0"));  // No pending task fits on a0.
   EXPECT_TRUE(plan.scale_out.empty());
 }
 
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -1,5 +1,5 @@
-// The settings file: a valid file is read, and an invalid file is rejected with an error that names
-// the key.
+// Tests of the settings file: a valid file is read, and an invalid file is rejected with an error
+// that names the invalid key.
 #include "mosspath/config/settings.h"
 
 #include <gtest/gtest.h>
@@ -66,7 +66,7 @@
   EXPECT_LT(derived.store_lease_renew_s * 2, derived.store_lease_s);
 }
 
-// The valid file with `from` replaced by `to`, and the key that the error must name.
+// An invalid variant of the valid file, in which `to` replaces `from`. The error must name `key`.
 struct BrokenFile {
   const char* from;
   const char* to;
--- a/tests/shard_frame_test.cc
+++ b/tests/shard_frame_test.cc
@@ -1,4 +1,4 @@
-// Frames between the leader and shard holders: encoding, decoding, hostile input.
+// Tests of the frames between the leader and shard holders: encoding, decoding, hostile input.
 #include "mosspath/wire/shard_frame.h"
 
 #include <gtest/gtest.h>
--- a/tests/shard_holder_test.cc
+++ b/tests/shard_holder_test.cc
@@ -14,9 +14,9 @@
 
 using wire::ShardMessage;
 
-// A returned machine may be handed over again before the holder has read the record in between. The
-// tasks of the second handover then are on the machine. The holder treated them as tasks of a
-// returned machine, and they ran twice.
+// Guards against tasks that run twice: a holder returned a machine, and the leader handed the
+// machine over again before the holder had read that the machine was returned. The holder treated
+// the tasks of the second handover, which were on the machine, as tasks of a returned machine.
 TEST(ShardHolderTest, AMachineHandedOverAgainIsNotTheReturnedOne) {
   config::Settings settings;
   settings.name = "hut-1";
@@ -53,7 +53,8 @@
     receive({.kind = ShardMessage::Kind::kRecallMachine, .name = "vm-1"}, 1.1);
     holder.Tick(1.2);
     ASSERT_TRUE(holder.returned().contains("vm-1"));
-    // 20: a delayed message of the first handover; 40: of the second.
+    // A handover revision of 20 marks a delayed message of the first handover, 40 marks a message
+    // of the second handover.
     receive({.kind = ShardMessage::Kind::kHandOverTasks,
              .name = "vm-1",
              .job = "req-1",
--- a/tests/shard_model_test.cc
+++ b/tests/shard_model_test.cc
@@ -41,8 +41,8 @@
     for (int i = 0; i < 2; ++i) SendHeartbeat("vm-1", true), SendHeartbeat("vm-2", true);
     Lease(1);
     Lease(2);
-    // After this the holders are ready. No machine is recorded or handed over, and no task is
-    // placed.
+    // After these exchanges the holders are ready. No machine is recorded or handed over, and no
+    // task is placed.
     Exchange(1, false);
     Exchange(2, false);
   }
@@ -58,7 +58,7 @@
         return true;
       case 1:  // the leader's records are written, and the write is acknowledged
         return Write(true);
-      case 2:  // the records are written, and the acknowledgement is delayed
+      case 2:  // the leader's records are written, and the acknowledgement is delayed
         return Write(false);
       case 3:
         return AcknowledgeWrite();
@@ -71,7 +71,7 @@
         return SendHeartbeat("vm-1", false);
       case 8:
         return SendHeartbeat("vm-2", false);
-      case 9:  // a holder's lease ends, and the holder has not read that yet
+      case 9:  // a holder's lease ends, and the holder has not read the end yet
         if (leases_[1] == 0) return false;
         expired_holders_.push_back(std::move(holders_[1]));
         lease_manager_.OnLease("hut-1", leases_[1] = 0, now_);
@@ -150,7 +150,8 @@
       out += ";";
     }
     put(write_in_flight_), put(unacknowledged_revision_ != 0);
-    // The number of sends of each controller represents the contents of the channels.
+    // In place of the contents of the channels, the key has the number of frames that each
+    // controller has sent.
     for (const int choice : {0, 4, 5, 6}) put(static_cast<uint64_t>(choice_counts_[choice]));
     return out;
   }
@@ -175,7 +176,7 @@
     settings.zones = {"z0", "z1", "z2"};
     settings.teams = {{"tight", 0, 2, 0, 0}};
     settings.heartbeat_s = 1;
-    settings.agent_lease_s = 100;  // no lease expires during a walk
+    settings.agent_lease_s = 100;  // No agent lease expires in a walk.
     settings.cancel_within_s = 250;
     test::SetServiceLimits(settings);
     return settings;
@@ -214,7 +215,7 @@
     }
   }
 
-  // The agent sends a heartbeat to the controller that the records name.
+  // Sends a heartbeat of the machine's agent to the controller that the records name.
   bool SendHeartbeat(const std::string& id, bool ignore_outcome) {
     Agent& agent = agents_[id];
     scheduler::HeartbeatAnswer answer;
--- a/tests/simulated_days_test.cc
+++ b/tests/simulated_days_test.cc
@@ -20,17 +20,17 @@
 
 // The kinds of faults that a day injects, and whether controllers hold shards.
 struct Faults {
-  bool crashes = false;                // of one controller or all
-  bool cuts = false;                   // between a controller and the key-value store or the agents
-  bool zone_partitions = false;        // between a zone's agents and all controllers
-  bool outages = false;                // of the key-value store
-  bool terminations = false;           // of machines
-  bool faulty_machines = false;        // machines on which all tasks fail
-  bool stalls = false;                 // of controllers, shorter and longer than their leases
-  bool long_crashes = false;           // of controllers, several at once
-  bool failing_reads = false;          // one or all controllers renew their leases but cannot read
-  bool shards = false;                 // controllers hold shards
-  bool controller_partitions = false;  // between controllers
+  bool crashes = false;          // crashes of one controller or all
+  bool cuts = false;             // cuts between a controller and the store or the agents
+  bool zone_partitions = false;  // partitions between a zone's agents and all controllers
+  bool outages = false;          // outages of the key-value store
+  bool terminations = false;     // terminations of machines
+  bool faulty_machines = false;  // machines on which all tasks fail
+  bool stalls = false;           // stalls of controllers, shorter and longer than their leases
+  bool long_crashes = false;     // long crashes of several controllers at once
+  bool failing_reads = false;    // one or all controllers renew their leases but cannot read
+  bool shards = false;           // controllers hold shards
+  bool controller_partitions = false;  // partitions between controllers
 };
 
 config::Settings SettingsFor(const Faults& faults) {
@@ -77,8 +77,8 @@
     spec.memory_gb = 2;
     spec.image = "img-" + std::to_string(i % 4);
     spec.image_gb = 1;
-    // The leader places these jobs itself, also with shards, so days with shards have fewer of
-    // them.
+    // The leader itself places jobs with these zone constraints, also if controllers hold shards.
+    // Days with shards therefore have fewer such jobs.
     spec.single_zone = i % (shards_ ? 14 : 7) == 1;
     spec.spread_over_zones = i % (shards_ ? 14 : 7) == 2;
     if (i % 7 == 3) spec.zone = "west";
@@ -132,7 +132,7 @@
   void ScheduleStalls() {
     AtRandomTime([this] { Leader().Freeze(world.random.Uniform(0.2, 3)); });
     AtRandomTime([this] {
-      // The further stalls hit any step of the failover, and also the new leader.
+      // Further stalls may hit each step of the failover, and also the new leader.
       Leader().Freeze(world.random.Uniform(1, 25));
       for (int i = 0; i < 3; ++i) {
         world.clock.After(world.random.Uniform(0.5, 8), [this] {
@@ -245,8 +245,8 @@
     const uint64_t seed = first_seed + static_cast<uint64_t>(d);
     Day day(seed, faults);
     EXPECT_TRUE(test::NoBreaches(day.world)) << "seed " << seed;
-    // Up to 5 of the 30 jobs are cancelled. Most of the others must complete; otherwise the day
-    // tests nothing.
+    // Up to 5 of the 30 jobs are cancelled. Most of the other jobs must complete; otherwise
+    // the day tests nothing.
     EXPECT_GE(day.world.rule_checker.done_jobs(), 22u) << "seed " << seed << "\n"
                                                        << day.UnfinishedJobs();
     holder_starts += day.holder_starts();
--- a/tests/simulated_large_cluster_test.cc
+++ b/tests/simulated_large_cluster_test.cc
@@ -116,7 +116,7 @@
 
 const auto kAny = [](size_t) { return true; };
 
-// A day with a slow key-value store and a store outage, a crash of the leader and one of all
+// A day with a slow key-value store and a store outage, a crash of the leader and a crash of all
 // controllers, a partition of the leader, and terminated machines.
 TEST(LargeClusterTest, ALargeDay) {
   LargeDay day(21, 1000, 60);
@@ -187,7 +187,8 @@
 }
 
 // About twice as many machines and jobs as ALargeDay, with a crash of all controllers and a later
-// one of the leader. Three times as many take half a minute to simulate and show nothing more.
+// crash of the leader. A day with three times as many machines and jobs takes half a minute to
+// simulate and tests nothing more.
 TEST(LargeClusterTest, TwiceTheLargeDay) {
   LargeDay day(25, 2000, 110);
   day.world.clock.At(60, [&] { day.CrashAll(); });
--- a/tests/simulated_leader_faults_test.cc
+++ b/tests/simulated_leader_faults_test.cc
@@ -72,8 +72,8 @@
 }
 
 // A leader that has no socket left for reads can still renew its lease over an open connection. If
-// it keeps answering heartbeats, it renews the agents' leases without reading cancellations, and
-// the tasks of a cancelled job run on, once for a minute.
+// the leader keeps answering heartbeats, it renews the agents' leases without reading
+// cancellations. The tasks of a cancelled job then run on; in one case they ran on for a minute.
 TEST(LeaderFaultsTest, ALeaderThatCannotReadLetsAgentLeasesExpire) {
   OneJob day(13, 30, 400);
   for (auto& c : day.controllers) {
@@ -91,8 +91,8 @@
   EXPECT_TRUE(test::NoBreaches(day.world));
 }
 
-// A leader that cannot read the store resigns in favour of a controller that can, before the
-// agents' leases expire.
+// A leader that cannot read the key-value store must resign before the agents' leases expire, so
+// that a controller that can read the store takes over.
 TEST(LeaderFaultsTest, ALeaderThatCannotReadResigns) {
   OneJob day(14, 30, 60);
   day.world.clock.At(20, [&] {
@@ -102,12 +102,12 @@
   });
   day.world.clock.RunUntil(200);
   EXPECT_TRUE(test::NoBreaches(day.world));
-  EXPECT_EQ(day.world.rule_checker.starts(), 30u);  // no task was lost
+  EXPECT_EQ(day.world.rule_checker.starts(), 30u);  // No task was lost and restarted.
   EXPECT_EQ(day.world.rule_checker.done_jobs(), 1u);
 }
 
-// In a store outage of several leases, the agents' leases must not expire, which would lose all
-// tasks. The leader continues as long as every peer promises not to lead.
+// In a store outage of several leases, the agents' leases must not expire, because their expiry
+// would end all tasks. The leader continues to lead as long as every peer promises not to lead.
 TEST(LeaderFaultsTest, ALongOutageLosesNoTasks) {
   OneJob day(12, 240, 20);
   SimulatedEnvironment& world = day.world;
--- a/tests/socket_budget_test.cc
+++ b/tests/socket_budget_test.cc
@@ -1,4 +1,4 @@
-// Limits on the sockets of each class of connections.
+// Tests of the limits on the sockets of each class of connections.
 #include "mosspath/net/socket_budget.h"
 
 #include <gtest/gtest.h>
--- a/tests/status_page_test.cc
+++ b/tests/status_page_test.cc
@@ -9,8 +9,8 @@
 namespace mosspath::wire {
 namespace {
 
-// The page shows, for each controller, when and by which controller its last heartbeat was
-// received, and what it cannot reach.
+// For each controller, the page shows when and by which controller its last heartbeat was received,
+// and which services that controller cannot reach.
 TEST(StatusPageTest, ShowsWhichControllersAreUpAndTheAgeOfTheFigures) {
   Status status;
   status.snapshot = test::SampleStatusSnapshot();
--- a/tests/status_snapshot_test.cc
+++ b/tests/status_snapshot_test.cc
@@ -24,7 +24,7 @@
   EXPECT_THROW(DecodeStatusSnapshot(good + "x"), BadMessage);
   EXPECT_THROW(DecodeStatusSnapshot(std::string(kMaxStatusSnapshotBytes + 1, 'x')), BadMessage);
   std::string other_version = good;
-  other_version[4] = 3;  // after the four bytes of the kind
+  other_version[4] = 3;  // The version follows the four bytes of the kind.
   EXPECT_THROW(DecodeStatusSnapshot(other_version), BadMessage);
   // A randomly damaged frame may decode without an error, but decoding never crashes.
   std::mt19937_64 random(3);
--- a/tests/task_reconciliation_test.cc
+++ b/tests/task_reconciliation_test.cc
@@ -1,4 +1,4 @@
-// Reconciliation of tasks that may be on any of several machines.
+// Tests of the reconciliation of tasks that may be on any of several machines.
 #include "mosspath/scheduler/task_reconciliation.h"
 
 #include <gtest/gtest.h>
