--- a/tests/peer_settings.h
+++ b/tests/peer_settings.h
@@ -1,4 +1,4 @@
-// Settings of one of three controllers that are peers of each other, for tests of the election.
+// Settings for tests of the election: three controllers that are peers of each other.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace mosspath::test {
 
-// Returns the settings of the simulation's small cluster for controller `node`, which is hut-0,
-// hut-1 or hut-2.
+// Returns the settings of the simulation's small cluster for the controller `node`: hut-0, hut-1 or
+// hut-2. The other two controllers are its peers.
 inline config::Settings PeerSettings(const std::string& node = "hut-0") {
   config::Settings settings = simulation::SmallSettings();
   settings.name = node;
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,6 +1,6 @@
-// Fixtures of the scheduler's tests. The test simulates the agents, the state service and the
-// cloud. A suite that needs no fixture of its own uses an alias:
-// `using PlacementTest = SchedulerTest;`.
+// Fixtures of the scheduler's tests. The test itself plays the part of the agents, the state
+// service and the cloud. A suite that needs no fixture of its own uses an alias: `using
+// PlacementTest = SchedulerTest;`.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,15 +17,15 @@
 
 namespace mosspath::scheduler {
 
-// Takes and acknowledges batches of records until none is left, at time 0 and under store revision
-// 1, which is lower than the leader's token.
+// Takes batches of records from the scheduler until no batch is left. Acknowledges each batch at
+// time 0 and under store revision 1, which is lower than the leader's token.
 inline void MakeRecordsDurable(Scheduler& scheduler) {
   while (!scheduler.TakeRecords(test::kMaxBatchPacks, test::kMaxBatchBytes).empty()) {
     scheduler.OnRecordsWritten(1, 0);
   }
 }
 
-// A leader elected at time 0 with fencing token 10, and one machine type with 4 CPUs.
+// Has a leader that was elected at time 0 with fencing token 10, and one machine type with 4 CPUs.
 class SchedulerTest : public ::testing::Test {
  protected:
   SchedulerTest()
@@ -60,7 +60,7 @@
     return heartbeat;
   }
 
-  // Delivers the machine's next heartbeat in its first epoch, and returns the leader's answer.
+  // Delivers the machine's next heartbeat, with agent epoch 1, and returns the leader's answer.
   HeartbeatAnswer SendHeartbeat(const std::string& id, double now,
                                 std::vector<wire::TaskStatus> tasks = {}, uint64_t token = kToken) {
     wire::Heartbeat heartbeat = NextHeartbeat(id, 1);
@@ -70,14 +70,15 @@
     return scheduler_.OnHeartbeat(heartbeat, now);
   }
 
-  // Adds the machine by a heartbeat and makes its record durable, so that it may be sent starts.
+  // Adds the machine by a heartbeat and makes its record durable, so that the leader may start
+  // tasks on the machine.
   void AddReadyMachine(const std::string& id, double now) {
     SendHeartbeat(id, now);
     scheduler_.Tick(now);
     MakeRecordsDurable(scheduler_);
   }
 
-  // Return the commands of one type in the leader's answer.
+  // Each of these functions returns the commands of one type in the leader's answer.
   static std::vector<wire::Command> Starts(const HeartbeatAnswer& answer) {
     return CommandsOfType(answer, wire::CommandType::kStart);
   }
@@ -102,10 +103,11 @@
   config::DerivedSettings derived_;
   Scheduler scheduler_;
   wire::MachineType type_;
-  std::map<std::string, uint64_t> sequences_;  // of each machine's last heartbeat
+  // The sequence number of each machine's last heartbeat.
+  std::map<std::string, uint64_t> sequences_;
 };
 
-// Fixture for agents whose heartbeats arrive, but which receive nothing.
+// Fixture for agents whose heartbeats reach the leader, but which receive nothing from the leader.
 class OneWayPartitionTest : public SchedulerTest {
  protected:
   // Delivers the machine's next heartbeat, which lists no tasks and confirms `token`, and returns
--- a/tests/simulation_helpers.h
+++ b/tests/simulation_helpers.h
@@ -10,8 +10,8 @@
 
 namespace mosspath::test {
 
-// Succeeds if the rule checker has recorded no breach. The failure message lists one breach per
-// line.
+// Returns success if the rule checker has recorded no breach. The failure message lists one breach
+// per line.
 inline ::testing::AssertionResult NoBreaches(const simulation::SimulatedEnvironment& world) {
   const std::vector<std::string>& breaches = world.rule_checker.breaches();
   if (breaches.empty()) return ::testing::AssertionSuccess();
