--- a/tests/capacity_reservation_test.cc
+++ b/tests/capacity_reservation_test.cc
@@ -74,7 +74,8 @@
   AddReadyMachine("vm-2", 3);
   EXPECT_TRUE(scheduler_.PlanScaling(4).scale_in.empty());
   SendHeartbeat("vm-2", 2 * type_.boot_s);
-  const auto later = scheduler_.PlanScaling(2 + 2 * type_.boot_s).scale_in;  // no recent urgent job
+  // No urgent job has arrived recently, so the reservation has ended.
+  const auto later = scheduler_.PlanScaling(2 + 2 * type_.boot_s).scale_in;
   EXPECT_NE(std::find(later.begin(), later.end(), "vm-2"), later.end());
 }
 
--- a/tests/fakes/fake_cloud.h
+++ b/tests/fakes/fake_cloud.h
@@ -36,7 +36,7 @@
   void Handle(const net::HttpRequest& request, const Responder& respond);
   void HandleTypes(const Responder& respond);
   void HandleList(const Responder& respond);
-  // Rents a machine. If the request id repeats, returns the answer to the first request with that
+  // Rents machines. If the request id repeats, returns the answer to the first request with that
   // id.
   void HandleRent(const net::HttpRequest& request, const Responder& respond);
 
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -232,8 +232,8 @@
   const jobs::AcceptedJob* small = reader.Find("req-7");
   ASSERT_NE(small, nullptr);
   ExpectSmallSpec(small->spec);
-  EXPECT_EQ(small->version,
-            kAcceptedVersion);  // The version is `born`, not the record's current version.
+  // The job's version is `born`, not the current version of the record.
+  EXPECT_EQ(small->version, kAcceptedVersion);
   EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
   // `over` marks the job as ended, so another record of the same job does not make it live again.
--- a/tests/heartbeat_json_test.cc
+++ b/tests/heartbeat_json_test.cc
@@ -1,5 +1,5 @@
-// Agent heartbeats as JSON: the fast parser (ReadHeartbeat) against the reference parser
-// (ParseHeartbeat).
+// Tests of agent heartbeats as JSON: compares the fast parser (ReadHeartbeat) with the reference
+// parser (ParseHeartbeat).
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,7 +11,7 @@
 namespace mosspath::wire {
 namespace {
 
-// Both parsers accept the same texts with the same result, and reject the same texts. Inputs
+// Both parsers must accept the same texts with the same result, and reject the same texts. Inputs
 // include wrong types and random damage.
 TEST(HeartbeatJsonTest, TheFastReaderAgreesWithTheReferenceReader) {
   Heartbeat heartbeat;
--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -153,7 +153,8 @@
         return true;
       case Event::kResubmit:
         if (submit_stage_ != 0) return false;
-        submit_stage_ = third.index.Contains(kId) ? 2 : 1;  // an indexed job: query
+        // The submission of a job that the index contains is answered like a query.
+        submit_stage_ = third.index.Contains(kId) ? 2 : 1;
         return true;
       case Event::kCommitResubmission:
         if (submit_stage_ != 1) return false;
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -40,7 +40,7 @@
   kFirstTaskEnds,        // the first task exits successfully on each machine that runs it
   kSecondTaskEnds,       // the second task exits successfully on each machine that runs it
   kCompleteJob,          // the leader records the done job and receives the answer
-  kCancel,               // another controller cancels the job; the leader reads this
+  kCancel,               // another controller cancels the job; the leader reads the change
   kElect,                // another leader is elected and has read all records
   kFirstMachineDies,     // the first machine is deleted, and the leader is notified
   kEvents
--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -34,8 +34,8 @@
   kRefuseLeader,    // toggles whether the state service refuses the first controller alone
   kOutage,          // toggles whether the state service is down for all controllers
   kCancel,          // the second controller cancels the job and confirms it to the user
-  kRestart,         // the second controller restarts at once without any data
-  kDelayResponses,  // starts to delay promise responses, or stops and delivers them
+  kRestart,         // the second controller restarts at once and has read no data yet
+  kDelayResponses,  // begins to delay promise responses, or delivers the delayed responses
   kPartitionThird,  // toggles whether the third controller is partitioned from the other two
   kEvents
 };
@@ -121,7 +121,7 @@
     double contact = -1e18;         // when the state service last answered
     int loaded = 0;                 // 0: nothing was read, 1: the first page, 2: all keys
     bool has_cancellation = false;  // whether this controller has the cancellation
-    uint64_t incarnation = 0;       // number of starts; drops responses to earlier ones
+    uint64_t incarnation = 0;       // number of starts; responses to earlier starts are dropped
   };
 
   void StartController(size_t i) {
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -36,7 +36,7 @@
                                        std::vector<wire::CancellationLogSlice::Entry> ids = {}) {
     return {true, {newest, from, std::max(newest, from), std::move(ids)}};
   }
-  // Delivers a peer's response and returns the ids of the cancellations in it.
+  // Delivers a peer's response and returns the ids of the cancellations in the response.
   std::vector<std::string> Receive(uint64_t round, const char* peer,
                                    const wire::PromiseResponse& response, double now) {
     std::vector<wire::CancellationLogSlice::Entry> learned;
--- a/tests/locality_test.cc
+++ b/tests/locality_test.cc
@@ -1,5 +1,6 @@
-// Layer locality: the choice of machines compared with a slow reference model of the paper's
-// Algorithm 1, with the constraint and score of its section 3.4.
+// Tests of layer locality: compares the choice of machines with a slow reference model. The model
+// is Algorithm 1 of the Layer Locality paper, with the constraint and score of the paper's
+// section 3.4.
 #include "mosspath/scheduler/locality.h"
 
 #include <gtest/gtest.h>
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -305,7 +305,8 @@
     for (int i = 0; i < kNodes; ++i) {
       if (all || i == first) Start(i);
     }
-    if (round == 4) {  // The leader restarts again, in the election.
+    if (round == 4) {
+      // The old leader restarts a second time during the election.
       io_.run_for(std::chrono::milliseconds(60));
       Kill(first);
       Start(first);
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -55,9 +55,9 @@
   EXPECT_EQ(started(3.1), 1u);
 }
 
-// A task is withheld from placement while an unanswered start of the task may still be executed.
-// The task may thus be running, so it counts towards its team's quota, even after its job has
-// ended.
+// A task is withheld from placement while a machine other than the intended one may run it after an
+// unanswered start. The task may thus be running, so it counts towards its team's quota, even after
+// its job has ended.
 TEST(QuotaTest, WithheldTasksCountTowardsTheirTeam) {
   const config::Settings settings = simulation::SmallSettings();  // "tight" may use 10 CPUs
   cluster::ClusterState state(settings, config::DerivedSettings(settings));
--- a/tests/rule_checker_test.cc
+++ b/tests/rule_checker_test.cc
@@ -1,4 +1,4 @@
-// Tests that the simulation's rule checker reports violations, which the tests inject.
+// Tests that the simulation's rule checker reports the violations that the tests inject.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/runnable_test.cc
+++ b/tests/runnable_test.cc
@@ -61,7 +61,7 @@
 
 TEST_F(RunnableTest, AQuotaMustHoldOneTaskOrAllReplicas) {
   spec_.team = "tight";
-  EXPECT_TRUE(IsRunnable());  // an array runs a few tasks at a time
+  EXPECT_TRUE(IsRunnable());  // An array job may run a few tasks at a time.
   spec_.cpus = 11;
   EXPECT_FALSE(IsRunnable());
   spec_.cpus = 2;
@@ -78,7 +78,7 @@
 TEST_F(RunnableTest, SpreadReplicasNeedTwoZones) {
   spec_.spread_over_zones = true;
   spec_.zone = "b";
-  EXPECT_TRUE(IsRunnable());  // an array runs a few tasks at a time
+  EXPECT_TRUE(IsRunnable());  // An array job may run a few tasks at a time.
   MakeService();
   EXPECT_FALSE(IsRunnable());
   spec_.zone.reset();
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -1,6 +1,6 @@
 // Fixtures of the scheduler's tests. The test itself plays the part of the agents, the state
-// service and the cloud. A suite that needs no fixture of its own uses an alias: `using
-// PlacementTest = SchedulerTest;`.
+// service and the cloud. A suite that needs no fixture of its own uses an alias:
+// `using PlacementTest = SchedulerTest;`.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -66,7 +66,7 @@
     wire::Heartbeat heartbeat = NextHeartbeat(id, 1);
     heartbeat.fencing_token = token;
     heartbeat.tasks = std::move(tasks);
-    scheduler_.Place(now);  // as the leader does
+    scheduler_.Place(now);  // The leader service runs such passes.
     return scheduler_.OnHeartbeat(heartbeat, now);
   }
 
