--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -144,7 +144,7 @@
                                    now + derived_.probe_answer_s);
     }
   }
-  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // The probes have failed too briefly.
+  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // The partition was just detected.
   EXPECT_TRUE(partitioned.IsPartitionedFromAgents(3.1 + settings_.heartbeat_s / 2));
 }
 
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -63,8 +63,8 @@
   EXPECT_TRUE(detector.IsSuspected("hut-2", 130.1));  // hut-2 was silent before.
 }
 
-// A controller that can't reach the state service and its peers, but is still reachable for agents
-// and users, withdraws from the load balancer.
+// A controller that can't reach the state service and its peers may still be reachable for agents
+// and users. The load balancer must then route users to the other controllers.
 TEST(FailureDetectorTest, AnIsolatedControllerRedirectsUsers) {
   FailureDetector detector(Settings());
   constexpr double kContactTimeoutS = 5;
--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -2,7 +2,7 @@
 // records that only the running service composes (the leader key, the supported record formats,
 // offers to hold a shard, shard leases), and the key and store lease of every record. The
 // controllers run in this process against fakes of the state service and the cloud. The tests wait
-// for each expected record and assert nothing about how long it takes.
+// for each expected record and do not check how long a record takes.
 #include <gtest/gtest.h>
 
 #include <asio/io_context.hpp>
