--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -2,7 +2,7 @@
 // records that only the running service composes (the leader key, the supported record formats,
 // offers to hold a shard, shard leases), and the key and store lease of every record. The
 // controllers run in this process against fakes of the state service and the cloud. The tests wait
-// for each expected record and assert nothing about how long it takes.
+// for each expected record and do not check how long a record takes.
 #include <gtest/gtest.h>
 
 #include <asio/io_context.hpp>
@@ -138,7 +138,7 @@
     return SendRequest(*public_clients_[0], "POST", "/api/jobs", SpecText(id, kind));
   }
   std::string NextId() { return "req-" + std::to_string(++jobs_); }
-  // Submits jobs one at a time until one is stored in a record under the prefix. Returns the
+  // Submits jobs one at a time until a job is stored in a record under the prefix. Returns the
   // record's key. Which record format the controller writes depends on the settings and on the
   // record formats of the other controllers that it has read by then.
   std::string SubmitUntilStoredUnder(const std::string& prefix) {
--- a/tests/heartbeat_json_test.cc
+++ b/tests/heartbeat_json_test.cc
@@ -1,5 +1,5 @@
-// Agent heartbeats as JSON: the fast parser (ReadHeartbeat) against the reference parser
-// (ParseHeartbeat).
+// Tests of agent heartbeats as JSON: compares the fast parser (ReadHeartbeat) with the reference
+// parser (ParseHeartbeat).
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,7 +11,7 @@
 namespace mosspath::wire {
 namespace {
 
-// Both parsers accept the same texts with the same result, and reject the same texts. Inputs
+// Both parsers must accept the same texts with the same result, and reject the same texts. Inputs
 // include wrong types and random damage.
 TEST(HeartbeatJsonTest, TheFastReaderAgreesWithTheReferenceReader) {
   Heartbeat heartbeat;
@@ -59,7 +59,7 @@
       texts.push_back(json.dump());
     }
   }
-  for (int i = 0; i < 400; ++i) {  // one random byte changed; one text in three also truncated
+  for (int i = 0; i < 400; ++i) {  // Changes a byte; truncates every third text.
     std::string text = good;
     text[random() % text.size()] = static_cast<char>(random() % 128);
     if (i % 3 == 0) text.resize(random() % text.size());
