--- a/include/mosspath/admission/admission_controller.h
+++ b/include/mosspath/admission/admission_controller.h
@@ -1,8 +1,8 @@
-// Admission control of jobs: one budget of tasks for the whole service. Each controller applies it
-// to the same replicated view of the accepted jobs, so all controllers compute the same limits
+// Admission control of jobs: one budget of tasks for the whole service. Each controller keeps
+// a view of the accepted jobs: what the controller has read of the state service, up to a revision.
+// All controllers apply the budget to the same replicated data, so they compute the same limits
 // without coordination. No I/O: changes of the view, requests and the time are the inputs, and
-// verdicts are the outputs. The view is what this controller has read of the state service, up to a
-// revision.
+// verdicts are the outputs.
 //
 // Each team is assured a part of the budget, in proportion to its weight; the assured parts sum to
 // kAssuredShare of the budget. The rest is allotted by a dynamic threshold (Choudhury and Hahne,
@@ -13,9 +13,10 @@
 // of each.
 //
 // Invariants:
-//   - the tasks of jobs that this controller has accepted and its view does not show yet sum to at
-//     most this controller's share of the budget that the view shows free, or belong to a single
-//     job; the shares of all controllers sum to at most kPlannedFraction (admission_plan.h);
+//   - the tasks of jobs that this controller has accepted, and that its view does not contain
+//     yet, sum to at most this controller's share of the budget that is free in the view, or belong
+//     to a single job; the shares of all controllers sum to at most kPlannedFraction
+//     (admission_plan.h);
 //   - a team within its assured part is not refused because of other teams' jobs in the view;
 //   - the limit of a team or class does not refuse the first job of that team or class, whatever
 //     the size of the job; the free budget still limits the job.
@@ -43,11 +44,12 @@
 };
 
 // Decides on requests, and counts accepted tasks. Not thread-safe. A job is in flight from its
-// admission until the view shows it or its submission has failed.
+// admission until the job appears in the view or its submission has failed. A job in the view that
+// has not ended is live.
 class AdmissionController {
  public:
-  // `budget`: maximum of tasks of live jobs. `min_retry_s`, `max_retry_s`: range of the retry time
-  // of refused requests, before its spread.
+  // `budget`: maximum number of tasks of accepted jobs that have not ended. `min_retry_s`,
+  // `max_retry_s`: range of the retry time of refused requests, before its spread.
   AdmissionController(double budget, std::vector<std::string> teams, double min_retry_s,
                       double max_retry_s);
 
@@ -62,17 +64,17 @@
   void Clear();
   void OnAccepted(const wire::JobSpec& spec);
   void OnEnded(const std::string& id, double now);
-  // The view was reloaded after Clear, and is complete up to `revision`.
+  // Called when the view was reloaded after Clear, and is complete up to `revision`.
   void OnLoaded(uint64_t revision);
 
   // --- Requests ---
   // Decides on a request. `share`: this controller's share of the free budget. An admitted job is
   // in flight from now on.
   AdmissionVerdict Request(const wire::JobSpec& spec, double share, double now);
-  // The record of the in-flight job was written at `revision`.
+  // Called when the record of the in-flight job was written at `revision`.
   void OnDurable(const std::string& id, uint64_t revision);
-  // The submission failed, as far as this controller can tell. Removes the job unless it is
-  // durable.
+  // Called when the submission has failed, as far as this controller can tell. Removes the job
+  // unless it is durable.
   void OnDropped(const std::string& id);
 
   double live() const { return live_; }
@@ -97,14 +99,14 @@
     uint64_t revision = 0;  // in flight: revision of the durable record; 0: not known to be durable
   };
 
-  // Returns the part of the team's assured tasks that it does not use.
+  // Returns the part of the team's assured tasks that the team does not use.
   double UnusedAssured(const std::string& team) const;
   // Adds tasks to the sums of the team and class; negative `tasks` subtracts.
   void AddTasks(const ClassKey& key, double tasks);
   void RemoveInFlight(const std::string& id);
   double Weight(const std::string& name) const;
   // `excess_tasks`: by how many tasks the job exceeds the limit. The retry time is computed from
-  // it.
+  // `excess_tasks`.
   AdmissionVerdict Refuse(const wire::JobSpec& spec, std::string reason, double excess_tasks,
                           double now) const;
 
--- a/include/mosspath/admission/admission_plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -1,5 +1,6 @@
-// Admission shares: the part of the free budget that each controller may fill before its view shows
-// the jobs that the other controllers have accepted. The leader plans the shares by demand. A
+// Admission shares: the part of the free budget that each controller may fill before the jobs that
+// the other controllers have accepted appear in its view (what the controller has read of the state
+// service). The leader plans the shares by demand. A
 // controller requests a plan in each of its presence messages, and the response contains the plan.
 // No I/O; the time is an argument.
 //
@@ -54,7 +55,7 @@
   struct Controller {
     double demand = 0;
     double requested_at = -1e18;
-    std::vector<Grant> grants;  // those that may still be in force
+    std::vector<Grant> grants;  // grants that may still be in force
   };
   // Removes expired grants. Returns the largest share that the controller may have in force now.
   double MaxShareInForce(Controller& c, double now) const;
--- a/include/mosspath/admission/fair_queue.h
+++ b/include/mosspath/admission/fair_queue.h
@@ -79,13 +79,13 @@
 
  private:
   struct Class {
-    double start_tag = 0;  // of its next item, in the virtual time of its team
+    double start_tag = 0;  // of the class's next item, in the virtual time of its team
     double weight = 1;
     std::deque<T> items;
   };
   struct Team {
-    double start_tag = 0;     // of its next item, in `virtual_time_`
-    double virtual_time = 0;  // among its classes
+    double start_tag = 0;     // of the team's next item, in `virtual_time_`
+    double virtual_time = 0;  // of the queue among the team's classes
     size_t size = 0;
     std::map<std::string, Class> classes;
   };
--- a/include/mosspath/autoscaler/scale_in.h
+++ b/include/mosspath/autoscaler/scale_in.h
@@ -18,7 +18,7 @@
 
 namespace mosspath::autoscaler {
 
-// Machines by name.
+// Names of machines.
 struct ScaleInPlan {
   std::vector<std::string> scale_in;  // idle, to be deleted now
   std::vector<std::string> drain;     // to take no new tasks
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -43,8 +43,8 @@
 
   // Handles a message of the lease's holder. Messages of closed leases are ignored.
   void OnHolderMessage(uint64_t lease, const wire::ShardMessage& message, double now);
-  // Queues messages that name, to each holder, the task completions that the holder has reported
-  // and that are durable now.
+  // Queues a message to each holder that lists which of its reported task completions are now
+  // durable.
   void SendDurableCompletions();
 
  private:
--- a/include/mosspath/scheduler/machine_lifecycle.h
+++ b/include/mosspath/scheduler/machine_lifecycle.h
@@ -43,7 +43,8 @@
 
   // --- Removing machines ---
 
-  // Marks each machine as lost whose agent's lease has expired, and removes its allocations. The
+  // Marks as lost each machine whose agent's lease has expired, and removes the machine's
+  // allocations. The
   // expiry takes into account that another controller may have renewed the lease last.
   void ExpireLeases(double now);
   // Called when the cloud has deleted the machine.
--- a/include/mosspath/scheduler/machine_refill.h
+++ b/include/mosspath/scheduler/machine_refill.h
@@ -3,8 +3,8 @@
 //
 // The waiting jobs are tried in their order, as in a placement pass in which all other machines are
 // full. Among jobs with close virtual deadlines, a job whose image is on the machine goes first. A
-// placement pass uses layer locality to choose a machine for a job; while all other machines are
-// full, layer locality can only choose a job for the machine.
+// placement pass uses layer locality to choose a machine for a job. While all other machines are
+// full there is no choice of machine, so layer locality can only decide which job gets the machine.
 #pragma once
 
 #include <cstddef>
--- a/include/mosspath/scheduler/provisioning_tracker.h
+++ b/include/mosspath/scheduler/provisioning_tracker.h
@@ -21,28 +21,29 @@
   // A machine whose agent has not reported yet.
   struct BootingMachine {
     autoscaler::ScaleOutRequest offer;
-    double since = 0;  // when it was provisioned, or first listed as running
-    bool up = false;   // the cloud lists it as running
+    double since = 0;  // when the machine was provisioned, or first listed as running
+    bool up = false;   // the cloud lists the machine as running
   };
   const std::map<std::string, BootingMachine>& booting() const { return booting_; }
 
   // All machines in the cluster's state, both those of this controller and delegated ones.
   using MachineMaps = std::vector<cluster::Machines*>;
 
-  // The cloud has provisioned these machines for the offer.
+  // Called when the cloud has provisioned these machines for the offer.
   void OnProvisioned(const std::vector<std::string>& ids, const autoscaler::ScaleOutRequest& offer,
                      const MachineMaps& all_machines, double now);
-  // The cloud has no capacity for the offer. The offer is not requested again before `until`.
+  // Called when the cloud has no capacity for the offer. The offer is not requested again before
+  // `until`.
   void OnRefused(const autoscaler::ScaleOutRequest& offer, double until);
   const std::map<autoscaler::MachineOffer, double>& closed_until() const { return closed_until_; }
-  // The machine's agent reports.
+  // Called when the machine's agent has sent a heartbeat.
   void OnMachineUp(const std::string& id) { booting_.erase(id); }
-  // The machine was deleted. is_deleted returns true from now on, so that late heartbeats are
-  // ignored.
+  // Called when the machine was deleted. is_deleted returns true from now on, so that late
+  // heartbeats are ignored.
   void OnMachineDeleted(const std::string& id, double now);
   bool is_deleted(const std::string& id) const { return deleted_at_.contains(id); }
   // Applies the cloud's list of all machines, which was requested at `requested_at`: marks machines
-  // that the list shows as failed or omits, and adds booting machines.
+  // that the list reports as failed or omits, and adds booting machines.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed,
                      const MachineMaps& all_machines, double requested_at, double now);
 
--- a/include/mosspath/scheduler/reconciler.h
+++ b/include/mosspath/scheduler/reconciler.h
@@ -39,7 +39,7 @@
     const HeartbeatKind kind;
     const uint64_t pass_number;  // rises with each call
     const double now;
-    bool answer_had_effect = false;   // the heartbeat shows the effect of a command
+    bool answer_had_effect = false;   // the heartbeat reflects the effect of a command
     bool answer_was_ignored = false;  // a command in an earlier answer had no effect
   };
 
--- a/include/mosspath/scheduler/role.h
+++ b/include/mosspath/scheduler/role.h
@@ -27,29 +27,30 @@
   // Returns whether this controller receives the cloud's lists of machines. These lists are needed
   // to rule out that a start command reached a different machine at the same address.
   virtual bool ReceivesMachineLists() const = 0;
-  // Heartbeats of the machine arrive, but the answers to them seem not to reach it.
+  // Called when heartbeats of the machine arrive, but the answers seem not to reach the machine.
   virtual void OnDeliveryFailureSuspected(cluster::Machine& machine) = 0;
-  // The agent's lease has expired, so nothing runs on the machine any more. Returns whether the
-  // caller may erase the machine if its agent has never reported.
+  // Called when the agent's lease has expired, so nothing runs on the machine any more. Returns
+  // whether the caller may erase the machine if its agent has never reported.
   virtual bool OnMachineLost(cluster::Machine& machine) = 0;
 
   // --- Jobs and tasks ---
 
-  // The job is about to be removed. The role accounts for those of its tasks that are delegated to
-  // another controller, or that may still run.
+  // Called when the job is about to be removed. The role accounts for those of its tasks that are
+  // delegated to another controller, or that may still run.
   virtual void OnJobRemoved(const jobs::Job& job) = 0;
-  // The task has just been marked as done.
+  // Called when the task has just been marked as done.
   virtual void OnTaskDone(const jobs::Job& job, uint32_t index) = 0;
-  // A machine reports a running attempt of the task that this scheduler has not started.
+  // Called when a machine reports a running attempt of the task that this scheduler has not
+  // started.
   virtual void OnAttemptRecovered(jobs::Job& job, uint32_t index) = 0;
-  // The job has been found to be crash looping (its tasks fail on every machine), or a retry of a
-  // crash looping job has failed.
+  // Called when the job has been found to be crash looping (its tasks fail on every machine), or a
+  // retry of a crash looping job has failed.
   virtual void OnCrashLoop(const jobs::Job& job) = 0;
-  // A task of the crash-looping job has succeeded, which ends the crash loop.
+  // Called when a task of the crash-looping job has succeeded, which ends the crash loop.
   virtual void OnCrashLoopEnded(const jobs::Job& job) = 0;
-  // All machines of the reconciliation have reported, or are certain to run nothing. `tasks`: how
-  // many of the tasks of the reconciliation were on none of these machines. They are pending again
-  // unless their job is over.
+  // Called when all machines of the reconciliation have reported, or are certain to run nothing.
+  // `tasks`: how many of the tasks of the reconciliation were on none of these machines. They are
+  // pending again unless their job is over.
   virtual void OnReconciliationEnded(uint64_t reconciliation, size_t tasks) = 0;
 
   // --- Time and records ---
@@ -57,7 +58,7 @@
   // Called in each tick, before and after the placement of waiting tasks.
   virtual void BeforePlacement(double now) = 0;
   virtual void AfterPlacement(double now) = 0;
-  // A batch of records has become durable.
+  // Called when a batch of records has become durable.
   virtual void OnRecordsWritten() = 0;
 };
 
--- a/include/mosspath/scheduler/scheduler.h
+++ b/include/mosspath/scheduler/scheduler.h
@@ -83,7 +83,7 @@
   std::vector<CommandBatch> TakeCommands(double now, size_t max_batches = kUnlimitedBatches) {
     return commands_.TakeBatches(now, max_batches);
   }
-  // `heartbeat` is the one in the agent's answer, or null if the answer had none.
+  // `heartbeat` is the heartbeat in the agent's answer, or null if the answer had no heartbeat.
   void OnCommandOutcome(const CommandBatch& batch, CommandOutcome outcome,
                         const wire::Heartbeat* heartbeat, double now) {
     outcomes_.OnOutcome(batch, outcome, heartbeat, now);
@@ -141,11 +141,11 @@
   DurableState::WriteBatch TakeRecords(size_t max_packs, size_t max_bytes) {
     return state_.durable_state.TakeBatch(max_packs, max_bytes, state_.cluster);
   }
-  // End the batch in flight. OnRecordsWritten: the batch is durable at this store revision.
-  // OnRecordsFailed: the batch was not written.
+  // The next two functions end the batch in flight. OnRecordsWritten: the batch is durable at this
+  // store revision. OnRecordsFailed: the batch was not written.
   void OnRecordsWritten(uint64_t revision, double now);
   void OnRecordsFailed() { state_.durable_state.OnBatchFailed(); }
-  // Record the version of the pack that a watch event of the store shows.
+  // Records the version of the pack that a watch event of the store reports.
   void OnProgressVersion(int pack, uint64_t version) {
     state_.durable_state.OnProgressVersion(pack, version);
   }
--- a/include/mosspath/scheduler/service_level_objectives.h
+++ b/include/mosspath/scheduler/service_level_objectives.h
@@ -29,8 +29,8 @@
   };
   // Returns the earliest objective that the job can still meet if its tasks run as long as
   // expected. For an objective for starts, `within_s` is the time limit of the start plus the
-  // expected run time. If the job can meet no objective, `within_s` is that of its latest
-  // objective.
+  // expected run time. If the job can meet no objective, `within_s` is the time of the
+  // job's latest objective.
   NextObjective Next(const jobs::Job& job, double now) const;
 
  private:
--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -28,9 +28,9 @@
 
   // Sets the version above which jobs get a durable start marker before any of their tasks is
   // started, whichever controller leads. A leader that has begun to write markers goes on even if
-  // kNever is set: while the leader reloads its view of the state service, that view shows no
-  // controller that writes markers. If the leader then started a job without a marker, its
-  // successor would treat the job as never started.
+  // kNever is set: while the leader reloads its view (what the leader has read of the state
+  // service), the view contains no controller that writes markers. If the leader then started a job
+  // without a marker, its successor would treat the job as never started.
   void SetMarkersSince(uint64_t version);
 
   // Returns whether the job's pending tasks may be started: it is certain that none of them still
--- a/include/mosspath/scheduler/status_reporter.h
+++ b/include/mosspath/scheduler/status_reporter.h
@@ -24,7 +24,8 @@
   void LogLoadIfDue(double now);
 
  private:
-  // The reasons why tasks of a job wait. If several apply, the first in this order is shown.
+  // The reasons why tasks of a job wait. If several reasons apply, the status contains the first in
+  // this order.
   enum class WaitingReason {
     kRecovery,
     kCrashLoop,
--- a/include/mosspath/scheduler/task_reconciliation.h
+++ b/include/mosspath/scheduler/task_reconciliation.h
@@ -28,7 +28,7 @@
 
  private:
   struct PendingMachines {
-    std::set<std::string> machines;  // still waited for
+    std::set<std::string> machines;  // machines that the reconciliation still waits for
     size_t total = 0;                // number of machines when the reconciliation began
   };
   std::map<uint64_t, PendingMachines> pending_;
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,10 +1,11 @@
 // Starts that a machine other than the intended one may have executed. A command batch is sent to
 // an address. If its answer is lost and the intended machine is gone, another machine that has
-// reused the address may run the task. What the intended machine has reported can't show that.
+// reused the address may run the task. No report of the intended machine can reveal that
+// the task runs on another machine.
 // Pure.
 //
 // Such a task is withheld until no other machine can run it. This is certain once the cloud's list
-// of machines, requested late enough to show all machines that were up when the batch was sent,
+// of machines, requested late enough to include all machines that were up when the batch was sent,
 // meets one of two conditions: no listed machine has that address, or each listed machine at that
 // address has confirmed a fencing token higher than that of the batch, in a heartbeat that was
 // reconciled (docs/design.md, 16).
--- a/include/mosspath/scheduler/unplaceable_specs.h
+++ b/include/mosspath/scheduler/unplaceable_specs.h
@@ -17,8 +17,8 @@
   // failures exclude machines, because other jobs may fit on these machines. The job outlives this
   // object.
   void Add(const jobs::Job& job);
-  // Returns whether a recorded spec shows that this spec's tasks don't fit: the recorded spec needs
-  // no more resources, and may use all machines that this one may use.
+  // Returns whether a recorded spec proves that tasks of `spec` don't fit: the recorded spec needs
+  // no more resources than `spec`, and may use all machines that `spec` may use.
   bool Covers(const wire::JobSpec& spec) const;
 
  private:
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -84,7 +84,7 @@
 }
 
 void AdmissionController::OnAccepted(const wire::JobSpec& spec) {
-  // The view shows the job now, so the job is live and no longer in flight.
+  // The job has appeared in the view, so the job is live and no longer in flight.
   RemoveInFlight(spec.id);
   const Entry entry{{spec.team, spec.job_class}, static_cast<double>(spec.tasks)};
   if (!live_jobs_.emplace(spec.id, entry).second) return;
--- a/src/admission/runnable.cc
+++ b/src/admission/runnable.cc
@@ -24,7 +24,7 @@
   const auto team =
       std::find_if(teams.begin(), teams.end(), [&](const auto& t) { return t.name == spec.team; });
   if (team == teams.end()) return "unknown team";
-  std::set<std::string> zones;  // where a task fits
+  std::set<std::string> zones;  // zones with a machine type that a task fits
   for (const auto& type : types) {
     if (FitsType(type, spec)) zones.insert(type.zones.begin(), type.zones.end());
   }
--- a/src/scheduler/leader_sharding.cc
+++ b/src/scheduler/leader_sharding.cc
@@ -164,7 +164,7 @@
     case Kind::kCrashLoop:
       return OnCrashLoop(message, now);
     default:
-      return;  // only leaders send the other kinds
+      return;  // only leaders send messages of the remaining kinds
   }
 }
 
--- a/src/scheduler/provisioning_tracker.cc
+++ b/src/scheduler/provisioning_tracker.cc
@@ -103,9 +103,9 @@
     machine.offer = {listed.type, listed.zone, listed.spot, 1};
     machine.since = now - listed.age_s;
   }
-  // The time limit of a machine that is up starts when the list first shows it running. The age of
-  // the machine is ignored, because even the agent of an old machine may not have had the time to
-  // reach this leader.
+  // The time limit of a machine that is up starts when the list first reports the machine as
+  // running. The age of the machine is ignored, because even the agent of an old machine may not
+  // have had the time to reach this leader.
   if (listed.state == wire::MachineState::kRunning && !machine.up) {
     machine.up = true;
     machine.since = now;
@@ -113,8 +113,8 @@
   if (listed.state == wire::MachineState::kFailed) machine.since = kLongAgo;
 }
 
-// Marks the silent machines that the list omits. The cloud's list may show a new machine late, but
-// once it has shown a machine, it shows that machine for as long as the machine exists. A silent
+// Marks the silent machines that the list omits. A new machine may appear late in the cloud's
+// list, but once listed, a machine stays in the list for as long as the machine exists. A silent
 // machine that the list omits has therefore been reclaimed.
 void ProvisioningTracker::MarkMissing(const std::vector<wire::ListedMachine>& listed,
                                       const MachineMaps& all_machines, double requested_at) const {
--- a/src/scheduler/unconfirmed_starts.cc
+++ b/src/scheduler/unconfirmed_starts.cc
@@ -25,8 +25,8 @@
 bool UnconfirmedStarts::MayHaveRunElsewhere(const UnconfirmedStart& start,
                                             const cluster::ClusterState& cluster,
                                             std::set<std::string>& suspects) const {
-  // A list that is requested after the maximum lag shows all machines that were up when the batch
-  // was sent, except machines that no longer exist.
+  // A list that is requested after the maximum lag includes all machines that were up when the
+  // batch was sent, except machines that no longer exist.
   const double max_lag_s = kMaxListLagFactor * list_lag_s_ * (1 + 2 * config::kMaxClockDrift);
   if (list_requested_at_ < start.sent_at + max_lag_s) return true;
   bool possible = false;
