--- a/include/mosspath/admission/admission_plan.h
+++ b/include/mosspath/admission/admission_plan.h
@@ -1,8 +1,7 @@
 // Admission shares: the part of the free budget that each controller may fill before the jobs that
 // the other controllers have accepted appear in its view (what the controller has read of the state
-// service). The leader plans the shares by demand. A
-// controller requests a plan in each of its presence messages, and the response contains the plan.
-// No I/O; the time is an argument.
+// service). The leader plans the shares by demand. A controller requests a plan in each of its
+// presence messages, and the response contains the plan. No I/O; the time is an argument.
 //
 // Invariants (docs/admission.md):
 //   - the shares in force on all controllers sum to at most kPlannedFraction at any instant. A
@@ -31,7 +30,7 @@
 struct AdmissionPlan {
   uint64_t token = 0;    // fencing token of the leader that made the plan
   uint64_t version = 0;  // increases with each plan of that leader
-  double life_s = 0;     // validity, from the request; 0: no plan
+  double life_s = 0;     // validity from the controller's request; 0: no plan
   double share = 0;
   friend bool operator==(const AdmissionPlan&, const AdmissionPlan&) = default;
 };
--- a/include/mosspath/autoscaler/scale_in.h
+++ b/include/mosspath/autoscaler/scale_in.h
@@ -20,9 +20,9 @@
 
 // Names of machines.
 struct ScaleInPlan {
-  std::vector<std::string> scale_in;  // idle, to be deleted now
-  std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // to take only urgent tasks that fit on no other machine
+  std::vector<std::string> scale_in;  // idle machines, to be deleted now
+  std::vector<std::string> drain;     // machines that are to take no new tasks
+  std::vector<std::string> cordon;    // machines that take only urgent tasks that fit nowhere else
 };
 
 // Makes one plan from the machines and the waiting demand.
--- a/include/mosspath/autoscaler/scaling_planner.h
+++ b/include/mosspath/autoscaler/scaling_planner.h
@@ -14,9 +14,9 @@
 // Waiting tasks with the same resources and placement constraints.
 struct Demand {
   bool spot_allowed = true;
-  std::vector<std::string> types;  // empty: any
-  std::string zone;                // empty: any
-  double cpus = 0;                 // of one task
+  std::vector<std::string> types;  // empty: any type
+  std::string zone;                // empty: any zone
+  double cpus = 0;                 // CPUs of one task
   double gpus = 0;
   double memory_gb = 0;
   double waiting_tasks = 0;  // tasks that are not placed
@@ -31,13 +31,13 @@
   std::string zone;
   bool spot = false;
   bool up = false;
-  bool schedulable = false;  // takes new tasks
+  bool schedulable = false;  // the machine takes new tasks
   bool idle = false;
   double idle_s = 0;
   double used_cpus = 0;
-  double remaining_cpu_s = 0;  // CPU seconds that its tasks are still expected to need
+  double remaining_cpu_s = 0;  // CPU seconds that the machine's tasks are still expected to need
   bool draining = false;
-  bool has_on_demand_work = false;  // runs work that may not use spot machines
+  bool has_on_demand_work = false;  // the machine runs work that may not use spot machines
 };
 
 struct ScaleOutRequest {
@@ -49,9 +49,9 @@
 
 struct ScalingPlan {
   std::vector<ScaleOutRequest> scale_out;
-  std::vector<std::string> scale_in;  // idle, to be deleted now
-  std::vector<std::string> drain;     // to take no new tasks
-  std::vector<std::string> cordon;    // to take only urgent tasks that fit on no other machine
+  std::vector<std::string> scale_in;  // idle machines, to be deleted now
+  std::vector<std::string> drain;     // machines that are to take no new tasks
+  std::vector<std::string> cordon;    // machines that take only urgent tasks that fit nowhere else
 };
 
 using MachineOffer = std::tuple<std::string, std::string, bool>;  // type, zone, spot
@@ -59,8 +59,8 @@
 struct ScalingInput {
   std::vector<wire::MachineType> types;
   std::vector<Demand> demand;
-  // CPUs of the largest recent urgent job. As many CPUs are kept free, so that the next urgent job
-  // starts at once.
+  // CPUs of the largest recent urgent job. The same number of CPUs is kept free, so that the next
+  // urgent job starts at once.
   double burst_cpus = 0;
   // CPUs to keep free on on-demand machines, for urgent work that may not use spot machines.
   double on_demand_cpus = 0;
--- a/include/mosspath/scheduler/leader_sharding.h
+++ b/include/mosspath/scheduler/leader_sharding.h
@@ -15,7 +15,7 @@
 
 class LeaderSharding {
  public:
-  // Both outlive this object.
+  // Both arguments outlive this object.
   LeaderSharding(SchedulerState& state, MachineHandover& handover)
       : state_(state), handover_(handover) {}
 
--- a/include/mosspath/scheduler/locality.h
+++ b/include/mosspath/scheduler/locality.h
@@ -17,7 +17,7 @@
 struct Candidate {
   size_t machine = 0;     // the caller's index
   double missing_gb = 0;  // delta(k,m): the image's layers that the machine lacks
-  double held_gb = 0;     // all layers on the machine, by the cluster state
+  double held_gb = 0;     // all layers on the machine, according to the cluster state
   bool has_capacity = false;
 };
 
--- a/include/mosspath/scheduler/placement_attempt.h
+++ b/include/mosspath/scheduler/placement_attempt.h
@@ -73,7 +73,7 @@
   cluster::Machine& MachineAt(size_t index) const { return *pool_[index]; }
   bool FitsInTier(const cluster::Machine& machine, MachineTier tier) const;
   // Returns whether the job spreads over zones and the machine's zone already has the maximum of
-  // its tasks: half of the job's tasks, rounded up.
+  // the job's tasks: half of the job's tasks, rounded up.
   bool IsZoneFull(const cluster::Machine& machine) const;
   bool HasDurableStartMarker() { return stages_.start_gate.HasDurableStartMarker(job_); }
   // Binds the next pending task to the machine. Returns false if the job may start no more tasks.
@@ -84,7 +84,7 @@
  private:
   bool IsUrgent() const;
   // Chooses the zone for a job whose tasks must share one. Returns false if no zone has a machine
-  // for it.
+  // for the job.
   bool ChooseSingleZone();
   std::string ZoneOfPlacedTasks() const;
   std::string ZoneWithMostFreeCpus() const;
--- a/include/mosspath/scheduler/provisioning_tracker.h
+++ b/include/mosspath/scheduler/provisioning_tracker.h
@@ -47,8 +47,8 @@
   void OnMachineList(const std::vector<wire::ListedMachine>& listed,
                      const MachineMaps& all_machines, double requested_at, double now);
 
-  // Records an urgent job that needs this many CPUs at once. The planner keeps as many CPUs free
-  // for the next urgent job.
+  // Records an urgent job that needs this many CPUs at once. The planner keeps the same number of
+  // CPUs free for the next urgent job.
   void OnUrgentJob(double submitted, double cpus) { urgent_jobs_.push_back({submitted, cpus}); }
   // Returns the CPUs of the largest recent urgent job, and discards urgent jobs that are not
   // recent.
--- a/include/mosspath/scheduler/scaling_coordinator.h
+++ b/include/mosspath/scheduler/scaling_coordinator.h
@@ -18,7 +18,7 @@
 // machines in the scheduler's state.
 class ScalingCoordinator {
  public:
-  // Both outlive this object.
+  // Both arguments outlive this object.
   ScalingCoordinator(SchedulerState& state, TaskMigration& migration)
       : state_(state), migration_(migration) {}
 
--- a/include/mosspath/scheduler/scheduler_state.h
+++ b/include/mosspath/scheduler/scheduler_state.h
@@ -46,8 +46,8 @@
   // Returns whether the task may be on machines that another controller has commanded and of which
   // some have not been reconciled yet.
   bool IsReconciling(const wire::TaskId& task) const;
-  // Returns this controller's machines and the delegated ones, as the provisioning tracker takes
-  // them.
+  // Returns this controller's machines and the delegated machines, in the form in which
+  // ProvisioningTracker takes machines.
   ProvisioningTracker::MachineMaps AllMachines() {
     return {&cluster.machines, &cluster.delegated_machines};
   }
--- a/include/mosspath/scheduler/shard_map.h
+++ b/include/mosspath/scheduler/shard_map.h
@@ -23,7 +23,7 @@
 
  private:
   std::vector<std::string> owners_;  // sorted by name, so all controllers use the same indexes
-  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // by the zone of their owner
+  std::map<std::string, std::vector<size_t>> shards_by_zone_;  // shard indexes, by the owner's zone
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/task_binder.h
+++ b/include/mosspath/scheduler/task_binder.h
@@ -14,8 +14,8 @@
 // task to the holder of the machine's shard.
 class TaskBinder {
  public:
-  // The arguments outlive the binder. `token`: fencing token of this leadership. The high bits of
-  // all attempt numbers are this token.
+  // The arguments outlive the binder. `token`: fencing token of this term of leadership, or the
+  // number of the shard lease. The high bits of all attempt numbers are this token.
   TaskBinder(cluster::ClusterState& cluster, ShardLeases& shard_leases, FairShare& fair_share,
              CapacityReservation& reservation, uint64_t token);
 
--- a/include/mosspath/scheduler/task_placer.h
+++ b/include/mosspath/scheduler/task_placer.h
@@ -2,7 +2,7 @@
 //
 // A placement pass has these stages, each in its own module:
 //   - queue order (job_ranking); overdue first tasks and groups below their fair-share floor go
-//     ahead of it (overdue_first_tasks, deficit_queue);
+//     ahead of the queue order (overdue_first_tasks, deficit_queue);
 //   - gate and filter: which tasks may start at all, and on which machines (start_gate,
 //     machine_filter);
 //   - score: layer locality (locality, image_fetch);
@@ -42,8 +42,8 @@
 // computed. Not thread-safe.
 class TaskPlacer {
  public:
-  // The arguments outlive the placer. `token`: fencing token of this leadership. The high bits of
-  // all attempt numbers are this token.
+  // The arguments outlive the placer. `token`: fencing token of this term of leadership, or the
+  // number of the shard lease. The high bits of all attempt numbers are this token.
   TaskPlacer(const config::Settings& settings, cluster::ClusterState& cluster,
              const ServiceLevelObjectives& objectives, const Failover& failover,
              DurableState& durable_state, ShardLeases& shard_leases, uint64_t token);
--- a/include/mosspath/scheduler/task_reconciliation.h
+++ b/include/mosspath/scheduler/task_reconciliation.h
@@ -17,13 +17,14 @@
   // Begins a reconciliation that waits for these machines. Its id is the lease number under which
   // the tasks were delegated. Returns false if there are no machines, and thus no running tasks.
   bool Begin(uint64_t reconciliation, const std::vector<std::string>& machines);
-  // The machine has reported its tasks, or is certain to run none. Returns the ids of the
-  // reconciliations that have waited for this machine only. These reconciliations end.
+  // Called when the machine has reported its tasks, or is certain to run none. Returns the ids of
+  // the reconciliations that have waited for this machine only. These reconciliations end.
   std::vector<uint64_t> OnMachineReconciled(const std::string& machine);
   bool IsActive(uint64_t reconciliation) const { return pending_.contains(reconciliation); }
   bool empty() const { return pending_.empty(); }
   // Returns whether each reconciliation that waits for this machine waits for at most `max_share`
-  // of its machines, or for this machine alone. Returns false if no reconciliation waits for it.
+  // of the reconciliation's machines, or for this machine alone. Returns false if no
+  // reconciliation waits for this machine.
   bool IsNearlyComplete(const std::string& machine, double max_share) const;
 
  private:
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,8 +1,7 @@
 // Starts that a machine other than the intended one may have executed. A command batch is sent to
 // an address. If its answer is lost and the intended machine is gone, another machine that has
-// reused the address may run the task. No report of the intended machine can reveal that
-// the task runs on another machine.
-// Pure.
+// reused the address may run the task. No report of the intended machine can reveal that the task
+// runs on another machine. Pure.
 //
 // Such a task is withheld until no other machine can run it. This is certain once the cloud's list
 // of machines, requested late enough to include all machines that were up when the batch was sent,
@@ -59,7 +58,7 @@
 
   const double list_lag_s_;
   std::map<wire::TaskId, UnconfirmedStart> starts_;
-  // From the last machine list.
+  // The last machine list: the time of its request, and the addresses of the listed machines.
   double list_requested_at_ = kLongAgo;
   std::vector<ListedAddress> listed_machines_;
 };
--- a/src/scheduler/leader_role.cc
+++ b/src/scheduler/leader_role.cc
@@ -7,8 +7,9 @@
 using cluster::Machine;
 using jobs::Job;
 
-// Marks the current fencing token. The machine gets no new tasks until it has reported under a
-// higher token, because it can have received that token only in an answer.
+// Records the machine's current fencing token. The machine gets no new tasks until it has reported
+// under a higher token. Such a report proves that answers reach the machine, because it can have
+// received the higher token only in an answer.
 void LeaderRole::OnDeliveryFailureSuspected(Machine& machine) {
   machine.ignored_answers_token = machine.fencing_token;
 }
--- a/src/scheduler/machine_health.cc
+++ b/src/scheduler/machine_health.cc
@@ -15,7 +15,7 @@
 // been timed.
 constexpr uint32_t kMinTimedTasksOfJob = 3;
 // A machine can be quarantined as slow only after this many tasks on it have been compared. Its
-// slowdown is a moving average over as many tasks.
+// slowdown is a moving average over the same number of tasks.
 constexpr int kMinTimedTasksOnMachine = 4;
 // A machine is slow if its tasks run more than this many times as long as the mean of their jobs.
 constexpr double kSlowFactor = 2.5;
--- a/src/scheduler/machine_lifecycle.cc
+++ b/src/scheduler/machine_lifecycle.cc
@@ -93,8 +93,8 @@
   machine.agent_epoch = agent_epoch;
   // An agent epoch lasts for at least one agent lease, even if none of its heartbeats is answered.
   // The expiry of the lease must therefore not be counted from the last heartbeat answer alone.
-  // With that rule, an epoch that was first seen in the answer to a command batch executed starts,
-  // and went on after its lease was taken to have expired: tasks ran twice.
+  // When the expiry was counted that way, an epoch that was first seen in the answer to a command
+  // batch executed starts, and went on after its lease was taken to have expired: tasks ran twice.
   machine.epoch_seen_at = now;
 }
 
--- a/src/scheduler/reconciler.cc
+++ b/src/scheduler/reconciler.cc
@@ -118,9 +118,10 @@
 // Returns whether the absence of the attempt from the heartbeat proves that the attempt is not on
 // the machine and that its start can't be executed any more. The agent makes its next periodic
 // heartbeat only after the answer to the previous one has arrived or timed out, so a periodic
-// heartbeat proves it for starts in earlier answers. The heartbeat in the answer to a command batch
-// can be made while the answer to a periodic heartbeat is still in flight, so it proves nothing
-// about starts in that answer.
+// heartbeat proves the absence of attempts whose start was sent in an earlier answer. The heartbeat
+// in the answer to a command batch can be made while the answer to a periodic heartbeat is still in
+// flight, so the heartbeat in the answer to the batch proves nothing about starts in the answer
+// that is in flight.
 bool Reconciler::WouldBeListed(const Pass& pass, const Allocation& allocation) {
   if (allocation.state == Allocation::State::kReported) return true;
   if (allocation.state != Allocation::State::kStartSent) return false;
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -210,8 +210,8 @@
 }
 
 bool ScalingCoordinator::IsIdle(const Machine& machine) const {
-  // A machine receives no new tasks while it is being handed over. It must not be deleted because
-  // of that.
+  // A machine receives no new tasks while it is being handed over. It must not be deleted just
+  // because it receives no new tasks.
   if (!machine.token_confirmed || machine.handover_lease != kNoLease) return false;
   return std::all_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
