--- a/include/mosspath/autoscaler/scale_out.h
+++ b/include/mosspath/autoscaler/scale_out.h
@@ -15,7 +15,7 @@
 // Free capacity on machines of one offer that is allotted to waiting work.
 struct AllottedCapacity {
   double cpus = 0;
-  // On a machine with fewer free CPUs, no task of that work fits.
+  // On a machine with fewer free CPUs, no task of the waiting work fits.
   double min_usable_cpus = std::numeric_limits<double>::infinity();
 };
 
@@ -47,7 +47,7 @@
   std::vector<const Demand*> FewestOffersFirst() const;
   // Returns the CPUs that the demand needs: enough to finish the waiting work within the horizon,
   // but no more than are needed to run all waiting tasks at once. An urgent demand always needs the
-  // latter. `offer`: the cheapest offer that can serve the demand.
+  // CPUs to run all waiting tasks at once. `offer`: the cheapest offer that can serve the demand.
   double NeededCpus(const Demand& demand, const PricedOffer& offer) const;
   // Allots free capacity to the demand. Returns the CPUs that remain to be requested.
   double AllotFreeCapacity(const Demand& demand, double needed_cpus);
--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -3,7 +3,7 @@
 //
 // A new leader must not start a task that an earlier leader may have started already. A job was
 // certainly never started if it was accepted under the present leader, or if every controller
-// writes a durable start marker before a job's first start and the job has none.
+// writes a durable start marker before a job's first start and the job has no marker.
 #pragma once
 
 #include <cstddef>
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -41,7 +41,7 @@
   // that was requested before the stored list.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed, double requested_at);
   // Removes and returns the tasks that no machine other than the intended one can run. Adds to
-  // `suspects` the machines that must confirm a higher token before further tasks can be ruled out.
+  // `suspects` the machines that must confirm a higher token before more tasks can be returned.
   std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& cluster,
                                          std::set<std::string>& suspects);
 
--- a/src/scheduler/preemption.cc
+++ b/src/scheduler/preemption.cc
@@ -87,9 +87,10 @@
 }
 
 // Tasks end all the time even when all machines are full. Within one heartbeat interval, most
-// waiting tasks get capacity that was freed by tasks that ended; a task that was stopped for them
-// would lose its work for nothing. The delay is therefore one heartbeat interval. It is shorter if
-// the job has a start objective that ends within one heartbeat interval of its submission.
+// waiting tasks get capacity that was freed by tasks that ended; a task that was stopped for these
+// waiting tasks would lose its work for nothing. The delay is therefore one heartbeat interval. It
+// is shorter if the job has a start objective that ends within one heartbeat interval of its
+// submission.
 double Preemption::PreemptionDelayS(const Job& job, double now) const {
   const ServiceLevelObjectives::NextObjective objective = objectives_.Next(job, now);
   const double start_within_s = objective.within_s - ExpectedRunS(job);
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -95,8 +95,8 @@
   std::vector<Demand> demand;
   for (const auto& [id, job] : state_.cluster.jobs) {
     if (job->pending.empty() || now < job->not_before) continue;
-    // A crash looping job is retried on the present machines. Machines are added for it only if
-    // this controller commands none.
+    // A crash looping job is retried on the present machines. Machines are added for the job only
+    // if this controller commands no machine.
     if (job->crash_looping && !state_.cluster.machines.empty()) continue;
     AppendJobDemand(*job, demand);
   }
--- a/src/scheduler/start_gate.cc
+++ b/src/scheduler/start_gate.cc
@@ -16,7 +16,7 @@
 }
 
 // Jobs of high priority and above get no marker: they rarely wait for capacity, so waiting for the
-// write of a marker would delay nearly every one of them.
+// write of a marker would delay the start of nearly every such job.
 bool StartGate::NeedsStartMarker(const Job& job) const {
   return job.spec.priority < wire::Priority::kHigh && job.version > markers_since_;
 }
--- a/src/scheduler/task_binder.cc
+++ b/src/scheduler/task_binder.cc
@@ -65,7 +65,7 @@
 bool TaskBinder::BindToMachine(Job& job, uint32_t index, Machine& machine, double now) {
   jobs::Task& task = job.tasks[index];
   if (task.attempts == kMaxAttempts) {
-    // No task is expected to have so many attempts within one leadership. Starting no more of them
+    // No task is expected to have so many attempts within one leadership. Starting no more attempts
     // ensures that no attempt number is reused.
     job.not_before = kDistantFuture;
     return false;
