--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -16,13 +16,14 @@
 
 namespace mosspath::scheduler {
 
-// Belongs to one term of leadership. Not thread-safe.
+// Belongs to one term of leadership or one shard lease. Not thread-safe.
 class StartGate {
  public:
   // Means that not all controllers write start markers.
   static constexpr uint64_t kNever = ~uint64_t{0};
 
-  // The references must outlive the gate. `token` is the fencing token of this term.
+  // The references must outlive the gate. `token` is the fencing token of the term, or the number
+  // of the shard lease.
   StartGate(const cluster::QuotaUsage& quota, const Failover& failover, DurableState& durable_state,
             uint64_t token);
 
--- a/src/scheduler/status_reporter.cc
+++ b/src/scheduler/status_reporter.cc
@@ -74,8 +74,8 @@
 void StatusReporter::SummarizeJobs(double now, StatusSnapshot& snapshot) const {
   QueueSummaries classes;
   QueueSummaries teams;
-  // The status includes classes and teams without live jobs too, for the times of their last
-  // activity.
+  // The status also includes classes and teams whose jobs have all ended, for the times of their
+  // last activity.
   for (const auto& [name, activity] : state_.activity.classes()) classes[name];
   for (const auto& [name, activity] : state_.activity.teams()) teams[name];
   for (const auto& [id, job] : state_.cluster.jobs) {
