--- a/include/mosspath/scheduler/start_gate.h
+++ b/include/mosspath/scheduler/start_gate.h
@@ -3,7 +3,7 @@
 //
 // A new leader must not start a task that an earlier leader may have started already. A job was
 // certainly never started if it was accepted under the present leader, or if every controller
-// writes a durable start marker before a job's first start and the job has none.
+// writes a durable start marker before a job's first start and the job has no marker.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,22 @@
 
 namespace mosspath::scheduler {
 
-// Belongs to one term of leadership. Not thread-safe.
+// Belongs to one term of leadership or one shard lease. Not thread-safe.
 class StartGate {
  public:
   // Means that not all controllers write start markers.
   static constexpr uint64_t kNever = ~uint64_t{0};
 
-  // The references must outlive the gate. `token` is the fencing token of this term.
+  // The references must outlive the gate. `token` is the fencing token of the term, or the number
+  // of the shard lease.
   StartGate(const cluster::QuotaUsage& quota, const Failover& failover, DurableState& durable_state,
             uint64_t token);
 
   // Sets the version above which jobs get a durable start marker before any of their tasks is
   // started, whichever controller leads. A leader that has begun to write markers goes on even if
-  // kNever is set: while the leader reloads its view of the state service, that view shows no
-  // controller that writes markers. If the leader then started a job without a marker, its
-  // successor would treat the job as never started.
+  // kNever is set: while the leader reloads its view (what the leader has read of the state
+  // service), the view contains no controller that writes markers. If the leader then started a job
+  // without a marker, its successor would treat the job as never started.
   void SetMarkersSince(uint64_t version);
 
   // Returns whether the job's pending tasks may be started: it is certain that none of them still
--- a/include/mosspath/scheduler/unconfirmed_starts.h
+++ b/include/mosspath/scheduler/unconfirmed_starts.h
@@ -1,10 +1,10 @@
 // Starts that a machine other than the intended one may have executed. A command batch is sent to
 // an address. If its answer is lost and the intended machine is gone, another machine that has
-// reused the address may run the task. What the intended machine has reported can't show that.
-// Pure.
+// reused the address may run the task. No report of the intended machine can reveal that the task
+// runs on another machine. Pure.
 //
 // Such a task is withheld until no other machine can run it. This is certain once the cloud's list
-// of machines, requested late enough to show all machines that were up when the batch was sent,
+// of machines, requested late enough to include all machines that were up when the batch was sent,
 // meets one of two conditions: no listed machine has that address, or each listed machine at that
 // address has confirmed a fencing token higher than that of the batch, in a heartbeat that was
 // reconciled (docs/design.md, 16).
@@ -41,7 +41,7 @@
   // that was requested before the stored list.
   void OnMachineList(const std::vector<wire::ListedMachine>& listed, double requested_at);
   // Removes and returns the tasks that no machine other than the intended one can run. Adds to
-  // `suspects` the machines that must confirm a higher token before further tasks can be ruled out.
+  // `suspects` the machines that must confirm a higher token before more tasks can be returned.
   std::vector<wire::TaskId> TakeRuledOut(const cluster::ClusterState& cluster,
                                          std::set<std::string>& suspects);
 
@@ -58,7 +58,7 @@
 
   const double list_lag_s_;
   std::map<wire::TaskId, UnconfirmedStart> starts_;
-  // From the last machine list.
+  // The last machine list: the time of its request, and the addresses of the listed machines.
   double list_requested_at_ = kLongAgo;
   std::vector<ListedAddress> listed_machines_;
 };
--- a/src/scheduler/scaling_coordinator.cc
+++ b/src/scheduler/scaling_coordinator.cc
@@ -95,8 +95,8 @@
   std::vector<Demand> demand;
   for (const auto& [id, job] : state_.cluster.jobs) {
     if (job->pending.empty() || now < job->not_before) continue;
-    // A crash looping job is retried on the present machines. Machines are added for it only if
-    // this controller commands none.
+    // A crash looping job is retried on the present machines. Machines are added for the job only
+    // if this controller commands no machine.
     if (job->crash_looping && !state_.cluster.machines.empty()) continue;
     AppendJobDemand(*job, demand);
   }
@@ -210,8 +210,8 @@
 }
 
 bool ScalingCoordinator::IsIdle(const Machine& machine) const {
-  // A machine receives no new tasks while it is being handed over. It must not be deleted because
-  // of that.
+  // A machine receives no new tasks while it is being handed over. It must not be deleted just
+  // because it receives no new tasks.
   if (!machine.token_confirmed || machine.handover_lease != kNoLease) return false;
   return std::all_of(machine.allocations.begin(), machine.allocations.end(), [&](const auto& it) {
     const auto& [key, allocation] = it;
