--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -35,7 +35,7 @@
   // --- Events of the watch cache ---
   void OnLeaderKey(const kvstore::Event& event);
   void OnReset() { leadership_.Reset(); }
-  // `fresh`: the cache is empty, so no controller has ever led.
+  // `fresh`: the state service has no leader key and no other keys, so no controller has ever led.
   void OnCacheLoaded(bool fresh);
   // The watch cache holds every change up to `revision`, and with that everything that was written
   // to the state service before `as_of`.
@@ -69,9 +69,11 @@
                                                              double now);
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return leadership_.token(); }
-  // The name of the last known leader; empty if no leader is known.
+  // The controller that the leader key names, as last read; empty if the key was absent or has not
+  // been read.
   [[nodiscard]] const std::string& leader() const { return leadership_.leader(); }
-  // The fencing token of the last known leader; kNoToken if no leader is known.
+  // The leader's fencing token, as last read from the leader key; kNoToken if the key was absent or
+  // has not been read.
   [[nodiscard]] uint64_t leader_token() const { return leadership_.leader_token(); }
   // This controller's store lease; kvstore::kNoLease while this controller has none.
   [[nodiscard]] uint64_t store_lease() const { return leadership_.store_lease(); }
--- a/include/mosspath/election/failure_detector.h
+++ b/include/mosspath/election/failure_detector.h
@@ -36,12 +36,12 @@
   // state service last answered this controller. If that was less than `contact_timeout_s` ago, the
   // state service is taken to be reachable.
   //
-  // In an outage of the state service for all controllers this controller stays in the load
+  // If the state service is down for all controllers, this controller stays in the load
   // balancer: withdrawing would only move its users to controllers with the same outage. If the
   // state service refuses only this controller, this controller withdraws, since the peers can
   // serve the users. An isolated controller that can't reach the state service withdraws too:
-  // without heartbeats it can't tell whether the state service still answers the peers. If it does,
-  // this controller would answer 503 to users that the peers could serve.
+  // without heartbeats it can't tell whether the state service still answers the peers. If the
+  // state service does, this controller would answer 503 to users that the peers could serve.
   [[nodiscard]] bool ShouldServeUsers(double state_contact, double contact_timeout_s,
                                       double now) const;
   // Seconds since the last heartbeat of each peer; wire::kNeverS if none has arrived.
--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -130,7 +130,8 @@
     return leads() && store_lease_clock_.Holds(now) && staleness_.IsAging(now);
   }
   [[nodiscard]] bool MayResign(double now) const { return resignation_backoff_.MayResign(now); }
-  // Whether this controller may act on its view of the jobs, as a leader or not.
+  // Whether this controller may act on what it has read of the jobs in the state service, whether
+  // it leads or not.
   [[nodiscard]] bool ViewIsFresh(double now) const { return staleness_.IsFresh(now); }
   [[nodiscard]] double view_age_s(double now) const { return staleness_.age_s(now); }
   // The leader has sent the age of its view (docs/sharding.md): its view holds all cancellations
@@ -139,9 +140,11 @@
   void OnLeaderView(double as_of) { staleness_.AdvanceTo(as_of); }
   // kNoToken while this controller does not lead.
   [[nodiscard]] uint64_t token() const { return token_; }
-  // The name of the last known leader; empty if no leader is known.
+  // The controller that the leader key names, as last read; empty if the key was absent or has not
+  // been read.
   [[nodiscard]] const std::string& leader() const { return leader_key_.node; }
-  // The fencing token of the last known leader; kNoToken if no leader is known.
+  // The leader's fencing token, as last read from the leader key; kNoToken if the key was absent or
+  // has not been read.
   [[nodiscard]] uint64_t leader_token() const { return leader_key_.version; }
 
   // --- Outages of the state service. `contact` is when the last request that the state service
@@ -179,7 +182,8 @@
   static constexpr double kMissedRenewals = 1.5;
 
   [[nodiscard]] bool leads() const { return token_ != kNoToken; }
-  // The leader key was read and is attached to this controller's store lease.
+  // True if the leader key that was last read exists and is attached to this controller's store
+  // lease.
   [[nodiscard]] bool HoldsLeaderKey() const {
     return leader_key_.version != kvstore::kKeyAbsent && leader_key_.store_lease == store_lease_;
   }
@@ -211,7 +215,8 @@
   // act under promises.
   bool had_leader_before_ = false;
   bool campaigning_ = false;
-  // Set by a resignation: until then other controllers campaign first.
+  // Set by a resignation: until this time, this controller leaves the campaign to other
+  // controllers.
   std::optional<double> defer_campaign_until_;
   // Since when the leader key has been absent while this controller defers its campaign.
   std::optional<double> key_free_since_;
--- a/include/mosspath/election/lease_clock.h
+++ b/include/mosspath/election/lease_clock.h
@@ -17,7 +17,7 @@
   void OnRenewed(double sent) {
     expires_at_ = std::max(expires_at_, std::optional(sent + usable_s_));
   }
-  // The lease has ended or is about to be revoked.
+  // Called when the lease has ended or is about to be revoked: Holds() is false until a renewal.
   void OnLost() { expires_at_.reset(); }
   [[nodiscard]] bool Holds(double now) const { return expires_at_ && now < *expires_at_; }
 
--- a/include/mosspath/service/controller.h
+++ b/include/mosspath/service/controller.h
@@ -113,7 +113,7 @@
   PublicRoutes public_routes_;
   PeerRoutes peer_routes_;
   std::map<std::string, RecordPack> packs_;  // by record key
-  bool cache_empty_ = true;  // the watch cache has read no live key since its last reset
+  bool cache_empty_ = true;  // no key other than final records was read since the last reset
   std::unique_ptr<net::HttpServer> public_server_;
   std::unique_ptr<net::HttpServer> peer_server_;
 };
--- a/include/mosspath/shard/routing_table.h
+++ b/include/mosspath/shard/routing_table.h
@@ -38,12 +38,14 @@
   // Returns the controller that holds the machine under a shard lease; empty if no controller does,
   // since then the leader commands the machine.
   [[nodiscard]] std::string HolderOf(const std::string& machine) const;
-  // Returns the machines that are held under the lease, by name.
+  // Returns the routes of the machines that are held under the lease; the key is the machine's
+  // name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease) const;
-  // Returns the machines of one pack that are held under the lease, by name.
+  // Returns the routes of those machines of one pack that are held under the lease; the key is the
+  // machine's name.
   [[nodiscard]] std::map<std::string, MachineRoute> MachinesUnder(uint64_t lease, int pack) const;
   [[nodiscard]] bool IsUnder(uint64_t lease, const std::string& machine) const;
-  // Returns the name of the holder by lease.
+  // Returns the shard leases; each maps to the name of the controller that holds it.
   [[nodiscard]] const std::map<uint64_t, std::string>& leases() const { return leases_; }
 
  private:
@@ -51,7 +53,7 @@
   static void AddMachinesUnder(uint64_t lease, const Routes& from, Routes& to);
 
   std::map<int, Routes> packs_;             // only machines that are held under a shard lease
-  std::map<uint64_t, std::string> leases_;  // name of the holder by lease
+  std::map<uint64_t, std::string> leases_;  // the holder's name for each shard lease
 };
 
 }  // namespace mosspath::shard
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -28,7 +28,8 @@
     uint64_t version = 0;
     double submitted_at = 0;
   };
-  // Looks up a live job in the watch cache. Returns nothing if the job has ended or is unknown.
+  // Looks up a job in the watch cache. Returns nothing if the job has ended or the watch cache has
+  // no record of the job.
   using FindJob = std::function<std::optional<LiveJob>(const std::string& id)>;
 
   // Holds the shard with the index `own_shard` under the shard lease `lease`.
@@ -110,7 +111,7 @@
   std::optional<double> last_leader_frame_at_;
   std::optional<double> next_frame_at_;                 // nullopt: a frame is due now
   std::optional<double> next_status_at_;                // nullopt: the machine states are due now
-  std::map<std::string, uint64_t> handover_revisions_;  // revision of the handover by held machine
+  std::map<std::string, uint64_t> handover_revisions_;  // of each held machine
   std::map<std::string, ReturnedMachine> returned_;
 };
 
--- a/include/mosspath/shard/shard_lease_manager.h
+++ b/include/mosspath/shard/shard_lease_manager.h
@@ -112,7 +112,7 @@
   const uint64_t token_;
   bool allowed_ = true;
   std::map<std::string, Shard> shards_;  // by controller; this leader's own shard is not included
-  // The former holder by lease, for the leases that ended in this term.
+  // The former holder of each lease that ended in this term; the key is the lease.
   std::map<uint64_t, std::string> ended_leases_;
 };
 
