--- a/include/mosspath/election/elector.h
+++ b/include/mosspath/election/elector.h
@@ -35,7 +35,7 @@
   // --- Events of the watch cache ---
   void OnLeaderKey(const kvstore::Event& event);
   void OnReset() { leadership_.Reset(); }
-  // `fresh`: the state service has no leader key and no other keys, so no controller has ever led.
+  // `fresh`: no key other than final records was read, so no controller has ever led.
   void OnCacheLoaded(bool fresh);
   // The watch cache holds every change up to `revision`, and with that everything that was written
   // to the state service before `as_of`.
--- a/include/mosspath/service/agent_heartbeat_handler.h
+++ b/include/mosspath/service/agent_heartbeat_handler.h
@@ -18,7 +18,8 @@
 class AgentHeartbeatHandler {
  public:
   using Responder = net::HttpServer::Responder;
-  // Returns this controller's leader service; null while it does not lead.
+  // Returns this controller's leader service; null while this
+  // controller does not lead.
   using GetLeader = std::function<LeaderService*()>;
 
   // The referenced objects outlive the handler. `node`: the name of this controller.
@@ -41,7 +42,7 @@
   void AnswerAsLeader(LeaderService& leader, const wire::Heartbeat& heartbeat,
                       const Responder& respond);
   // Redirects the agent to `controller`. If that controller is suspected to be
-  // down, the redirect names no controller, and the agent tries any.
+  // down, the redirect names no controller, and the agent tries another one.
   void Redirect(const std::string& controller, const Responder& respond) const;
 
   const std::string node_;
--- a/include/mosspath/service/completion_writer.h
+++ b/include/mosspath/service/completion_writer.h
@@ -1,5 +1,5 @@
-// Writes the final records of completed jobs, and deletes job records without live jobs. Part of
-// the leader's duties; not thread-safe.
+// Writes the final records of completed jobs, and deletes job records whose jobs have all ended.
+// Part of the leader's duties; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
   // transaction. If a job's final record can't be written now, the scheduler reports the job again
   // in a later pass.
   void WriteCompletions();
-  // Deletes job records without live jobs, but only if the write rate limit allows a write at once:
-  // no request waits for the deletion.
+  // Deletes job records whose jobs have all ended. Does nothing while the write rate limit would
+  // delay the write: no request depends on the deletion, so it can be left to a later pass.
   void CleanUpRecords();
 
  private:
--- a/include/mosspath/service/controller.h
+++ b/include/mosspath/service/controller.h
@@ -46,7 +46,7 @@
  private:
   using Types = MachineTypeCache::Types;
 
-  // A pack of machine or progress records as the watch cache shows it.
+  // A pack of machine or progress records, as last read from the watch cache.
   struct RecordPack {
     wire::Json value;
     uint64_t version = 0;
--- a/include/mosspath/service/job_service.h
+++ b/include/mosspath/service/job_service.h
@@ -45,11 +45,12 @@
     admission_.controller().OnLoaded(revision);
   }
   // The job was cancelled at `revision`, according to another controller or to a transaction that
-  // this controller has committed. The watch cache may not show the cancellation yet.
+  // this controller has committed. The watch cache may not contain the cancellation yet.
   void OnCancellationLearned(const std::string& id, uint64_t revision);
   // Called with the id of a job when this controller receives the job's cancellation from a source
-  // other than the watch cache, which may show the cancellation only after an outage of the state
-  // service. The job's tasks must end at once, although the job records still show the job as live.
+  // other than the watch cache. During an outage of the state service, the watch cache does not
+  // receive the cancellation until the outage ends. The job's tasks must end at once, although the
+  // cached job records still contain the job as not ended.
   std::function<void(const std::string& id)> on_cancelled_ahead;
 
   // --- Requests of users ---
--- a/include/mosspath/service/job_submitter.h
+++ b/include/mosspath/service/job_submitter.h
@@ -20,9 +20,9 @@
  public:
   enum class Outcome {
     kNew,              // the job's record was written and is durable
-    kAlreadyRecorded,  // the job already has a record, live or final
+    kAlreadyRecorded,  // the job already has a record, whether it has ended or not
     kUndetermined,     // the deadline passed or the write failed; the job's record may be durable
-    kQueueFull,        // too many jobs, or too many of the team, are pending
+    kQueueFull,        // too many jobs are pending, in all or of the job's team
   };
   // Receives the outcome and, if it is kNew, the revision at which the job was recorded.
   using Done = std::function<void(Outcome, uint64_t revision)>;
@@ -46,7 +46,7 @@
     wire::Json entry;
     size_t bytes = 0;
     double deadline = 0;
-    bool must_be_sent_alone = false;  // a batch with this job had a conflict
+    bool must_be_sent_alone = false;  // true after a batch with this job had a conflict
     Done done;
   };
 
@@ -69,7 +69,8 @@
   uint64_t revision_ = 0;
   uint64_t batch_count_ = 0;
   size_t transactions_in_flight_ = 0;
-  // Jobs that must be sent alone, one in a transaction. They are sent before those in waiting_.
+  // Jobs that must be sent alone, one in a transaction. These jobs are sent before the jobs in
+  // waiting_.
   std::deque<PendingJob> retried_alone_;
   admission::FairQueue<PendingJob> waiting_;
 };
--- a/include/mosspath/service/keys.h
+++ b/include/mosspath/service/keys.h
@@ -1,6 +1,6 @@
-// Keys in the state service. Every controller caches the live keys. A controller also receives each
-// final record as it is written, and reads older final records one by one: final records are never
-// deleted, so a cache of all of them would need unbounded memory.
+// Keys in the state service. Every controller caches the keys under kLive. A controller also
+// receives each final record as it is written, and reads older final records one by one: final
+// records are never deleted, so a cache of all of them would need unbounded memory.
 #pragma once
 
 #include <string>
--- a/include/mosspath/service/leader_context.h
+++ b/include/mosspath/service/leader_context.h
@@ -24,7 +24,8 @@
   scheduler::Scheduler& scheduler;
 };
 
-// Returns a transaction that commits only while the leader key is that of the term.
+// Returns a transaction that commits only while the version of the leader key is the fencing token
+// of the term.
 [[nodiscard]] kvstore::Transaction LeaderTransaction(const LeadershipTerm& term);
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/machine_type_cache.h
+++ b/include/mosspath/service/machine_type_cache.h
@@ -43,7 +43,7 @@
   const config::DerivedSettings derived_;
   const std::function<void(const Types&)> on_types_;
   Types types_;
-  std::string published_;  // value of the published record; empty: no record, or not known
+  std::string published_;  // the published record's value; empty: none, or unread
   net::Timer timer_;
 };
 
--- a/include/mosspath/service/record_flusher.h
+++ b/include/mosspath/service/record_flusher.h
@@ -31,7 +31,7 @@
   const std::function<void()> on_written_;
   net::Timer timer_;
   std::optional<double> last_flush_at_;  // nullopt: no flush yet
-  std::optional<double> not_before_;     // no flush before this time, after a failed one
+  std::optional<double> not_before_;     // after a failed flush: no flush before this time
 };
 
 }  // namespace mosspath::service
--- a/include/mosspath/service/scale_out_requester.h
+++ b/include/mosspath/service/scale_out_requester.h
@@ -43,7 +43,7 @@
                  const std::vector<std::string>& machines);
   void OnProvisioned(const wire::RentRequest& request, const std::vector<std::string>& machines);
   // Called when the offer is sold out: pauses the planning of requests for the offer, and drops the
-  // requests for it that were not sent.
+  // offer's requests that were not sent.
   void CloseOffer(const autoscaler::ScaleOutRequest& offer);
   void DropUnsent(const autoscaler::ScaleOutRequest& offer);
 
--- a/include/mosspath/service/shard_holder_service.h
+++ b/include/mosspath/service/shard_holder_service.h
@@ -31,8 +31,8 @@
   void Start();
   void Stop();
 
-  // Accept the machines that the machine records of one pack, or of all packs, assign to this
-  // lease.
+  // Accept the machines that the machine records of one pack, or of all packs, assign to the shard
+  // lease of this controller.
   void OnMachinesAssigned(const shard::RoutingTable& routes, int pack);
   void OnAllMachinesAssigned(const shard::RoutingTable& routes);
   // Removes the jobs that ended while the watch cache was reloaded. The watch cache delivers no
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -38,7 +38,8 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  // Answers with the status `known` of the job, or with `missing` if there is no such job.
+  // Answers with the job's status, which is `known`. If `known` says that there is no such job,
+  // answers with `missing`.
   void AnswerWithStatus(const std::string& id, JobService::JobStatus known,
                         const Responder& respond, net::HttpResponse missing);
 
--- a/src/service/admission_service.cc
+++ b/src/service/admission_service.cc
@@ -6,9 +6,9 @@
 namespace mosspath::service {
 namespace {
 
-// Budget of tasks of live jobs per megabyte of a controller's memory. A waiting task uses 6 bytes
-// on the leader (JobTest.APendingTaskTakesFewBytes). So the waiting tasks use up to an eighth of
-// the memory.
+// Budget of tasks, over the accepted jobs that have not ended, per megabyte of a controller's
+// memory. A waiting task uses 6 bytes on the leader (JobTest.APendingTaskTakesFewBytes). So the
+// waiting tasks use up to an eighth of the memory.
 constexpr double kTasksPerMb = 20'000;
 constexpr double kUserRetryWindowS = 60;   // PROTOCOL: a user stops retrying after this time
 constexpr double kMinRetryS = 1;           // a user waits at least this long before a retry
--- a/src/service/completion_writer.cc
+++ b/src/service/completion_writer.cc
@@ -93,8 +93,8 @@
   if (result.outcome != kvstore::Outcome::kDone) {
     ForgetBeingWritten(batch.records);
     // The scheduler reports these jobs again in a later pass. If the transaction conflicted, the
-    // watch cache shows the cause by then: a cancellation, a change of the record for another job,
-    // or another leader.
+    // watch cache contains the cause by then: a cancellation, a change of the record for another
+    // job, or another leader.
     for (const std::string& id : batch.ids) context_.scheduler.OnCompletionFailed(id);
     return;
   }
--- a/src/service/job_service.cc
+++ b/src/service/job_service.cc
@@ -40,7 +40,7 @@
     for (const auto& id : change.accepted)
       admission_.controller().OnAccepted(records().Find(id)->spec);
     for (const auto& id : change.ended) admission_.controller().OnEnded(id, net::Now());
-    // Removes the jobs that ended before the watch cache showed their acceptance.
+    // Removes the jobs that ended before this controller read their acceptance.
     std::erase_if(change.accepted, [this](const auto& id) { return FindLive(id) == nullptr; });
     return change;
   } catch (const std::exception& error) {
@@ -83,8 +83,8 @@
   // A retry of a recorded job needs no write.
   if (index_.Contains(spec.id)) return done(SubmitOutcome::kAlreadyRecorded);
   // Another controller may have accepted the job just before, in a record under another key, with
-  // which the write does not conflict. A read of the watch cache that begins now shows that record.
-  // The read runs in parallel with the write and takes no longer.
+  // which the write does not conflict. A read of the watch cache that begins now returns that
+  // record. The read runs in parallel with the write and takes no longer.
   struct PendingSubmission {
     int missing = 2;
     SubmitOutcome outcome = SubmitOutcome::kUndetermined;
--- a/src/service/leader_command_sender.cc
+++ b/src/service/leader_command_sender.cc
@@ -28,7 +28,7 @@
 // A command or a probe costs the event loop as much time as a heartbeat. While the event loop is
 // late, heartbeats wait to be handled. Heartbeats come first, since they renew agent leases and
 // carry the same information as the answers to probes. When a new leader probed all its machines
-// first, agents that had already found the leader got the answers to their heartbeats too late, and
+// first, agents that already sent their heartbeats to the leader got the answers too late, and
 // their tasks were lost.
 size_t LeaderCommandSender::Capacity() const {
   const size_t capacity = client_.Capacity();
--- a/src/service/shard_membership.cc
+++ b/src/service/shard_membership.cc
@@ -147,7 +147,7 @@
 }
 
 // Writes the offer to hold this controller's shard. The offer is attached to the store lease. So
-// the leader can see from the offer that this controller is alive and renews its store lease.
+// the offer's existence tells the leader that this controller runs and renews its store lease.
 void ShardMembership::OfferToHold() {
   offer_timer_.After(context_.derived.store_lease_s / 2, [this] { OfferToHold(); });
   const std::string& node = context_.settings.name;
@@ -156,8 +156,9 @@
   const Offer& offer = offers_[node];
   if (offer.store_lease == store_lease) return;
   // An offer under a new store lease guarantees that this controller no longer acts under an older
-  // shard lease, so holding must stop first. The leader relies on the guarantee: it assumes that no
-  // agent lease of an unreachable machine under the older shard lease is renewed after the offer.
+  // shard lease. So this controller must stop holding the shard before it writes the offer. The
+  // leader relies on the guarantee: it assumes that no agent lease of an unreachable machine under
+  // the older shard lease is renewed after the offer.
   if (own_store_lease_ != store_lease) StopHolding();
   kvstore::Transaction transaction;
   // Without the condition, a delayed retry of this write could be executed later and appear as a
--- a/src/shard/shard_holder.cc
+++ b/src/shard/shard_holder.cc
@@ -102,8 +102,8 @@
     applied_batch_ = std::max(applied_batch_, message.count);
   } else if (message.kind == Kind::kHandOverTasks) {
     LoadJob(message.job);
-    // This holder may have returned the machine before the leader received the confirmation of the
-    // write of the machine's record and sent this message. If the scheduler expected the tasks
+    // The shard holder may have returned the machine before the leader received the confirmation of
+    // the write of the machine's record and sent this message. If the scheduler expected the tasks
     // on a returned machine, their reconciliation would never end and would block the recovery of
     // the next leader. But a machine that has been handed over again since its return may run the
     // tasks: when such a message was treated as one of the earlier handover, the tasks ran twice.
@@ -117,9 +117,10 @@
 }
 
 // Records each machine that the scheduler returns in returned_, and queues the scheduler's messages
-// for the leader. A returned machine must be recorded before its record is read again. Otherwise
-// this holder accepts the machine once more under the old token. The machine's heartbeats go to the
-// leader, so this holder reports the machine as lost, and its tasks run twice.
+// for the leader. A returned machine must be in returned_ before the machine's record is read
+// again. Otherwise the shard holder would accept the machine once more under the old token. The
+// machine's heartbeats go to the leader, so the shard holder would report the machine as lost, and
+// the machine's tasks would run twice.
 void ShardHolder::AcceptReturnedMachines() {
   for (auto& message : scheduler_.TakeLeaderMessages()) {
     if (message.kind == Kind::kMachineReturned) {
@@ -170,8 +171,8 @@
 }
 
 std::optional<wire::ShardFrame> ShardHolder::NextFrame(uint64_t revision, double now) {
-  // The leader's token is the revision of its election. Until the watch cache has reached that
-  // revision, the claims may be incomplete.
+  // The leader's token is the revision of its election. Until the watch cache holds every change up
+  // to that revision, the claims may be incomplete.
   if (leader_token_ == 0 || revision < leader_token_) return std::nullopt;
   EnqueueUpdates(revision, now);
   const bool is_due = !next_frame_at_ || now >= *next_frame_at_;
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -153,8 +153,8 @@
 void ShardLeaseManager::OnChangeWritten(const std::string& node, bool done, double now) {
   Shard* shard = Find(node);
   if (shard == nullptr) return;
-  // Even a write that timed out may have succeeded. The delay lets the watch cache show the outcome
-  // before another lease is granted.
+  // Even a write that timed out may have succeeded. The delay gives the watch cache time to receive
+  // the outcome before another lease is granted.
   shard->DelayLeaseUntil(now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
   shard->write_in_flight = false;
 }
