--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -94,8 +94,8 @@
   // Discards the leader key that was read; a reload of the watch cache follows.
   void Reset();
   MaybeLoss OnLeaderKey(const LeaderKey& key);
-  // The watch cache has loaded the leader key and all other keys. `fresh`: the state service is
-  // empty, so no controller has ever led.
+  // The watch cache has loaded the leader key and all other keys. `fresh`: the state service has
+  // no key other than final records, so no controller has ever led.
   MaybeLoss OnLoaded(bool fresh);
   // This controller has read every change up to `revision`, and with that everything that was
   // written to the state service before `as_of`.
@@ -105,7 +105,7 @@
   struct Step {
     enum class Kind {
       kNone,
-      kCampaign,  // put the leader key, on condition that its current version is `version`
+      kCampaign,  // put the leader key if its current version is `version`
       kWait,      // call NextStep again after `wait_s`
       kElected,   // this controller leads from now on; token() is its fencing token
     };
--- a/include/mosspath/service/completion_writer.h
+++ b/include/mosspath/service/completion_writer.h
@@ -1,5 +1,5 @@
-// Writes the final records of completed jobs, and deletes job records whose jobs have all ended.
-// Part of the leader's duties; not thread-safe.
+// Writes the final records of completed jobs, and removes ended jobs from the job records. Part of
+// the leader's duties; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,9 @@
   // transaction. If a job's final record can't be written now, the scheduler reports the job again
   // in a later pass.
   void WriteCompletions();
-  // Deletes job records whose jobs have all ended. Does nothing while the write rate limit would
-  // delay the write: no request depends on the deletion, so it can be left to a later pass.
+  // Deletes job records that contain nothing to keep, and removes ended jobs from the other
+  // records. Does nothing while the write rate limit would delay the write: no request waits for
+  // the clean-up, so a later call can do it.
   void CleanUpRecords();
 
  private:
--- a/include/mosspath/service/keys.h
+++ b/include/mosspath/service/keys.h
@@ -19,8 +19,8 @@
 inline const std::string kRecordFormats = kLive + "speaks/";
 inline const std::string kProgress = kLive + "progress/";
 inline const std::string kMachines = kLive + "machines/";
-// Controllers that offer to hold a shard, and the shards' leases (docs/sharding.md). Both are
-// attached to the controller's store lease.
+// Controllers' offers to hold a shard, and the shards' leases (docs/sharding.md). The offer and the
+// shard lease of a controller are attached to the controller's store lease.
 inline const std::string kShardOffers = kLive + "holders/";
 inline const std::string kShardLeases = kLive + "blocks/";
 inline const std::string kFinal = kAll + "final/";
--- a/include/mosspath/service/machine_type_cache.h
+++ b/include/mosspath/service/machine_type_cache.h
@@ -43,7 +43,9 @@
   const config::DerivedSettings derived_;
   const std::function<void(const Types&)> on_types_;
   Types types_;
-  std::string published_;  // the published record's value; empty: none, or unread
+  // The value of the published record, as last read or written. Empty if no record was read or
+  // written, or if the last write failed or had an unknown outcome.
+  std::string published_;
   net::Timer timer_;
 };
 
--- a/include/mosspath/service/peer_service.h
+++ b/include/mosspath/service/peer_service.h
@@ -53,8 +53,8 @@
   bool ShouldServeUsers(double state_contact, double patience_s) const {
     return failure_detector_.ShouldServeUsers(state_contact, patience_s, net::Now());
   }
-  // Returns the status. It contains this controller's own snapshot if this controller leads, else
-  // the last snapshot that was received.
+  // Returns the cluster's status. The status contains this controller's own snapshot if this
+  // controller leads, else the last snapshot that was received from a leader.
   wire::Status Status() const;
   // Returns the task counts of the job in the last snapshot received; zeros if that snapshot does
   // not contain the job.
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -38,8 +38,8 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  // Answers with the job's status, which is `known`. If `known` says that there is no such job,
-  // answers with `missing`.
+  // Answers with the job's status, which is `known`. If `known` is kMissing, answers with
+  // `missing`. If `known` is kUndetermined, answers that the user should retry later.
   void AnswerWithStatus(const std::string& id, JobService::JobStatus known,
                         const Responder& respond, net::HttpResponse missing);
 
--- a/include/mosspath/shard/shard_holder.h
+++ b/include/mosspath/shard/shard_holder.h
@@ -109,9 +109,10 @@
   bool synced_ = false;         // kSyncComplete has been queued after the claims
   uint64_t applied_batch_ = 0;  // number of the last batch of delegated tasks that was received
   std::optional<double> last_leader_frame_at_;
-  std::optional<double> next_frame_at_;                 // nullopt: a frame is due now
-  std::optional<double> next_status_at_;                // nullopt: the machine states are due now
-  std::map<std::string, uint64_t> handover_revisions_;  // of each held machine
+  std::optional<double> next_frame_at_;   // nullopt: a frame is due now
+  std::optional<double> next_status_at_;  // nullopt: the machine states are due now
+  // For each held machine, the revision of the handover that assigned the machine to this lease.
+  std::map<std::string, uint64_t> handover_revisions_;
   std::map<std::string, ReturnedMachine> returned_;
 };
 
--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -179,16 +179,16 @@
   // lacks a confirmed cancellation, or the tasks of the cancelled job would be kept running too.
   // The entries of an earlier response are no substitute for a complete list: a peer may receive
   // the responses to its changes out of order, and so add an earlier cancellation to its log after
-  // a later one. Only what this controller has read itself is complete, up to read_revision_. So
-  // each response must list all cancellations after read_revision_.
+  // a later one. Only what this controller has read from the state service is complete, up to
+  // read_revision_. So each response must list all cancellations after read_revision_.
   const bool all_known = slice.from_revision <= read_revision_ &&
                          slice.newest <= std::max(read_revision_, slice.to_revision);
   if (!response.promised || !all_known || !loaded_ || !leads()) {
     return PromiseResponseResult::kNotCounted;
   }
-  // This controller has all cancellations that any peer had confirmed when it received its request.
-  // So the promises of all peers together are equivalent to a read of the state service at the time
-  // the requests were sent.
+  // This controller has every cancellation that a peer had confirmed when that peer received the
+  // request. So the promises of all peers together are equivalent to a read of the state service at
+  // the time the requests were sent.
   if (const auto sent_at = promises_.OnPromise(round, peer)) staleness_.AdvanceTo(*sent_at);
   return PromiseResponseResult::kCounted;
 }
--- a/src/service/agent_heartbeat_handler.cc
+++ b/src/service/agent_heartbeat_handler.cc
@@ -77,9 +77,9 @@
   respond(ToResponse(holder.OnHeartbeat(heartbeat)));
 }
 
-// A suspected controller may be down. An agent that is redirected to it waits
-// until its request times out. Without a name the agent tries another
-// controller, which may lead by then.
+// A suspected controller may be down. An agent that is redirected to that
+// controller waits until the agent's request times out. If the redirect names
+// no controller, the agent tries another controller, which may lead by then.
 void AgentHeartbeatHandler::Redirect(const std::string& controller,
                                      const Responder& respond) const {
   const std::string target = peers_.IsSuspected(controller) ? "" : controller;
--- a/src/service/job_submitter.cc
+++ b/src/service/job_submitter.cc
@@ -84,8 +84,8 @@
 void JobSubmitter::Pump() {
   ExpireOverdue();
   while (HasPending() && transactions_in_flight_ < kMaxTransactionsInFlight) {
-    // The write rate limit allows no transaction now. Jobs that arrive before it allows the next
-    // transaction can join that transaction.
+    // The write rate limit allows no transaction now. Jobs that arrive before the limit allows the
+    // next transaction can join that transaction.
     if (const double wait = store_.WriteDelay(1); wait > 0) {
       timer_.After(wait + 0.002, [this] { Pump(); });
       return;
@@ -115,8 +115,8 @@
     txn.conditions.push_back({keys::Final(job.id), 0});
   }
   if (batching_) {
-    // The key is unique among processes and within this process: no other process uses this
-    // controller's name with this revision, and this process numbers its batches.
+    // No other batch has this key: no other process uses this controller's name with this revision,
+    // and this process numbers its batches.
     const std::string key = keys::kBatches + node_ + "." + std::to_string(revision_) + "." +
                             std::to_string(++batch_count_);
     txn.conditions.push_back({key, 0});
--- a/src/service/peer_service.cc
+++ b/src/service/peer_service.cc
@@ -80,8 +80,8 @@
   own.demand = admission_.Demand(now);
   const std::string with_demand = wire::Encode(own);
   // The leader applies a plan for itself at the same interval as its peers, but only while it may
-  // act. Otherwise a leader whose lease has lapsed would go on planning a share for itself while
-  // its successor plans the shares of all controllers.
+  // act. Otherwise a leader whose store lease has lapsed would go on planning a share for itself
+  // while the next leader plans the shares of all controllers.
   if (local_.may_act()) {
     admission_.OnPlan(admission_.PlanFor(settings_.name, *own.demand, now), now);
   }
@@ -166,7 +166,7 @@
   return it == counts_.end() ? scheduler::JobCounts{} : it->second;
 }
 
-// While the state service does not answer this leader, requests promises from all peers not to
+// While the state service does not answer this leader, requests from each peer a promise not to
 // lead.
 void PeerService::RequestPromises() {
   promise_timer_.After(derived_.promise_s / 4, [this] { RequestPromises(); });
--- a/src/service/record_flusher.cc
+++ b/src/service/record_flusher.cc
@@ -58,8 +58,8 @@
     on_written_();
     return;
   }
-  // A conflict means that an earlier write of this leader committed but its result was lost. The
-  // watch cache will deliver the versions of the records.
+  // A conflict means that an earlier write of this leader committed but the result of that write
+  // was lost. The watch cache will deliver the versions of the records.
   context_.scheduler.OnRecordsFailed();
   not_before_ = net::Now() + context_.derived.record_flush_s;
 }
--- a/src/service/shard_membership.cc
+++ b/src/service/shard_membership.cc
@@ -20,7 +20,8 @@
 
 uint64_t VersionOf(const kvstore::Event& event) { return event.value ? event.version : 0; }
 
-// Used where this controller reads the outcome of a write from the watch cache.
+// A callback that ignores the result of a write: this controller reads the outcome of the write
+// from the watch cache.
 void IgnoreResult(const kvstore::TransactionResult&) {}
 
 }  // namespace
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -91,8 +91,9 @@
   if (const auto ended = ended_leases_.find(lease); ended != ended_leases_.end()) {
     return offered_since(ended->second);
   }
-  // The lease ended before this term, so its former holder is unknown: it can be any controller.
-  // This controller needs no offer as a proof, since it leads and holds no shard.
+  // The lease ended before this term. This leader has no record of the former holder, which can be
+  // any controller. So every other controller must have made an offer since. This controller needs
+  // no offer as a proof, since it leads and holds no shard.
   return std::all_of(shards_.begin(), shards_.end(),
                      [&](const auto& entry) { return offered_since(entry.first); });
 }
