--- a/include/mosspath/election/leadership.h
+++ b/include/mosspath/election/leadership.h
@@ -124,8 +124,9 @@
     return leads() && staleness_.IsFresh(now) &&
            (store_lease_clock_.Holds(now) || promises_.Holds(now));
   }
-  // True if this controller leads and keeps its store lease, but its view is aging. Other
-  // controllers may still be able to read changes, so this controller should resign.
+  // True if this controller leads and its store lease holds, but its view is aging: more than half
+  // of the maximum age is used up. Other controllers may still be able to read changes, so this
+  // controller should resign.
   [[nodiscard]] bool IsStale(double now) const {
     return leads() && store_lease_clock_.Holds(now) && staleness_.IsAging(now);
   }
--- a/src/election/failure_detector.cc
+++ b/src/election/failure_detector.cc
@@ -114,8 +114,8 @@
   ApplyIndirectContacts(now, state);
   if (silence_s < wire::kNeverS) AddUnreachable(peer.heartbeat, silence_s, state);
   if (state.heard_ago_s >= wire::kNeverS) state.heard_by.clear();
-  // A heartbeat describes its sender only as of its arrival. Once the sender is suspected, its
-  // state is unknown.
+  // A heartbeat describes the state of its sender only as of the heartbeat's arrival. Once the
+  // sender is suspected, the present state of the sender is unknown.
   if (IsSuspected(name, now) || silence_s >= wire::kNeverS) state.unreachable = {kNoHeartbeat};
   return state;
 }
--- a/src/election/leadership.cc
+++ b/src/election/leadership.cc
@@ -10,7 +10,7 @@
 // all controllers together. Store leases that end take revisions too. A revision is implausible if
 // it implies that revisions rose faster than this multiple of the limit since the last read.
 constexpr double kRevisionsPerChange = 4;
-// The plausibility check allows a burst: the revisions of this many seconds on top.
+// To allow bursts, the plausibility check adds this many seconds to the time since the last read.
 constexpr double kRevisionBurstS = 1;
 // After a resignation a controller defers its own campaign for this many store lease durations, so
 // that other controllers can campaign first.
@@ -161,8 +161,9 @@
 }
 
 std::optional<uint64_t> Leadership::BeginPromiseRound(double contact, double now) {
-  // During a reload the view is incomplete, even if the pages that were loaded so far have a recent
-  // revision: it can lack the ends of jobs on pages that are still to be loaded.
+  // During a reload, what this controller has read of the state service is incomplete, even if the
+  // pages that were loaded so far have a recent revision: the ends of jobs on pages that are still
+  // to be loaded can be missing.
   if (!leads() || !loaded_ || !IsDisconnected(contact, now)) return std::nullopt;
   return promises_.BeginRound(now);
 }
--- a/src/service/job_service.cc
+++ b/src/service/job_service.cc
@@ -9,10 +9,12 @@
 namespace mosspath::service {
 namespace {
 
-// Cached final statuses per megabyte of the memory limit: about a tenth of the memory.
+// Maximum number of cached final statuses per megabyte of the memory limit. A full cache uses about
+// a tenth of the memory.
 constexpr double kFinalsPerMb = 600;
-// Entries of the cancellation log per megabyte of the memory limit. The leader reads the logs of
-// its peers from their responses to promise requests; a whole log fits in a few responses.
+// Maximum number of entries of the cancellation log per megabyte of the memory limit. The leader
+// reads the logs of its peers from their responses to promise requests; a whole log fits in a few
+// responses.
 constexpr double kCancelledPerMb = 20;
 
 }  // namespace
--- a/src/service/shard_holder_service.cc
+++ b/src/service/shard_holder_service.cc
@@ -174,11 +174,12 @@
                    accepted = self->holder_.OnFrame(*answer, net::Now());
                  });
                  if (!decoded || !accepted) return self->holder_.OnFrameLost();
-                 // The watch cache holds all cancellations in the leader's view. That view holds
+                 // The leader's view is what the leader has read of the state service. It holds
                  // all cancellations that any controller had confirmed to users until
-                 // `view_age_s` before the answer was sent. The age is counted from `sent_at`,
-                 // which is earlier than the answer and therefore safe. The factor covers clock
-                 // drift.
+                 // `view_age_s` before the answer was sent. If this controller's watch cache has
+                 // read up to the newest of these cancellations, it holds all of them too. The age
+                 // is counted from `sent_at`, which is earlier than the answer and therefore safe.
+                 // The factor covers clock drift.
                  if (answer->view_age_s < 1e8 && self->cache_.loaded() &&
                      self->cache_.revision() >= answer->newest_cancellation) {
                    self->elector_.OnLeaderView(sent_at - answer->view_age_s *
--- a/src/shard/shard_holder.cc
+++ b/src/shard/shard_holder.cc
@@ -106,7 +106,8 @@
     // the write of the machine's record and sent this message. If the scheduler expected the tasks
     // on a returned machine, their reconciliation would never end and would block the recovery of
     // the next leader. But a machine that has been handed over again since its return may run the
-    // tasks: when such a message was treated as one of the earlier handover, the tasks ran twice.
+    // tasks: when the message of the new handover was treated as a message of the earlier handover,
+    // the tasks ran twice.
     // For the scheduler, the `count` is set to 1 for a returned machine and to 0 otherwise.
     const auto returned = returned_.find(message.name);
     const bool is_returned =
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -122,8 +122,9 @@
 }
 
 bool ShardLeaseManager::MustRevoke(Shard& shard, double now) {
-  // The holder of an inherited lease first has to read which controller leads now. So the time
-  // limits for its frames and claims are measured from the first call.
+  // The holder of an inherited lease sends this leader no frame until it has read which controller
+  // leads now. So the time limits for its frames and claims are measured from the first call of
+  // this function.
   if (!shard.opened_at) shard.opened_at = now;
   if (!shard.heard_at) shard.heard_at = now;
   const double silence_s = now - *shard.heard_at;
