--- a/include/mosspath/service/completion_writer.h
+++ b/include/mosspath/service/completion_writer.h
@@ -1,4 +1,4 @@
-// Writes the final records of completed jobs, and deletes job records without live jobs. Part of
+// Writes the final records of completed jobs, and removes ended jobs from the job records. Part of
 // the leader's duties; not thread-safe.
 #pragma once
 
@@ -24,8 +24,9 @@
   // transaction. If a job's final record can't be written now, the scheduler reports the job again
   // in a later pass.
   void WriteCompletions();
-  // Deletes job records without live jobs, but only if the write rate limit allows a write at once:
-  // no request waits for the deletion.
+  // Deletes job records that contain nothing to keep, and removes ended jobs from the other
+  // records. Does nothing while the write rate limit would delay the write: no request waits for
+  // the clean-up, so a later call can do it.
   void CleanUpRecords();
 
  private:
--- a/include/mosspath/service/keys.h
+++ b/include/mosspath/service/keys.h
@@ -1,6 +1,6 @@
-// Keys in the state service. Every controller caches the live keys. A controller also receives each
-// final record as it is written, and reads older final records one by one: final records are never
-// deleted, so a cache of all of them would need unbounded memory.
+// Keys in the state service. Every controller caches the keys under kLive. A controller also
+// receives each final record as it is written, and reads older final records one by one: final
+// records are never deleted, so a cache of all of them would need unbounded memory.
 #pragma once
 
 #include <string>
@@ -19,8 +19,8 @@
 inline const std::string kRecordFormats = kLive + "speaks/";
 inline const std::string kProgress = kLive + "progress/";
 inline const std::string kMachines = kLive + "machines/";
-// Controllers that offer to hold a shard, and the shards' leases (docs/sharding.md). Both are
-// attached to the controller's store lease.
+// Controllers' offers to hold a shard, and the shards' leases (docs/sharding.md). The offer and the
+// shard lease of a controller are attached to the controller's store lease.
 inline const std::string kShardOffers = kLive + "holders/";
 inline const std::string kShardLeases = kLive + "blocks/";
 inline const std::string kFinal = kAll + "final/";
--- a/include/mosspath/service/user_api.h
+++ b/include/mosspath/service/user_api.h
@@ -38,7 +38,8 @@
   void Cancel(const std::string& id, Responder respond);
 
  private:
-  // Answers with the status `known` of the job, or with `missing` if there is no such job.
+  // Answers with the job's status, which is `known`. If `known` is kMissing, answers with
+  // `missing`. If `known` is kUndetermined, answers that the user should retry later.
   void AnswerWithStatus(const std::string& id, JobService::JobStatus known,
                         const Responder& respond, net::HttpResponse missing);
 
--- a/src/shard/shard_lease_manager.cc
+++ b/src/shard/shard_lease_manager.cc
@@ -91,8 +91,9 @@
   if (const auto ended = ended_leases_.find(lease); ended != ended_leases_.end()) {
     return offered_since(ended->second);
   }
-  // The lease ended before this term, so its former holder is unknown: it can be any controller.
-  // This controller needs no offer as a proof, since it leads and holds no shard.
+  // The lease ended before this term. This leader has no record of the former holder, which can be
+  // any controller. So every other controller must have made an offer since. This controller needs
+  // no offer as a proof, since it leads and holds no shard.
   return std::all_of(shards_.begin(), shards_.end(),
                      [&](const auto& entry) { return offered_since(entry.first); });
 }
@@ -121,8 +122,9 @@
 }
 
 bool ShardLeaseManager::MustRevoke(Shard& shard, double now) {
-  // The holder of an inherited lease first has to read which controller leads now. So the time
-  // limits for its frames and claims are measured from the first call.
+  // The holder of an inherited lease sends this leader no frame until it has read which controller
+  // leads now. So the time limits for its frames and claims are measured from the first call of
+  // this function.
   if (!shard.opened_at) shard.opened_at = now;
   if (!shard.heard_at) shard.heard_at = now;
   const double silence_s = now - *shard.heard_at;
@@ -153,8 +155,8 @@
 void ShardLeaseManager::OnChangeWritten(const std::string& node, bool done, double now) {
   Shard* shard = Find(node);
   if (shard == nullptr) return;
-  // Even a write that timed out may have succeeded. The delay lets the watch cache show the outcome
-  // before another lease is granted.
+  // Even a write that timed out may have succeeded. The delay gives the watch cache time to receive
+  // the outcome before another lease is granted.
   shard->DelayLeaseUntil(now + (done ? derived_.call_timeout_s : derived_.store_lease_s));
   shard->write_in_flight = false;
 }
