--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -84,9 +84,9 @@
 // Upper bound on the drift between the clocks of two machines, as a ratio.
 inline constexpr double kMaxClockDrift = 0.0005;
 
-// Durations in seconds that follow from the settings. A controller's view of the jobs is what it
-// has read of the state service. A view contains everything that was confirmed to users longer ago
-// than the view's age.
+// Durations in seconds that follow from the settings. A controller's view of the jobs is what the
+// controller has read of the state service. The view's age bounds what the view may lack: a view of
+// age T contains everything that was confirmed to users more than T ago.
 struct DerivedSettings {
   explicit DerivedSettings(const Settings& s);
 
@@ -99,7 +99,7 @@
   double probe_answer_s;        // timeout of a new leader's probe of an agent
   double agents_find_leader_s;  // nearly all agents reach a new leader this soon after a failover
   double agents_try_all_s;      // an agent without an answer tries all controllers in this time
-  double max_view_age_s;        // no leader or holder acts on a view of the jobs older than this
+  double max_view_age_s;        // maximum age of a view on which a leader or holder acts
   double shard_hold_s;     // a holder may command machines this long after its shard lease ended
   double agent_suspect_s;  // an agent without contact for this long is presumed unreachable
   double record_flush_s;   // interval of the leader's batched writes
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -31,8 +31,8 @@
   double workers_ago_s = 0;
   std::vector<PeerContact> peers;
   // Number of tasks that users recently submitted to this controller. The field is sent only to a
-  // peer whose own messages show that it can read the field: a peer of an earlier version would
-  // reject the frame.
+  // peer whose own messages prove that the peer can read the field, because a peer of an earlier
+  // version would reject the frame.
   std::optional<double> demand = std::nullopt;
 
   friend bool operator==(const PeerHeartbeat&, const PeerHeartbeat&) = default;
--- a/include/mosspath/wire/promise_frame.h
+++ b/include/mosspath/wire/promise_frame.h
@@ -21,7 +21,7 @@
   uint64_t read_revision = 0;  // the leader has read all changes up to this revision
 };
 
-// A range, by revision, of the cancellations that a controller may have confirmed to users.
+// The cancellations in a range of store revisions that a controller may have confirmed to users.
 struct CancellationLogSlice {
   struct Entry {
     std::string id;         // the id of the cancelled job
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -21,7 +21,8 @@
     // machine.
     kHandOverTasks = 2,
     kCompletionsDurable = 3,  // the completions of these tasks of the job `name` are durable
-    // The holder stops these tasks of the job `name`, which are done or run outside the shard.
+    // The holder stops these tasks of the job `name`. These tasks are done or run outside the
+    // shard.
     kStopTasks = 4,
     kRecallMachine = 5,  // the holder returns the machine `name` once no task runs there
     // Sets the draining state of the machine `name`, by `count`. 0: the machine accepts tasks.
--- a/include/mosspath/wire/status_snapshot.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -95,21 +95,21 @@
     std::string team;
     std::string job_class;
     uint64_t requested = 0;  // jobs submitted since the process started
-    uint64_t refused = 0;    // the submitted jobs refused at a limit of admission
+    uint64_t refused = 0;    // the number of these jobs that a limit of admission refused
   };
   // The controller's view is what the controller has read of the state service.
   double budget = 0;     // the maximum number of tasks of all live jobs together
   double live = 0;       // number of tasks of the live jobs in the controller's view
   double in_flight = 0;  // number of tasks that this controller accepted and has not read back yet
-  // The part of the free budget, from 0 to 1, that this controller may fill before its view shows
-  // which jobs the other controllers accepted.
+  // The part of the free budget, from 0 to 1, that this controller may fill before the jobs that
+  // the other controllers accepted appear in its view.
   double share = 0;
   uint64_t plan_token = 0;
   uint64_t plan_version = 0;
   std::vector<Group> groups;
 };
 
-// The content of the status page and of status.json. Neither shows the jobs of the snapshot.
+// The content of the status page and of status.json. Neither includes the snapshot's list of jobs.
 struct Status {
   StatusSnapshot snapshot;
   double snapshot_age_s = 0;  // kNeverS if no snapshot has arrived
--- a/simulation/compound_faults.h
+++ b/simulation/compound_faults.h
@@ -25,7 +25,7 @@
   kUnreachableMachines,  // a leader fails while its successor can't reach some machines
   kSlowStore,            // during cancellations, the store is slow, then refuses the leader
   kOutdatedDuplicates,   // duplicates of heartbeats of earlier epochs and tokens
-  kLateWrites,           // unanswered store writes are applied after newer writes
+  kLateWrites,           // store writes without an answer are applied after newer writes
   kDelayedCommands,      // commands are delayed while the machine keeps running
   kTasksEndApart,        // tasks of a job complete far apart in time, with failovers in between
   // A leader reaches only machines and users, while other controllers cancel jobs.
--- a/simulation/controller.cc
+++ b/simulation/controller.cc
@@ -7,7 +7,7 @@
 namespace mosspath::simulation {
 namespace {
 
-// The time of the last contact with the store, for a process that has not reached the store yet.
+// Stands for the time of the last contact with the store if the process has had no contact yet.
 constexpr double kNeverContacted = -1e18;
 // Maximum delay with which held messages and timers are handled after a freeze.
 constexpr double kMaxResumeDelayS = 0.02;
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -80,8 +80,8 @@
   void Crash(double downtime_s);
   // Suspends the process for the given time, while the controller's clock goes on.
   void Freeze(double duration_s);
-  // Makes reads from the store fail while the store lease is still renewed. This happens to a
-  // controller that has no socket left for reads.
+  // Makes reads from the store fail while the store lease is still renewed. In production, such
+  // failures occur on a controller that has no socket left for reads.
   void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
   // If true, the controller does not resign when what it has read of the store is outdated. This
   // simulates the backoff that follows a resignation without success.
@@ -108,7 +108,7 @@
 
   // The share of the admission budget that the controller may use now; 0 before its first start.
   double budget_share() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
-  // The number of live tasks that all controllers together may accept.
+  // The maximum number of tasks of all live jobs, over all controllers.
   double budget() const { return admission_->controller().budget(); }
 
  private:
--- a/simulation/controller_commands.cc
+++ b/simulation/controller_commands.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kWriteTimeoutS = 1;
-constexpr double kLateCommandS = 2;  // commands that arrive later than this count as late
+constexpr double kLateCommandS = 2;  // commands with a longer delay are counted as late
 constexpr double kMaxAnswerDelayHeartbeats = 1.2;
 constexpr size_t kMaxRecords = 100;  // maximum number of records in one transaction
 constexpr size_t kMaxRecordBytes = 48u << 10;
--- a/simulation/controller_shards.cc
+++ b/simulation/controller_shards.cc
@@ -227,9 +227,9 @@
   }
   if (!holder_ || !MayHold() || !holder_->OnFrame(*answer, Now())) return;
   if (answer->view_age_s >= wire::kNeverS || revision_ < answer->newest_cancellation) return;
-  // `sent_at` less the age of the leader's view is a time on this controller's clock. This
-  // controller has read everything that was confirmed to users before that time. The factor allows
-  // for the drift of both clocks.
+  // The leader's view is what the leader has read of the store. `sent_at` less the age of that view
+  // is a time on this controller's clock. This controller has read all cancellations that were
+  // confirmed to users before that time. The factor allows for the drift of both clocks.
   const double age = answer->view_age_s * (1 + 2 * config::kMaxClockDrift);
   leadership_->OnLeaderView(sent_at - age);
 }
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -17,8 +17,8 @@
 constexpr double kSlowStoreFactor = 10;
 constexpr double kSlowLinkFactor = 150;
 constexpr size_t kAffectedMachineStride = 10;  // a fault affects every tenth machine
-// An inbound cut lasts this many times the fault's duration: a cut shorter than a few agent leases
-// is indistinguishable from a slow machine.
+// An inbound cut lasts this many times the fault's duration. Controllers can't distinguish a cut
+// that is shorter than a few agent leases from a slow machine.
 constexpr double kInboundCutFactor = 6;
 constexpr double kMaxWriteDelayS = 12;  // maximum time from sending a store write to applying it
 constexpr double kMaxDuplicateDelayLeases = 3;
--- a/simulation/faults.h
+++ b/simulation/faults.h
@@ -23,7 +23,7 @@
     kFreezeAny,             // any one controller's process is suspended
     kCutStore,              // the leader is partitioned from the key-value store
     kCutAgents,             // the leader is partitioned from all machines
-    kCutPeers,              // any one controller is partitioned from the others
+    kCutPeers,              // any one controller is partitioned from its peers
     kCutZoneAgents,         // a zone's machines are partitioned from all controllers
     kStoreOutage,           // the key-value store is down
     kSlowStore,             // the key-value store answers slowly
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -22,7 +22,7 @@
 constexpr double kSharesTolerance = 1e-9;
 const std::string kRegularTeam = "desk";  // submits the work that the deployment is sized for
 const std::string kFloodTeam = "guest";
-const std::string kSmallTeam = "small";  // submits little work beside the other two teams
+const std::string kSmallTeam = "small";  // submits little work compared with the other two teams
 
 double Quantile(const std::vector<double>& values, double probability) {
   namespace acc = boost::accumulators;
@@ -254,8 +254,8 @@
 }
 
 // Checks that at least half of a group's jobs are done, if the demand of all teams is below half of
-// the machines' capacity. For the flood, only accepted jobs count: the budget and the machines
-// can't take the whole flood before its users stop retrying.
+// the machines' capacity. For the flood, the check covers only accepted jobs: the budget and the
+// machines can't take the whole flood before its users stop retrying.
 void OverloadScenario::CheckStarvation(const Group& group, const GroupResult& result) {
   const bool floods = group.team == kFloodTeam;
   if (floods && result.accepted == 0) return;
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -18,7 +18,7 @@
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
-constexpr size_t kLargestDivisor = 10;       // the largest tenth of a class's jobs
+constexpr size_t kLargestDivisor = 10;       // the largest 10% of a class's jobs by task count
 
 template <typename T>
 bool Contains(const std::vector<T>& values, const T& value) {
@@ -244,7 +244,7 @@
 }
 
 // Reports a critical service of which replicas are missing. CheckNow() calls this kAnsweredWithinS
-// after the end of the last fault, when all replicas must be up again, whatever the other load.
+// after the end of the last fault. All replicas must be up again by then, whatever the other load.
 void RuleChecker::CheckReplicas(Job& job, double now) {
   const bool critical = IsService(job.spec) && job.spec.priority > wire::Priority::kHigh;
   if (!critical || !job.accepted_at || now - *job.accepted_at <= kAnsweredWithinS) return;
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -139,7 +139,7 @@
   void CheckQuota(const wire::JobSpec& spec, const std::string& task_name);
   void CheckReplicas(Job& job, double now);
   void CheckForgotten(Job& job, double now);
-  // Checks the largest jobs of a class: the tenth of the class's jobs with the most tasks.
+  // Checks the largest 10% of a class's jobs by task count.
   void CheckLargest(const std::string& job_class, std::vector<const Job*> jobs,
                     double capacity_cpus, ServedCount& count);
 
--- a/simulation/simulated_agent.cc
+++ b/simulation/simulated_agent.cc
@@ -12,7 +12,8 @@
 using wire::TaskState;
 
 constexpr double kMaxFirstHeartbeatDelayS = 0.5;
-constexpr double kHeartbeatSpread = 0.25;  // maximum relative deviation from the interval
+constexpr double kHeartbeatSpread =
+    0.25;  // maximum relative deviation of an interval from heartbeat_s
 constexpr double kMinHeartbeatGapS = 0.5;
 // A heartbeat that is due within this time after another heartbeat is not sent.
 constexpr double kJustSentS = 0.499;
--- a/src/config/derived_settings.cc
+++ b/src/config/derived_settings.cc
@@ -7,8 +7,8 @@
 namespace mosspath::config {
 namespace {
 
-// The maximum age of the leader's view, as a share of the time that remains of cancel_within_s
-// after an agent's lease has run out.
+// The maximum age of the leader's view of the jobs, which the leader reads from the state service.
+// Expressed as a share of (cancel_within_s - agent_lease_over_s).
 constexpr double kViewShare = 0.9;
 // Margin for message delays, as a ratio. It applies to durations that two processes measure, each
 // by its own clock.
@@ -40,8 +40,8 @@
   agents_try_all_s =
       s.controller_count * (kAgentTimeoutS + kAgentRetryS) + kHeartbeatJitter * s.heartbeat_s;
   // The leader acts on a cancellation confirmed at T by T + max_view_age_s at the latest. Otherwise
-  // it answers no agent from then on, and the agents' leases end all tasks by T + max_view_age_s +
-  // agent_lease_over_s, which is before T + cancel_within_s.
+  // the leader answers no agent after T + max_view_age_s. All agents' leases then expire, and all
+  // tasks end, by T + max_view_age_s + agent_lease_over_s, which is before T + cancel_within_s.
   max_view_age_s = std::max(kViewShare * (s.cancel_within_s - agent_lease_over_s), s.heartbeat_s);
   // The holder measures max_view_age_s by its own clock and the leader measures shard_hold_s by
   // another, so shard_hold_s includes the drift between the two clocks.
@@ -50,10 +50,10 @@
   placement_interval_s = s.heartbeat_s / 40;
   scaling_interval_s = 1 / s.cloud_requests_per_s;
   catch_up_interval_s = std::max(0.05, 3.0 * s.controller_count / s.store_requests_per_s);
-  // The age of a view counts from the sending of the last watch request that was answered. That
-  // request may have been open for watch_s, and the next request may be open for watch_s too. So
-  // the age may reach twice watch_s before the next answer. This stays well below the half of
-  // max_view_age_s at which a leader resigns.
+  // The age of a view is the time since the last answered watch request was sent. That request may
+  // have been open for watch_s, and the next request may be open for watch_s too. So the age may
+  // reach twice watch_s before the next answer. A leader resigns at half of max_view_age_s, which
+  // is well above twice watch_s.
   watch_s = std::min(std::max(2.0, s.agent_lease_s / 4), std::max(0.5, max_view_age_s / 6));
   call_timeout_s = std::min(2.0, s.agent_lease_s / 12);
   cloud_timeout_s = std::max(5.0, 2 * s.heartbeat_s);
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -22,7 +22,7 @@
 
 namespace {
 
-// If a deadline timer fires later than this after the deadline, the process did not run meanwhile.
+// A deadline timer that fires later than this after the deadline indicates a stall of the process.
 constexpr double kLateTimerS = 0.2;
 
 }  // namespace
--- a/src/wire/job_json.cc
+++ b/src/wire/job_json.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kJobIdPrefix = "req-";
 constexpr size_t kMaxJobIdDigits = 20;
-constexpr size_t kMaxTypes = 32;  // limits a job's record, which must fit into one stored value
+constexpr size_t kMaxTypes = 32;  // bounds a job's record, which must fit into one stored value
 
 std::vector<std::string> ParseTypes(const Json& list) {
   if (!list.is_array()) ThrowBadMessage(std::string(field::kMachineTypes) + " is not a list");
