--- a/include/mosspath/config/operator_settings.h
+++ b/include/mosspath/config/operator_settings.h
@@ -10,10 +10,11 @@
 namespace mosspath::config {
 
 struct OperatorSettings {
-  // Cap on the image layers that one machine holds: gamma/M of the layer bytes on all M machines
-  // that a placement tries together.
+  // A placement tries M machines together. The image layers on one machine may take at most the
+  // share gamma/M of the layer bytes on all M machines.
   double gamma = 1.5;
-  // Weight, in a machine's placement score, of the machine's share of these layer bytes.
+  // The weight, in a machine's placement score, of the machine's share of the layer bytes on all M
+  // machines.
   double epsilon = 1e-3;
   uint64_t max_machines = 100'000;  // upper bound on rented machines
   double horizon_boots = 2.0;  // scale-out aims to run the waiting work within this many boot times
--- a/include/mosspath/config/settings.h
+++ b/include/mosspath/config/settings.h
@@ -94,10 +94,10 @@
   double store_lease_renew_s;   // interval of renewals of the store lease
   double renew_timeout_s;       // timeout of one renewal; several renewals fit into the lease
   double promise_s;             // duration of a peer's promise not to lead
-  double lapse_margin_s;        // a controller stops using its store lease this long before the end
+  double lapse_margin_s;        // a controller stops using its store lease this long before its end
   double agent_lease_over_s;    // an agent that got no answer for this long has stopped its tasks
   double probe_answer_s;        // timeout of a new leader's probe of an agent
-  double agents_find_leader_s;  // nearly all agents reach a new leader this soon after a failover
+  double agents_find_leader_s;  // time from a failover until nearly all agents reach the new leader
   double agents_try_all_s;      // an agent without an answer tries all controllers in this time
   double max_view_age_s;        // maximum age of a view on which a leader or holder acts
   double shard_hold_s;     // a holder may command machines this long after its shard lease ended
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -48,7 +48,7 @@
   // Seconds since any controller last received a heartbeat of this controller.
   double heard_ago_s = kNeverS;
   std::string heard_by;                  // the controller that received that heartbeat
-  std::vector<std::string> unreachable;  // peers and outside systems it can't reach
+  std::vector<std::string> unreachable;  // peers and outside systems that it can't reach
 };
 
 std::string Encode(const PeerHeartbeat& p);
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -42,8 +42,9 @@
     // running these tasks.
     kReturnTasks = 23,
     kMachineStatus = 24,  // the state of the machine `name`
-    // The machine `name` is empty or lost, and the holder sends it no more commands. `count`: twice
-    // the revision at which the machine was handed over, plus 1 if the machine was lost.
+    // The machine `name` is empty or lost, and the holder sends no more commands to this machine.
+    // `count`: twice the revision at which the machine was handed over, plus 1 if the machine was
+    // lost.
     kMachineReturned = 25,
     // The load of the shard. `seconds` holds the CPUs that the shard's pending tasks request.
     // `count` is the number of the last batch of delegated tasks that this load includes.
--- a/include/mosspath/wire/status_snapshot.h
+++ b/include/mosspath/wire/status_snapshot.h
@@ -65,7 +65,7 @@
   double leader_for_s = 0;
   std::vector<Job> jobs;
   std::vector<Queue> queues;
-  std::vector<Queue> teams;  // the queues by team; job_class is the team's name
+  std::vector<Queue> teams;  // one queue for each team; job_class holds the team's name
   std::vector<Machines> machines;
   std::vector<Progress> progress;
   std::vector<Incident> incidents;
--- a/simulation/cluster.cc
+++ b/simulation/cluster.cc
@@ -79,7 +79,7 @@
     }
   };
   for (size_t i = 0; i < count; ++i) {
-    // A slow, an accurate and a fast clock in turn.
+    // The controllers get a slow, an accurate and a fast clock in turn.
     const double drift = 1.0 + config::kMaxClockDrift * (static_cast<double>(i % 3) - 1);
     controllers.push_back(std::make_unique<SimulatedController>(world, world.nodes[i], drift));
   }
--- a/simulation/compound_faults.cc
+++ b/simulation/compound_faults.cc
@@ -56,7 +56,8 @@
   void AddInstant(Kind kind, double at) { Add(kind, at, 0); }
 
   // The rounds of a kind cycle through three forms of its schedule: without an additional fault,
-  // with that of the first variant, and with that of the second variant.
+  // with the additional fault of the first variant, and with the additional fault of the second
+  // variant.
   bool first_variant() const { return round % 3 == 1; }
   bool second_variant() const { return round % 3 == 2; }
 
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -193,7 +193,7 @@
   void FindStatusInFinalRecord(const std::string& id, const OnStatus& done);
   void AnswerStatus(const std::string& id, jobs::JobStatus status, const StatusResponder& respond);
   // Returns the state to report to a user for a job with this status, and records this controller
-  // if the answer confirms a cancellation.
+  // as the last confirmer if the answer confirms a cancellation.
   wire::JobState ReportState(const std::string& id, jobs::JobStatus status);
   void StopTasksOf(const std::string& id);
   void TryCancel(const std::string& id, double deadline, OnStatus done);
@@ -215,9 +215,10 @@
                       const SimulatedEnvironment::HeartbeatResponder& respond);
   void AnswerAsLeader(const wire::Heartbeat& heartbeat,
                       const SimulatedEnvironment::HeartbeatResponder& respond);
-  // Returns the name of another controller to which the machine should send its heartbeats: the
-  // holder of the machine's shard or, if the holder is unknown, the leader, which can redirect the
-  // machine. Empty if that controller is this one or is unknown.
+  // Returns the name of the controller to which the machine should send its heartbeats: the holder
+  // of the machine's shard or, if the holder is unknown, the leader, which can redirect the
+  // machine. Returns an empty string if that controller is this one, if neither controller is
+  // known, or if shards are not leased.
   std::string HolderOf(const std::string& machine) const;
   void SendCommands();
   // `shard_lease`: the shard lease under which the commands are sent; 0: commands of the leader.
@@ -244,8 +245,8 @@
 
   // --- Shards ---
 
-  // Returns whether the controller may act as the holder of a shard: what it has read of the jobs
-  // must be recent enough.
+  // Returns whether the controller may act as the holder of a shard. A holder may act only while
+  // its last read of the jobs is recent enough.
   bool MayHold() const { return leadership_->ViewIsFresh(Now()); }
   void ApplyShards(const Entries& entries);
   void ApplyOwnShard(const Entries& entries);
--- a/simulation/controller_peers.cc
+++ b/simulation/controller_peers.cc
@@ -33,7 +33,7 @@
     const auto answer = environment_.on_peer_heartbeat[peer](text);
     if (!answer) return;
     environment_.network.Send(peer, name_, [this, answer, sent_at, process] {
-      // A restarted process must not read answers to requests of its predecessor.
+      // A restarted process must ignore answers to requests of the previous process.
       if (!IsProcess(process)) return;
       RunUnlessFrozen([this, answer, sent_at] {
         admission_->OnPlan(wire::DecodeAdmissionPlan(*answer), sent_at);
--- a/simulation/controller_watch.cc
+++ b/simulation/controller_watch.cc
@@ -26,7 +26,7 @@
                         [this, read, sent_at, done = std::move(done)](const SharedView& view) {
                           last_store_contact_ = std::max(last_store_contact_, sent_at);
                           // If a read that began later has been applied already, this read is
-                          // ignored: the later read returned all its changes.
+                          // ignored, because the later read included all changes of this read.
                           if (read > newest_read_) {
                             newest_read_ = read;
                             ApplyView(*view, sent_at);
@@ -38,8 +38,8 @@
 void SimulatedController::ApplyView(const SimulatedKeyValueStore::View& view, double sent_at) {
   using Kind = election::Leadership::Step::Kind;
   const Entries& entries = view.entries;
-  // On the first read of a process: the previous process may have confirmed cancellations to users
-  // up to this revision.
+  // On the first read of a process, the job index assumes that the previous process confirmed
+  // cancellations to users up to this revision.
   if (revision_ == 0) job_index_->AssumeReportedUpTo(view.revision);
   revision_ = std::max(revision_, view.revision);
   ApplyLeader(entries);
@@ -82,7 +82,7 @@
     ApplyJobChange(job_index_->OnRecord(key, &entry.value, entry.version));
   }
   job_index_->OnLoaded(jobs_revision_);
-  // A job that is accepted and ends between two reads is live in neither of them. So admission
+  // A job that is accepted and ends between two reads is live in neither read. So admission
   // removes in-flight jobs by the revision that was read.
   admission_->controller().OnLoaded(revision_);
 }
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -22,8 +22,8 @@
 constexpr double kInboundCutFactor = 6;
 constexpr double kMaxWriteDelayS = 12;  // maximum time from sending a store write to applying it
 constexpr double kMaxDuplicateDelayLeases = 3;
-// Maximum delay after the end of the fault of messages over slow links and of the answers to these
-// messages.
+// Messages over slow links, and the answers to these messages, arrive at most this long after the
+// end of the fault.
 constexpr double kLateDeliveryS = 30;
 
 // ---------------------------------------------------------------------------- affected hosts
--- a/simulation/faults.h
+++ b/simulation/faults.h
@@ -36,7 +36,7 @@
                             // peers
     kRestartLeader,         // the leader restarts within 500 ms
     kRestartAll,            // all controllers restart within 500 ms
-    kRestartAfterMessages,  // after n more messages of leaders and candidates, the sender restarts
+    kRestartAfterMessages,  // the sender of the n-th next message of leaders or candidates restarts
     kRestartMachines,       // some machines restart with the same names, without their tasks
     kReplaceMachines,       // some machines terminate, and new ones take over their addresses
     kReclaimSpot,           // half of a zone's spot machines terminate without notice
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -13,8 +13,11 @@
 // After the last fault, status queries are answered and critical services are whole within this
 // time.
 constexpr double kAnsweredWithinS = 75;
-constexpr double kPlacedWithinS = 90;  // for a waiting task while a machine has room for it
-constexpr double kBegunWithinS = 240;  // for the first task start of a class's largest jobs
+// Maximum time for which a task waits while a machine has room for the task.
+constexpr double kPlacedWithinS = 90;
+// Maximum time from the first submission attempt to the first task start, for the largest jobs of
+// each class.
+constexpr double kBegunWithinS = 240;
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -85,12 +85,12 @@
   bool IsDone(const std::string& id) const;
   // The times at which cancellations were confirmed.
   const std::vector<double>& cancellations() const { return cancellations_; }
-  // The longest time from a confirmed cancellation to a later start of one of the job's tasks.
+  // The longest time from the confirmed cancellation of a job to a later start of one of its tasks.
   double latest_cancelled_start_s() const { return latest_cancelled_start_s_; }
   // The longest time from the first submission attempt to the first task start, among the largest
   // jobs of each class.
   double latest_begin_s() const { return latest_begin_s_; }
-  // The longest time between two answers about an accepted job after the end of all faults.
+  // The longest time without an answer about an accepted job, after the end of all faults.
   double longest_unanswered_s() const { return longest_unanswered_s_; }
 
  private:
@@ -108,7 +108,7 @@
     std::map<uint32_t, Placement> running;  // by task index
     bool done = false;
     std::optional<double> cancelled_at;
-    std::optional<double> submitted_at;  // the first submission attempt
+    std::optional<double> submitted_at;  // time of the first submission attempt
     std::optional<double> accepted_at;   // when the user received the acceptance
     std::optional<double> begun_at;      // when one of its tasks first started
     double last_answered_at = 0;
@@ -116,7 +116,7 @@
     bool reported_forgotten = false;
     bool reported_down = false;
     bool reported_waiting = false;
-    std::optional<wire::JobState> final_state;  // the first one that the user received
+    std::optional<wire::JobState> final_state;  // the first final state that the user received
     double final_state_at = 0;
     // For each machine that has room for one more task of the job: the time since which it has
     // room.
--- a/simulation/simulated_agent.cc
+++ b/simulation/simulated_agent.cc
@@ -12,8 +12,8 @@
 using wire::TaskState;
 
 constexpr double kMaxFirstHeartbeatDelayS = 0.5;
-constexpr double kHeartbeatSpread =
-    0.25;  // maximum relative deviation of an interval from heartbeat_s
+// Maximum deviation of an interval between heartbeats from heartbeat_s, as a ratio to heartbeat_s.
+constexpr double kHeartbeatSpread = 0.25;
 constexpr double kMinHeartbeatGapS = 0.5;
 // A heartbeat that is due within this time after another heartbeat is not sent.
 constexpr double kJustSentS = 0.499;
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -88,13 +88,14 @@
   // --- Observations, with which a scenario checks that its fault condition occurred ---
 
   struct Observations {
-    size_t late_writes = 0;            // store changes applied late
-    size_t outdated_duplicates = 0;    // duplicates of heartbeats with an earlier epoch or token
-    size_t late_commands = 0;          // command batches that arrived seconds after they were sent
-    size_t outbound_cut_commands = 0;  // batches that a machine with lost heartbeats executed
-    size_t late_answers = 0;           // command answers that arrived after a newer heartbeat
-    std::vector<double> elections;     // times at which a controller was elected
-    std::string last_confirmer;        // the controller that last confirmed a cancellation
+    size_t late_writes = 0;          // store changes applied late
+    size_t outdated_duplicates = 0;  // duplicates of heartbeats with an earlier epoch or token
+    size_t late_commands = 0;        // command batches that arrived seconds after they were sent
+    // Command batches that were executed by machines whose heartbeats were lost.
+    size_t outbound_cut_commands = 0;
+    size_t late_answers = 0;        // command answers that arrived after a newer heartbeat
+    std::vector<double> elections;  // times at which a controller was elected
+    std::string last_confirmer;     // the controller that last confirmed a cancellation
   };
   Observations observed;
   // The time of each task's last completion.
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -248,7 +248,7 @@
 void HttpServer::Accept() {
   acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {  // usually the process is out of file descriptors: retries shortly
+    if (error) {  // the usual cause: no free file descriptors; retries shortly
       accept_pause_.After(kAcceptRetryS, [this] { Accept(); });
       return;
     }
