--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -201,9 +201,9 @@
 }
 
 // A controller admits tasks up to its share of the free budget, which it computes from what it has
-// read of the store. If the controller has not read the newest jobs, it sees too much free budget.
-// The shares of all controllers add up to at most kPlannedFraction (a half), so the live tasks
-// exceed the budget by at most half of the budget.
+// read of the store. If the controller has not read the newest jobs, the free budget that it
+// computes is too large. The shares of all controllers add up to at most kPlannedFraction (a half),
+// so the live tasks exceed the budget by at most half of the budget.
 void OverloadScenario::CheckBudget(double budget) {
   if (most_live_tasks_ <= budget * (1 + admission::kPlannedFraction)) return;
   breaches_.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_tasks_, budget));
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -178,7 +178,9 @@
   });
 }
 
-// Returns whether the job's tasks that must run at the same time fit into the zones.
+// Returns whether enough zones offer a machine type that fits a task of the job. The job needs two
+// such zones if its tasks must run at the same time in different zones, and otherwise one. A job
+// that needs two zones but allows only a single zone can never run.
 bool RuleChecker::CanEverRun(const wire::JobSpec& spec) const {
   const auto zones =
       std::count_if(settings_.zones.begin(), settings_.zones.end(),
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -52,16 +52,15 @@
 
   // --- Jobs that wait despite free capacity ---
 
-  // A job with tasks to start.
+  // An accepted, live job with tasks that are neither completed nor running.
   struct WaitingJob {
     const wire::JobSpec* spec = nullptr;  // valid until the next call of a non-const member
     std::map<std::string, size_t> running_by_zone;  // number of the job's running tasks by zone
     bool team_has_room = true;                      // the team's quota allows one more task
   };
-  // Returns the accepted, live jobs with tasks that are neither completed nor running.
   std::vector<WaitingJob> WaitingJobs() const;
-  // These machines have the free capacity for one more task of the job. Must be called for each
-  // waiting job at short intervals after the end of all faults.
+  // Each machine in `machines` has free capacity for one more task of the job. Must be called for
+  // each waiting job at short intervals after the end of all faults.
   void OnMachinesWithRoom(const std::string& id, const std::vector<std::string>& machines,
                           double now);
 
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -12,7 +12,7 @@
 namespace mosspath::simulation {
 
 // Delivers messages between hosts, which are identified by name. While a cut lasts, messages are
-// either dropped, or held and delivered shortly after its end.
+// either dropped, or held and delivered shortly after the end of the cut.
 class SimulatedNetwork {
  public:
   // Both arguments must outlive the network.
