--- a/include/mosspath/net/http_server.h
+++ b/include/mosspath/net/http_server.h
@@ -32,8 +32,8 @@
 };
 
 // Accepts connections on one address and passes their requests to a handler. Runs on the thread of
-// the io_context, which outlives the server. The destructor closes all connections; a responder
-// that is called after that does nothing.
+// the io_context, which outlives the server. The destructor closes all connections. A responder
+// that is called after the server's destruction does nothing.
 class HttpServer {
  public:
   struct Options {
--- a/include/mosspath/net/stall_detector.h
+++ b/include/mosspath/net/stall_detector.h
@@ -16,7 +16,8 @@
 class LoopClock {
  public:
   LoopClock(double turn_s, double now) : max_gap_s_(kStallTurns * turn_s), last_(now) {}
-  // Records a turn. If the process stalled since the last turn, returns the time of that turn.
+  // Records a turn. If the process stalled since the previous turn, returns the time of the
+  // previous turn.
   std::optional<double> OnTurn(double now) {
     const double last = std::exchange(last_, now);
     return now - last > max_gap_s_ ? std::optional(last) : std::nullopt;
--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -54,9 +54,10 @@
 std::string Encode(const PeerHeartbeat& p);
 PeerHeartbeat DecodePeerHeartbeat(std::string_view frame);
 
-// The answer to a peer heartbeat: from the leader, the sender's admission plan
-// (admission/admission_plan.h); from any other controller, a plan with a validity of 0 s. A
-// controller of an earlier version answers with an empty body.
+// The answer to a peer heartbeat. The leader answers with the admission plan
+// (admission/admission_plan.h) of the controller that sent the heartbeat. Any other controller
+// answers with a plan whose validity is 0 s. A controller of an earlier version answers with an
+// empty body.
 std::string Encode(const admission::AdmissionPlan& p);
 admission::AdmissionPlan DecodeAdmissionPlan(std::string_view frame);
 
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -66,8 +66,8 @@
   // Task starts that the controller commanded as the holder of a shard.
   uint64_t holder_starts() const { return holder_starts_; }
   int resignations() const { return resignations_; }
-  // Heartbeats that the controller accepted as the leader after its store lease had expired, when
-  // only its peers' promises still allowed it to lead.
+  // Heartbeats that the controller accepted as the leader after its store lease had expired, while
+  // only the promises of its peers still allowed the controller to lead.
   int heartbeats_on_promise() const { return heartbeats_on_promise_; }
   // Cancellations that the controller received from a peer before it read them from the store.
   int cancellations_learned() const { return cancellations_learned_; }
@@ -126,13 +126,13 @@
   void RegisterHandlers();
   void Start();
   void ResetState();
-  // Runs the action now or, if the process is frozen, when it resumes. Drops the action if the
-  // process ends before that.
+  // Runs the action now or, if the process is frozen, when the process resumes. Drops the action if
+  // the process ends before that.
   void RunUnlessFrozen(std::function<void()> action);
   // Runs the action after the delay, as a timer of this process. The timer ends with the process.
   void After(double delay_s, std::function<void()> action);
-  // Like After(), but the timer is not cancelled when this process ends: its action then runs in
-  // the next process. So the action must check which process it runs in.
+  // Like After(), but the timer is not cancelled when this process ends, so the action may run in
+  // the next process. The action must check in which process it runs.
   void AfterInAnyProcess(double delay_s, std::function<void()> action);
   void ReportStall(double from);
   void TickLoop();
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -124,7 +124,7 @@
 
   std::function<void(const std::string& node, const wire::Heartbeat&, const HeartbeatResponder&)>
       on_heartbeat;
-  // By the name of the controller.
+  // The keys are the names of the controllers.
   std::map<std::string, MessageHandler> on_promise_request;
   std::map<std::string, MessageHandler> on_peer_heartbeat;
   std::map<std::string, ShardFrameHandler> on_shard_frame;
