--- a/include/mosspath/wire/peer_heartbeat.h
+++ b/include/mosspath/wire/peer_heartbeat.h
@@ -31,8 +31,8 @@
   double workers_ago_s = 0;
   std::vector<PeerContact> peers;
   // Number of tasks that users recently submitted to this controller. The field is sent only to a
-  // peer whose own messages show that it can read the field: a peer of an earlier version would
-  // reject the frame.
+  // peer whose own messages prove that the peer can read the field, because a peer of an earlier
+  // version would reject the frame.
   std::optional<double> demand = std::nullopt;
 
   friend bool operator==(const PeerHeartbeat&, const PeerHeartbeat&) = default;
@@ -48,15 +48,16 @@
   // Seconds since any controller last received a heartbeat of this controller.
   double heard_ago_s = kNeverS;
   std::string heard_by;                  // the controller that received that heartbeat
-  std::vector<std::string> unreachable;  // peers and outside systems it can't reach
+  std::vector<std::string> unreachable;  // peers and outside systems that it can't reach
 };
 
 std::string Encode(const PeerHeartbeat& p);
 PeerHeartbeat DecodePeerHeartbeat(std::string_view frame);
 
-// The answer to a peer heartbeat: from the leader, the sender's admission plan
-// (admission/admission_plan.h); from any other controller, a plan with a validity of 0 s. A
-// controller of an earlier version answers with an empty body.
+// The answer to a peer heartbeat. The leader answers with the admission plan
+// (admission/admission_plan.h) of the controller that sent the heartbeat. Any other controller
+// answers with a plan whose validity is 0 s. A controller of an earlier version answers with an
+// empty body.
 std::string Encode(const admission::AdmissionPlan& p);
 admission::AdmissionPlan DecodeAdmissionPlan(std::string_view frame);
 
--- a/include/mosspath/wire/shard_frame.h
+++ b/include/mosspath/wire/shard_frame.h
@@ -21,7 +21,8 @@
     // machine.
     kHandOverTasks = 2,
     kCompletionsDurable = 3,  // the completions of these tasks of the job `name` are durable
-    // The holder stops these tasks of the job `name`, which are done or run outside the shard.
+    // The holder stops these tasks of the job `name`. These tasks are done or run outside the
+    // shard.
     kStopTasks = 4,
     kRecallMachine = 5,  // the holder returns the machine `name` once no task runs there
     // Sets the draining state of the machine `name`, by `count`. 0: the machine accepts tasks.
@@ -41,8 +42,9 @@
     // running these tasks.
     kReturnTasks = 23,
     kMachineStatus = 24,  // the state of the machine `name`
-    // The machine `name` is empty or lost, and the holder sends it no more commands. `count`: twice
-    // the revision at which the machine was handed over, plus 1 if the machine was lost.
+    // The machine `name` is empty or lost, and the holder sends no more commands to this machine.
+    // `count`: twice the revision at which the machine was handed over, plus 1 if the machine was
+    // lost.
     kMachineReturned = 25,
     // The load of the shard. `seconds` holds the CPUs that the shard's pending tasks request.
     // `count` is the number of the last batch of delegated tasks that this load includes.
--- a/simulation/controller.h
+++ b/simulation/controller.h
@@ -66,8 +66,8 @@
   // Task starts that the controller commanded as the holder of a shard.
   uint64_t holder_starts() const { return holder_starts_; }
   int resignations() const { return resignations_; }
-  // Heartbeats that the controller accepted as the leader after its store lease had expired, when
-  // only its peers' promises still allowed it to lead.
+  // Heartbeats that the controller accepted as the leader after its store lease had expired, while
+  // only the promises of its peers still allowed the controller to lead.
   int heartbeats_on_promise() const { return heartbeats_on_promise_; }
   // Cancellations that the controller received from a peer before it read them from the store.
   int cancellations_learned() const { return cancellations_learned_; }
@@ -80,8 +80,8 @@
   void Crash(double downtime_s);
   // Suspends the process for the given time, while the controller's clock goes on.
   void Freeze(double duration_s);
-  // Makes reads from the store fail while the store lease is still renewed. This happens to a
-  // controller that has no socket left for reads.
+  // Makes reads from the store fail while the store lease is still renewed. In production, such
+  // failures occur on a controller that has no socket left for reads.
   void FailReads(double duration_s) { reads_fail_until_ = environment_.clock.now() + duration_s; }
   // If true, the controller does not resign when what it has read of the store is outdated. This
   // simulates the backoff that follows a resignation without success.
@@ -108,7 +108,7 @@
 
   // The share of the admission budget that the controller may use now; 0 before its first start.
   double budget_share() const { return admission_ ? admission_->CurrentShare(Now()) : 0; }
-  // The number of live tasks that all controllers together may accept.
+  // The maximum number of tasks of all live jobs, over all controllers.
   double budget() const { return admission_->controller().budget(); }
 
  private:
@@ -126,13 +126,13 @@
   void RegisterHandlers();
   void Start();
   void ResetState();
-  // Runs the action now or, if the process is frozen, when it resumes. Drops the action if the
-  // process ends before that.
+  // Runs the action now or, if the process is frozen, when the process resumes. Drops the action if
+  // the process ends before that.
   void RunUnlessFrozen(std::function<void()> action);
   // Runs the action after the delay, as a timer of this process. The timer ends with the process.
   void After(double delay_s, std::function<void()> action);
-  // Like After(), but the timer is not cancelled when this process ends: its action then runs in
-  // the next process. So the action must check which process it runs in.
+  // Like After(), but the timer is not cancelled when this process ends, so the action may run in
+  // the next process. The action must check in which process it runs.
   void AfterInAnyProcess(double delay_s, std::function<void()> action);
   void ReportStall(double from);
   void TickLoop();
@@ -193,7 +193,7 @@
   void FindStatusInFinalRecord(const std::string& id, const OnStatus& done);
   void AnswerStatus(const std::string& id, jobs::JobStatus status, const StatusResponder& respond);
   // Returns the state to report to a user for a job with this status, and records this controller
-  // if the answer confirms a cancellation.
+  // as the last confirmer if the answer confirms a cancellation.
   wire::JobState ReportState(const std::string& id, jobs::JobStatus status);
   void StopTasksOf(const std::string& id);
   void TryCancel(const std::string& id, double deadline, OnStatus done);
@@ -215,9 +215,10 @@
                       const SimulatedEnvironment::HeartbeatResponder& respond);
   void AnswerAsLeader(const wire::Heartbeat& heartbeat,
                       const SimulatedEnvironment::HeartbeatResponder& respond);
-  // Returns the name of another controller to which the machine should send its heartbeats: the
-  // holder of the machine's shard or, if the holder is unknown, the leader, which can redirect the
-  // machine. Empty if that controller is this one or is unknown.
+  // Returns the name of the controller to which the machine should send its heartbeats: the holder
+  // of the machine's shard or, if the holder is unknown, the leader, which can redirect the
+  // machine. Returns an empty string if that controller is this one, if neither controller is
+  // known, or if shards are not leased.
   std::string HolderOf(const std::string& machine) const;
   void SendCommands();
   // `shard_lease`: the shard lease under which the commands are sent; 0: commands of the leader.
@@ -244,8 +245,8 @@
 
   // --- Shards ---
 
-  // Returns whether the controller may act as the holder of a shard: what it has read of the jobs
-  // must be recent enough.
+  // Returns whether the controller may act as the holder of a shard. A holder may act only while
+  // its last read of the jobs is recent enough.
   bool MayHold() const { return leadership_->ViewIsFresh(Now()); }
   void ApplyShards(const Entries& entries);
   void ApplyOwnShard(const Entries& entries);
--- a/simulation/faults.cc
+++ b/simulation/faults.cc
@@ -17,13 +17,13 @@
 constexpr double kSlowStoreFactor = 10;
 constexpr double kSlowLinkFactor = 150;
 constexpr size_t kAffectedMachineStride = 10;  // a fault affects every tenth machine
-// An inbound cut lasts this many times the fault's duration: a cut shorter than a few agent leases
-// is indistinguishable from a slow machine.
+// An inbound cut lasts this many times the fault's duration. Controllers can't distinguish a cut
+// that is shorter than a few agent leases from a slow machine.
 constexpr double kInboundCutFactor = 6;
 constexpr double kMaxWriteDelayS = 12;  // maximum time from sending a store write to applying it
 constexpr double kMaxDuplicateDelayLeases = 3;
-// Maximum delay after the end of the fault of messages over slow links and of the answers to these
-// messages.
+// Messages over slow links, and the answers to these messages, arrive at most this long after the
+// end of the fault.
 constexpr double kLateDeliveryS = 30;
 
 // ---------------------------------------------------------------------------- affected hosts
--- a/simulation/faults.h
+++ b/simulation/faults.h
@@ -23,7 +23,7 @@
     kFreezeAny,             // any one controller's process is suspended
     kCutStore,              // the leader is partitioned from the key-value store
     kCutAgents,             // the leader is partitioned from all machines
-    kCutPeers,              // any one controller is partitioned from the others
+    kCutPeers,              // any one controller is partitioned from its peers
     kCutZoneAgents,         // a zone's machines are partitioned from all controllers
     kStoreOutage,           // the key-value store is down
     kSlowStore,             // the key-value store answers slowly
@@ -36,7 +36,7 @@
                             // peers
     kRestartLeader,         // the leader restarts within 500 ms
     kRestartAll,            // all controllers restart within 500 ms
-    kRestartAfterMessages,  // after n more messages of leaders and candidates, the sender restarts
+    kRestartAfterMessages,  // the sender of the n-th next message of leaders or candidates restarts
     kRestartMachines,       // some machines restart with the same names, without their tasks
     kReplaceMachines,       // some machines terminate, and new ones take over their addresses
     kReclaimSpot,           // half of a zone's spot machines terminate without notice
--- a/simulation/overload.cc
+++ b/simulation/overload.cc
@@ -22,7 +22,7 @@
 constexpr double kSharesTolerance = 1e-9;
 const std::string kRegularTeam = "desk";  // submits the work that the deployment is sized for
 const std::string kFloodTeam = "guest";
-const std::string kSmallTeam = "small";  // submits little work beside the other two teams
+const std::string kSmallTeam = "small";  // submits little work compared with the other two teams
 
 double Quantile(const std::vector<double>& values, double probability) {
   namespace acc = boost::accumulators;
@@ -201,9 +201,9 @@
 }
 
 // A controller admits tasks up to its share of the free budget, which it computes from what it has
-// read of the store. If the controller has not read the newest jobs, it sees too much free budget.
-// The shares of all controllers add up to at most kPlannedFraction (a half), so the live tasks
-// exceed the budget by at most half of the budget.
+// read of the store. If the controller has not read the newest jobs, the free budget that it
+// computes is too large. The shares of all controllers add up to at most kPlannedFraction (a half),
+// so the live tasks exceed the budget by at most half of the budget.
 void OverloadScenario::CheckBudget(double budget) {
   if (most_live_tasks_ <= budget * (1 + admission::kPlannedFraction)) return;
   breaches_.push_back(fmt::format("budget: {:.0f} tasks of {:.0f}", most_live_tasks_, budget));
@@ -254,8 +254,8 @@
 }
 
 // Checks that at least half of a group's jobs are done, if the demand of all teams is below half of
-// the machines' capacity. For the flood, only accepted jobs count: the budget and the machines
-// can't take the whole flood before its users stop retrying.
+// the machines' capacity. For the flood, the check covers only accepted jobs: the budget and the
+// machines can't take the whole flood before its users stop retrying.
 void OverloadScenario::CheckStarvation(const Group& group, const GroupResult& result) {
   const bool floods = group.team == kFloodTeam;
   if (floods && result.accepted == 0) return;
--- a/simulation/rule_checker.cc
+++ b/simulation/rule_checker.cc
@@ -13,12 +13,15 @@
 // After the last fault, status queries are answered and critical services are whole within this
 // time.
 constexpr double kAnsweredWithinS = 75;
-constexpr double kPlacedWithinS = 90;  // for a waiting task while a machine has room for it
-constexpr double kBegunWithinS = 240;  // for the first task start of a class's largest jobs
+// Maximum time for which a task waits while a machine has room for the task.
+constexpr double kPlacedWithinS = 90;
+// Maximum time from the first submission attempt to the first task start, for the largest jobs of
+// each class.
+constexpr double kBegunWithinS = 240;
 
 constexpr double kResourceTolerance = 1e-6;  // for rounding errors in sums of CPUs and GPUs
 constexpr double kNeverBegunS = 1e9;         // reported for a job that never started
-constexpr size_t kLargestDivisor = 10;       // the largest tenth of a class's jobs
+constexpr size_t kLargestDivisor = 10;       // the largest 10% of a class's jobs by task count
 
 template <typename T>
 bool Contains(const std::vector<T>& values, const T& value) {
@@ -175,7 +178,9 @@
   });
 }
 
-// Returns whether the job's tasks that must run at the same time fit into the zones.
+// Returns whether enough zones offer a machine type that fits a task of the job. The job needs two
+// such zones if its tasks must run at the same time in different zones, and otherwise one. A job
+// that needs two zones but allows only a single zone can never run.
 bool RuleChecker::CanEverRun(const wire::JobSpec& spec) const {
   const auto zones =
       std::count_if(settings_.zones.begin(), settings_.zones.end(),
@@ -244,7 +249,7 @@
 }
 
 // Reports a critical service of which replicas are missing. CheckNow() calls this kAnsweredWithinS
-// after the end of the last fault, when all replicas must be up again, whatever the other load.
+// after the end of the last fault. All replicas must be up again by then, whatever the other load.
 void RuleChecker::CheckReplicas(Job& job, double now) {
   const bool critical = IsService(job.spec) && job.spec.priority > wire::Priority::kHigh;
   if (!critical || !job.accepted_at || now - *job.accepted_at <= kAnsweredWithinS) return;
--- a/simulation/rule_checker.h
+++ b/simulation/rule_checker.h
@@ -52,16 +52,15 @@
 
   // --- Jobs that wait despite free capacity ---
 
-  // A job with tasks to start.
+  // An accepted, live job with tasks that are neither completed nor running.
   struct WaitingJob {
     const wire::JobSpec* spec = nullptr;  // valid until the next call of a non-const member
     std::map<std::string, size_t> running_by_zone;  // number of the job's running tasks by zone
     bool team_has_room = true;                      // the team's quota allows one more task
   };
-  // Returns the accepted, live jobs with tasks that are neither completed nor running.
   std::vector<WaitingJob> WaitingJobs() const;
-  // These machines have the free capacity for one more task of the job. Must be called for each
-  // waiting job at short intervals after the end of all faults.
+  // Each machine in `machines` has free capacity for one more task of the job. Must be called for
+  // each waiting job at short intervals after the end of all faults.
   void OnMachinesWithRoom(const std::string& id, const std::vector<std::string>& machines,
                           double now);
 
@@ -85,12 +84,12 @@
   bool IsDone(const std::string& id) const;
   // The times at which cancellations were confirmed.
   const std::vector<double>& cancellations() const { return cancellations_; }
-  // The longest time from a confirmed cancellation to a later start of one of the job's tasks.
+  // The longest time from the confirmed cancellation of a job to a later start of one of its tasks.
   double latest_cancelled_start_s() const { return latest_cancelled_start_s_; }
   // The longest time from the first submission attempt to the first task start, among the largest
   // jobs of each class.
   double latest_begin_s() const { return latest_begin_s_; }
-  // The longest time between two answers about an accepted job after the end of all faults.
+  // The longest time without an answer about an accepted job, after the end of all faults.
   double longest_unanswered_s() const { return longest_unanswered_s_; }
 
  private:
@@ -108,7 +107,7 @@
     std::map<uint32_t, Placement> running;  // by task index
     bool done = false;
     std::optional<double> cancelled_at;
-    std::optional<double> submitted_at;  // the first submission attempt
+    std::optional<double> submitted_at;  // time of the first submission attempt
     std::optional<double> accepted_at;   // when the user received the acceptance
     std::optional<double> begun_at;      // when one of its tasks first started
     double last_answered_at = 0;
@@ -116,7 +115,7 @@
     bool reported_forgotten = false;
     bool reported_down = false;
     bool reported_waiting = false;
-    std::optional<wire::JobState> final_state;  // the first one that the user received
+    std::optional<wire::JobState> final_state;  // the first final state that the user received
     double final_state_at = 0;
     // For each machine that has room for one more task of the job: the time since which it has
     // room.
@@ -139,7 +138,7 @@
   void CheckQuota(const wire::JobSpec& spec, const std::string& task_name);
   void CheckReplicas(Job& job, double now);
   void CheckForgotten(Job& job, double now);
-  // Checks the largest jobs of a class: the tenth of the class's jobs with the most tasks.
+  // Checks the largest 10% of a class's jobs by task count.
   void CheckLargest(const std::string& job_class, std::vector<const Job*> jobs,
                     double capacity_cpus, ServedCount& count);
 
