--- a/tests/admission_plan_model_test.cc
+++ b/tests/admission_plan_model_test.cc
@@ -117,7 +117,7 @@
   }
   RecordProperty("states", static_cast<int>(seen.size()));
   EXPECT_GT(seen.size(), 5000u);
-  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // The bound is nearly reached.
+  EXPECT_GT(most_in_force, 0.9 * kPlannedFraction);  // Some order nearly reaches the bound.
 }
 
 }  // namespace
--- a/tests/cancellation_log_test.cc
+++ b/tests/cancellation_log_test.cc
@@ -20,7 +20,8 @@
 
 TEST(CancellationLogTest, ListsWhatCameSince) {
   CancellationLog log(10);
-  log.AssumeReportedUpTo(100);  // The previous process may have confirmed these.
+  log.AssumeReportedUpTo(
+      100);  // The previous process may have confirmed cancellations up to revision 100.
   log.Add("req-1", 90);
   EXPECT_EQ(log.newest(), 100u);
   EXPECT_TRUE(log.Since(0).entries.empty());
--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -105,7 +105,7 @@
   answer(batches[0], 1, CommandOutcome::kExecuted);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
   EXPECT_FALSE(scheduler_.recovery_complete());
-  // The second machine is in a later epoch, so it is probed again in that epoch.
+  // The agent of vm-2 is in a later agent epoch, so the leader probes vm-2 again in that epoch.
   answer(batches[1], 4, CommandOutcome::kRefused);
   const auto again = scheduler_.TakeCommands(settings_.heartbeat_s);
   ASSERT_EQ(again.size(), 1u);
@@ -200,8 +200,9 @@
   scheduler_.OnRecordsWritten(20, 0);
   scheduler_.Place(3);
   EXPECT_EQ(Starts(SendHeartbeat("vm-1", 3)).size(), 2u);
-  // While the leader reloads its view, it has not read which controllers write start markers. The
-  // leader must keep writing them, or its successor would take a started job for an unstarted one.
+  // While the leader reloads the records of the state service, it has not read which controllers
+  // write start markers. The leader must keep writing start markers, or its successor would take a
+  // started job for an unstarted one.
   scheduler_.SetMarkersSince(TaskPlacer::kNever);
   scheduler_.AddJob(Job(9, 1, 1, wire::Priority::kNormal), 15, 3);
   scheduler_.Place(3.5);
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -84,7 +84,7 @@
   EXPECT_FALSE(detector.IsIsolated(112));
   EXPECT_TRUE(detector.IsIsolated(120));
   EXPECT_FALSE(detector.ShouldServeUsers(111, kContactTimeoutS, 120));
-  // A controller that reaches the state service serves users, also without contact to its peers.
+  // A controller that reaches the state service serves users, even if it reaches no peer.
   EXPECT_TRUE(detector.ShouldServeUsers(120, kContactTimeoutS, 121));
   // Without the state service, a controller serves users if a peer that it reaches can't reach the
   // state service either.
--- a/tests/job_end_model_test.cc
+++ b/tests/job_end_model_test.cc
@@ -2,7 +2,7 @@
 // ended. The leader's completion races with a cancellation at a second controller, and with queries
 // and a repeated submission at a third controller. No other faults occur. The controllers use the
 // real JobIndex. The controllers must never report two different final states to users, or
-// report a job as live after they have reported its end.
+// report that a job has not ended after they have reported its end.
 #include <gtest/gtest.h>
 #include <spdlog/fmt/fmt.h>
 
--- a/tests/job_records_test.cc
+++ b/tests/job_records_test.cc
@@ -74,7 +74,7 @@
     for (const auto& change : store.log) {
       if (change.revision <= revision) continue;
       if (max_transactions-- == 0) return;
-      const uint64_t transaction = change.revision;  // Applies all of it.
+      const uint64_t transaction = change.revision;  // Applies the whole transaction.
       for (const auto& other : store.log) {
         if (other.revision == transaction && records.OwnsKey(other.key)) {
           records.OnRecord(other.key, other.value ? &*other.value : nullptr, other.revision);
--- a/tests/job_service_test.cc
+++ b/tests/job_service_test.cc
@@ -104,8 +104,8 @@
   EXPECT_GT(cancelled, before);
 }
 
-// The controller logs its own cancellation before it answers the user, even if the watch cache does
-// not show the cancellation yet.
+// The controller logs its own cancellation before it answers the user, even if the watch cache
+// has not received the cancellation yet.
 TEST_F(JobServiceTest, ItsOwnCancellationCountsAtOnce) {
   bool answered = false;
   jobs_.Cancel("req-1", [&](JobStatus status) {
@@ -128,7 +128,7 @@
 }
 
 // The controller receives a cancellation from a peer during an outage of the state service. The job
-// must end at once, because the watch cache shows the cancellation only after the outage.
+// must end at once, because the watch cache receives the cancellation only after the outage.
 TEST_F(JobServiceTest, AJobCancelledAheadOfTheWatchCacheHasEnded) {
   ASSERT_NE(jobs_.FindLive("req-1"), nullptr);
   store_.down = true;
@@ -141,9 +141,10 @@
   EXPECT_EQ(jobs_.cancellations().newest(), revision);
 }
 
-// The controller receives a cancellation from a peer. The watch cache then shows the job's
-// acceptance, and no later change while an outage lasts. A leader that treated the job as live kept
-// running the job, although the user had received the confirmation of the cancellation.
+// The controller receives a cancellation from a peer. The watch cache then receives the job's
+// acceptance, but no later change while an outage of the state service lasts. A leader that treated
+// the job as live kept running the job, although the user had received the confirmation of the
+// cancellation.
 TEST_F(JobServiceTest, AJobCancelledBeforeItsAcceptanceIsSeenIsNotAccepted) {
   jobs_.OnCancellationLearned("req-3", watch_cache_.revision() + 2);
   store_.Put(keys::Job("req-3"), jobs::JobRecords::EncodeEntry(Spec("req-3"), 0));
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -70,7 +70,8 @@
   EXPECT_FALSE(leadership_.MayAct(10 + derived_.store_lease_s));
   for (double now = 10; now < 40; now += derived_.store_lease_renew_s)
     leadership_.OnStoreLeaseRenewed(now);
-  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));  // The view is too old.
+  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s +
+                                  0.1));  // The last read of the state service is too old.
   leadership_.OnReadUpTo(39, 60);
   EXPECT_TRUE(leadership_.MayAct(40));
   const auto lost = leadership_.OnLeaderKey({"hut-1", 9, 61});
@@ -121,7 +122,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));  // hut-2 refused to promise.
   Receive(*round, "hut-2", Promise(40, 50), now + 0.1);
   EXPECT_TRUE(leadership_.MayAct(now + 0.1));
-  // The promises make the view as fresh as a read at the time of the promise requests.
+  // The promises make the view as fresh as a read of the state service at the time of the promise
+  // requests.
   EXPECT_NEAR(leadership_.view_age_s(now + 0.1), 0.1, 1e-9);
   EXPECT_FALSE(leadership_.MayAct(now + derived_.promise_s));
 }
@@ -184,8 +186,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));
 }
 
-// During a reload the leader has not read the ends of all jobs, even if the revision of the first
-// page is recent. Promises must not make such a view fresh.
+// During a reload the leader has not read the ends of all jobs, even if the first page of records
+// that it has read has a recent revision. Promises must not make this incomplete view fresh.
 TEST_F(LeadershipTest, ALeaderThatReloadsGetsNoPromises) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
--- a/tests/locality_test.cc
+++ b/tests/locality_test.cc
@@ -14,7 +14,8 @@
 namespace mosspath::scheduler {
 namespace {
 
-// A machine of the reference model: the sizes in GB of the image layers that it holds, by name.
+// A machine of the reference model: the sizes in GB of the image layers that it holds, by layer
+// name.
 struct ReferenceMachine {
   std::map<std::string, double> layers;
   bool room = true;
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -15,8 +15,9 @@
 namespace {
 
 // A new leader finds a running task of a cancelled job. The task's team and size are unknown,
-// because the job is no longer live. The leader also can't probe one machine. It starts no task of
-// a team with a limit until that task has ended and that machine is gone.
+// because the leader has no record of a job that has ended. The leader also can't probe one
+// machine. The leader starts no task of a team with a limit until the cancelled job's task has
+// ended and the unprobed machine is gone.
 TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
   config::Settings settings = simulation::SmallSettings();
   const config::DerivedSettings derived(settings);
--- a/tests/reused_address_test.cc
+++ b/tests/reused_address_test.cc
@@ -69,8 +69,8 @@
   scheduler_.OnMachineDeleted("vm-1", 1.5);
   EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
-  // This list may lack machines that were up when the commands were sent. Even if it shows no other
-  // machine with the address, such a machine may exist.
+  // This list may lack machines that were up when the commands were sent. Another
+  // machine with the address may therefore exist, even if the list contains none.
   const wire::ListedMachine third{"vm-3", "vm-3:1", "box", "a", false, wire::MachineState::kRunning,
                                   9};
   wire::ListedMachine other = third;
@@ -79,12 +79,12 @@
   scheduler_.OnMachineList({third}, 0.5 + settings_.machine_list_lag_s, 5);
   scheduler_.Tick(5);
   EXPECT_EQ(CountStartsOn("vm-3", 5.1), 0u);
-  // The list shows vm-2, which has sent no heartbeat.
+  // The list contains vm-2, which has sent no heartbeat.
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnMachineList({third, other}, late, late);
   scheduler_.Tick(late);
   EXPECT_EQ(CountStartsOn("vm-3", late + 0.1), 0u);
-  // The heartbeat of vm-2 shows that the task runs there.
+  // The heartbeat of vm-2 lists the task as running on vm-2.
   heartbeat_.address = command_batch_.address;
   EXPECT_TRUE(scheduler_.OnHeartbeat(heartbeat_, late + 0.2).accepted);
   scheduler_.OnMachineList({third}, late + 5, late + 5);
@@ -133,7 +133,7 @@
 }
 
 // The usual case: no other machine has reused the address of vm-1. The task is restarted as soon as
-// a machine list shows no machine with that address, if the list was requested late enough.
+// a machine list contains no machine with that address, if the list was requested late enough.
 TEST_F(ReusedAddressTest, NoOtherMachineHasTheAddress) {
   const double late = 1 + 2 * settings_.machine_list_lag_s;
   scheduler_.OnCommandOutcome(command_batch_, CommandOutcome::kUndetermined, nullptr, 0.7);
--- a/tests/scheduler_fixture.h
+++ b/tests/scheduler_fixture.h
@@ -66,7 +66,7 @@
     wire::Heartbeat heartbeat = NextHeartbeat(id, 1);
     heartbeat.fencing_token = token;
     heartbeat.tasks = std::move(tasks);
-    scheduler_.Place(now);  // The leader service runs such passes.
+    scheduler_.Place(now);  // In production, the leader service runs placement passes.
     return scheduler_.OnHeartbeat(heartbeat, now);
   }
 
