--- a/tests/admission_plan_test.cc
+++ b/tests/admission_plan_test.cc
@@ -8,8 +8,8 @@
 
 TEST(AdmissionPlanTest, SharesFollowDemand) {
   AdmissionPlanner planner({"a", "b"}, 5, 4, 0);
-  EXPECT_EQ(planner.PlanFor("a", 10, 3).life_s,
-            0);  // Plans of an earlier leader may still be valid.
+  // Plans of an earlier leader may still be valid.
+  EXPECT_EQ(planner.PlanFor("a", 10, 3).life_s, 0);
   double share_a = 0;
   for (double now = 5; now < 30; now += 1) {
     share_a = planner.PlanFor("a", 300, now).share;
--- a/tests/cancellation_log_test.cc
+++ b/tests/cancellation_log_test.cc
@@ -20,14 +20,14 @@
 
 TEST(CancellationLogTest, ListsWhatCameSince) {
   CancellationLog log(10);
-  log.AssumeReportedUpTo(
-      100);  // The previous process may have confirmed cancellations up to revision 100.
+  // The previous process may have confirmed cancellations up to revision 100.
+  log.AssumeReportedUpTo(100);
   log.Add("req-1", 90);
   EXPECT_EQ(log.newest(), 100u);
   EXPECT_TRUE(log.Since(0).entries.empty());
   EXPECT_EQ(log.Since(0).from_revision, 100u);
   log.Add("req-2", 120);
-  log.Add("req-2", 120);  // The write's response and the watch cache both report it.
+  log.Add("req-2", 120);  // The write's response and the watch cache both report req-2.
   log.Add("req-3", 110);
   EXPECT_EQ(Ids(log.Since(100)), (std::vector<std::string>{"req-3", "req-2"}));
   EXPECT_EQ(Ids(log.Since(110)), std::vector<std::string>{"req-2"});
--- a/tests/failover_test.cc
+++ b/tests/failover_test.cc
@@ -144,7 +144,8 @@
                                    now + derived_.probe_answer_s);
     }
   }
-  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));  // The partition was just detected.
+  // The leader detects the partition at 3 s, and reports it only if it persists.
+  EXPECT_FALSE(partitioned.IsPartitionedFromAgents(3));
   EXPECT_TRUE(partitioned.IsPartitionedFromAgents(3.1 + settings_.heartbeat_s / 2));
 }
 
--- a/tests/failure_detector_test.cc
+++ b/tests/failure_detector_test.cc
@@ -20,7 +20,8 @@
 }
 
 // Returns a heartbeat of the controller `node`. Its last contact with the state service was
-// `state_ago_s` seconds ago, and its last contact with the other peer `other_ago_s` seconds ago.
+// `state_ago_s` seconds ago, and its last contact with the other one of the peers hut-1 and hut-2
+// `other_ago_s` seconds ago.
 wire::PeerHeartbeat HeartbeatFrom(const char* node, double state_ago_s, double other_ago_s) {
   wire::PeerHeartbeat heartbeat;
   heartbeat.node = node;
@@ -36,7 +37,7 @@
   EXPECT_FALSE(detector.IsSuspected("hut-1", 100));  // hut-1 has sent no heartbeat yet.
   detector.OnHeartbeat(HeartbeatFrom("hut-1", 0.1, 0.1), 100);
   detector.OnHeartbeat(HeartbeatFrom("hut-2", 30, 0.2), 100);
-  detector.OnHeartbeat(HeartbeatFrom("hut-9", 0, 0), 100);  // not a controller of this cluster
+  detector.OnHeartbeat(HeartbeatFrom("hut-9", 0, 0), 100);  // hut-9 is not in the cluster.
   const wire::PeerHeartbeat own{"hut-0", true, 0.1, 0.1, 0.1, detector.PeerContacts(100)};
   auto states = detector.ControllerStates(own, 100);
   ASSERT_EQ(states.size(), 3u);
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -37,7 +37,8 @@
   EXPECT_EQ(fair_share.DeficitCpus(urgent), 0);
   EXPECT_NEAR(fair_share.DeficitCpus(low), 0.15 * 910 / 2 - 10, 1e-9);
   EXPECT_NEAR(fair_share.DeficitCpus(guest), 50 - 20, 1e-9);
-  EXPECT_NEAR(fair_share.DeficitCpus(guaranteed), 300 - 70, 1e-9);  // guaranteed CPUs
+  // The team "guaranteed" has 300 guaranteed CPUs.
+  EXPECT_NEAR(fair_share.DeficitCpus(guaranteed), 300 - 70, 1e-9);
   for (int i = 0; i < 30; ++i) fair_share.OnAllocated(guest, 1);
   EXPECT_EQ(fair_share.DeficitCpus(guest), 0);
   EXPECT_FALSE(fair_share.MayPreempt(guest, 1));
--- a/tests/golden_cluster_test.cc
+++ b/tests/golden_cluster_test.cc
@@ -139,8 +139,8 @@
   }
   std::string NextId() { return "req-" + std::to_string(++jobs_); }
   // Submits jobs one at a time until a job is stored in a record under the prefix. Returns the
-  // record's key. Which record format the controller writes depends on the settings and on the
-  // record formats of the other controllers that it has read by then.
+  // record's key. The record format that the controller writes depends on the settings and on the
+  // record formats of the other controllers, as far as the controller has read these formats.
   std::string SubmitUntilStoredUnder(const std::string& prefix) {
     std::string key;
     EXPECT_TRUE(WaitUntil([&] {
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -236,8 +236,8 @@
   EXPECT_EQ(small->version, kAcceptedVersion);
   EXPECT_EQ(small->submitted_wall_s, kSmallSubmitted);
   EXPECT_EQ(reader.VersionOf(key), kEndedVersion);
-  // `over` marks the job as ended, so another record of the same job does not add it to the
-  // live jobs again.
+  // `over` marks the job as ended, so another record of the same job does not add the
+  // job to the live jobs again.
   value = Json::parse(FullEntry());
   reader.OnRecord("mosspath/live/job/req-000412", &value, kEndedVersion + 1);
   EXPECT_EQ(reader.Find("req-000412"), nullptr);
--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -14,8 +14,8 @@
 namespace mosspath::net {
 namespace {
 
-// A queued request must not be sent once its caller no longer wants it. For example, a leader must
-// not send requests after a stall that it queued before the stall.
+// A queued request must not be sent if its still_wanted function returns false. For example, a
+// leader must not send, after a stall, requests that it queued before the stall.
 TEST(HttpClientTest, ARequestThatIsNoLongerWantedIsNotSent) {
   asio::io_context io;
   int handled = 0;
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -42,7 +42,8 @@
   const std::string address;
 };
 
-// Guards against many users who keep all connections open, so that agents can't connect.
+// Guards against a lockout of agents: if many users keep all connections open, agents can't
+// connect.
 TEST(HttpServerTest, UserConnectionsAreClosedAfterTheAnswerWhenSocketsAreScarce) {
   TestServer test_server(64);
   std::vector<std::unique_ptr<HttpClient>> clients;
--- a/tests/late_writes_model_test.cc
+++ b/tests/late_writes_model_test.cc
@@ -349,7 +349,7 @@
 
 struct SearchResult {
   size_t states = 0;
-  size_t late = 0;  // states that were reached after a late commit
+  size_t late = 0;  // number of states whose history has a late commit
   std::string violation;
 };
 
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -70,8 +70,8 @@
   EXPECT_FALSE(leadership_.MayAct(10 + derived_.store_lease_s));
   for (double now = 10; now < 40; now += derived_.store_lease_renew_s)
     leadership_.OnStoreLeaseRenewed(now);
-  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s +
-                                  0.1));  // The last read of the state service is too old.
+  // The controller's last read of the state service is too old.
+  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));
   leadership_.OnReadUpTo(39, 60);
   EXPECT_TRUE(leadership_.MayAct(40));
   const auto lost = leadership_.OnLeaderKey({"hut-1", 9, 61});
@@ -111,7 +111,7 @@
 TEST_F(LeadershipTest, ContinuesWhileAllPeersPromise) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
-  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // The state service answers.
+  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // The state service answered.
   auto round = leadership_.BeginPromiseRound(10, now);
   ASSERT_TRUE(round);
   Receive(*round, "hut-1", Promise(40, 50), now);
@@ -206,7 +206,7 @@
   // process may have confirmed.
   EXPECT_FALSE(GetsPromise(90, 0, 20));
   Follow();
-  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // The state service answers.
+  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // The state service answered at 19.9 s.
   EXPECT_TRUE(GetsPromise(90, 0, 20));
   EXPECT_FALSE(GetsPromise(89, 0, 20));  // Token 89 is an earlier leader's.
   leadership_.OnLeaderKey({});
--- a/tests/packed_map_test.cc
+++ b/tests/packed_map_test.cc
@@ -55,11 +55,11 @@
   map.Set("vm-2", "a");
   const auto next = map.TakeDirty(1, 300);
   ASSERT_EQ(next.size(), 1u);
-  EXPECT_EQ(next[0].version, late[0].version);  // Only one of the two can succeed.
+  EXPECT_EQ(next[0].version, late[0].version);  // Only one of the two writes can succeed.
   map.OnPackVersion(0, 7);
   map.Set("vm-3", "a");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
-  map.OnPackVersion(0, 5);  // The event is delayed.
+  map.OnPackVersion(0, 5);  // The event for version 5 arrives late.
   map.Touch("vm-3");
   EXPECT_EQ(map.TakeDirty(1, 300).at(0).version, 7u);
 }
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -14,10 +14,10 @@
 namespace mosspath::scheduler {
 namespace {
 
-// A new leader finds a running task of a cancelled job. The task's team and size are unknown,
-// because the leader has no record of a job that has ended. The leader also can't probe one
-// machine. The leader starts no task of a team with a limit until the cancelled job's task has
-// ended and the unprobed machine is gone.
+// A new leader finds a running task of a cancelled job. The leader can't tell the task's team
+// and size, because the leader has loaded only jobs that have not ended. The
+// leader also can't probe one machine. The leader starts no task of a team with a limit until the
+// cancelled job's task has ended and the unprobed machine is gone.
 TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
   config::Settings settings = simulation::SmallSettings();
   const config::DerivedSettings derived(settings);
--- a/tests/reused_address_test.cc
+++ b/tests/reused_address_test.cc
@@ -40,7 +40,7 @@
   EXPECT_TRUE(scheduler_.machines().contains("vm-2"));
   AddReadyMachine("vm-3", 1);
   scheduler_.OnMachineDeleted("vm-1", 1.5);
-  EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);  // the task still runs on vm-2
+  EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);  // The task still runs on vm-2.
   heartbeat_.sequence = ++sequences_["vm-2"];
   EXPECT_EQ(Stops(scheduler_.OnHeartbeat(heartbeat_, 3)).size(), 1u);
   EXPECT_EQ(CountStartsOn("vm-3", 3.5), 0u);
@@ -69,8 +69,8 @@
   scheduler_.OnMachineDeleted("vm-1", 1.5);
   EXPECT_EQ(CountStartsOn("vm-3", 2), 0u);
   EXPECT_EQ(scheduler_.Counts("req-1").running, 1u);
-  // This list may lack machines that were up when the commands were sent. Another
-  // machine with the address may therefore exist, even if the list contains none.
+  // This list may lack machines that were up when the commands were sent. Another machine with
+  // the address may therefore exist, even if the list contains none.
   const wire::ListedMachine third{"vm-3", "vm-3:1", "box", "a", false, wire::MachineState::kRunning,
                                   9};
   wire::ListedMachine other = third;
--- a/tests/shard_model_test.cc
+++ b/tests/shard_model_test.cc
@@ -76,7 +76,7 @@
         expired_holders_.push_back(std::move(holders_[1]));
         lease_manager_.OnLease("hut-1", leases_[1] = 0, now_);
         return true;
-      case 10:  // holders of ended leases still act
+      case 10:  // holders whose leases have ended still act
         if (expired_holders_.empty()) return false;
         for (auto& holder : expired_holders_) {
           holder->Tick(now_);
--- a/tests/socket_budget_test.cc
+++ b/tests/socket_budget_test.cc
@@ -15,7 +15,7 @@
   }
   EXPECT_EQ(agents, budget.limit(ConnectionClass::kAgent));
   EXPECT_EQ(budget.refused(ConnectionClass::kUnidentified), 1u);
-  // All sockets of the public address are taken; the other classes still have their shares.
+  // Agents hold all sockets of their class. The other classes can still acquire sockets.
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kOutbound));
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kPeer));
   size_t commands = 0;
