--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -50,7 +50,7 @@
       return j.spec.team == spec.team && j.spec.job_class == spec.job_class;
     });
     const double free = std::max(0.0, budget - seen);
-    const double assured_each = budget / 4 / 2;  // a quarter of the budget, for two teams
+    const double assured_each = budget / 4 / 2;  // A quarter is assured to two teams.
     const double other_team = Sum([&](const Job& j) { return j.spec.team != spec.team; });
     const bool assured = team + spec.tasks <= assured_each;
     if (in_flight + spec.tasks > (in_flight > 0 ? share * free * (assured ? 1 : 0.5) : free))
--- a/tests/leadership_model_test.cc
+++ b/tests/leadership_model_test.cc
@@ -118,7 +118,7 @@
     std::string name;
     std::optional<Leadership> leadership;
     std::optional<CancellationLog> cancellations;
-    double contact = -1e18;         // when the state service last answered
+    double contact = -1e18;         // time of the last answer of the state service
     int loaded = 0;                 // 0: nothing was read, 1: the first page, 2: all keys
     bool has_cancellation = false;  // whether this controller has the cancellation
     uint64_t incarnation = 0;       // number of starts; responses to earlier starts are dropped
--- a/tests/leadership_promises_test.cc
+++ b/tests/leadership_promises_test.cc
@@ -7,8 +7,8 @@
 namespace mosspath::election {
 namespace {
 
-// The promises of a round take effect once all peers have promised in that round. They are then
-// valid from the time at which the round's requests were sent.
+// The promises of a round take effect once all peers have promised in that round. The promises
+// are then valid from the time at which the leader sent the requests of the round.
 TEST(LeadershipPromisesTest, PromisesOfAllPeersCountFromTheRequest) {
   LeadershipPromises promises(1.0, 2);
   const uint64_t round = promises.BeginRound(50);
--- a/tests/one_way_partition_test.cc
+++ b/tests/one_way_partition_test.cc
@@ -11,8 +11,8 @@
 
 // Guards against tasks that end with an agent lease: a machine's heartbeats were lost, but the
 // machine executed direct commands and answered them. Because of these answers, the leader treated
-// the machine as healthy and placed tasks on it, until the agent's lease expired and ended
-// all tasks on the machine.
+// the machine as healthy and placed tasks on it, until the agent's lease expired and ended all
+// tasks on the machine.
 TEST_F(OneWayPartitionTest, AMachineWhoseHeartbeatsAreLostTakesNoTasks) {
   AddReadyMachine("vm-1", 0);
   double now = 0.5;
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -45,7 +45,7 @@
   };
   send_heartbeat("vm-1", 1, {found});
   send_heartbeat("vm-2", 1, {});
-  EXPECT_EQ(started(1.1), 0u);  // vm-3 can't be probed; vm-1 runs the task.
+  EXPECT_EQ(started(1.1), 0u);  // vm-3 can't be probed, and vm-1 runs the task of req-8.
   scheduler.OnMachineDeleted("vm-3", 2);
   EXPECT_TRUE(scheduler.recovery_complete());
   EXPECT_EQ(started(2.1), 0u);
--- a/tests/socket_budget_test.cc
+++ b/tests/socket_budget_test.cc
@@ -15,7 +15,8 @@
   }
   EXPECT_EQ(agents, budget.limit(ConnectionClass::kAgent));
   EXPECT_EQ(budget.refused(ConnectionClass::kUnidentified), 1u);
-  // Agents hold all sockets of their class. The other classes can still acquire sockets.
+  // Agents hold all sockets of the public address. The classes that do not use the public address
+  // can still acquire sockets, up to their own limits.
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kOutbound));
   EXPECT_TRUE(budget.Acquire(ConnectionClass::kPeer));
   size_t commands = 0;
