--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -70,7 +70,8 @@
   EXPECT_FALSE(leadership_.MayAct(10 + derived_.store_lease_s));
   for (double now = 10; now < 40; now += derived_.store_lease_renew_s)
     leadership_.OnStoreLeaseRenewed(now);
-  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));  // The view is too old.
+  // The controller's last read of the state service is too old.
+  EXPECT_FALSE(leadership_.MayAct(10 + derived_.max_view_age_s + 0.1));
   leadership_.OnReadUpTo(39, 60);
   EXPECT_TRUE(leadership_.MayAct(40));
   const auto lost = leadership_.OnLeaderKey({"hut-1", 9, 61});
@@ -110,7 +111,7 @@
 TEST_F(LeadershipTest, ContinuesWhileAllPeersPromise) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
-  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // The state service answers.
+  EXPECT_FALSE(leadership_.BeginPromiseRound(now - 0.1, now));  // The state service answered.
   auto round = leadership_.BeginPromiseRound(10, now);
   ASSERT_TRUE(round);
   Receive(*round, "hut-1", Promise(40, 50), now);
@@ -121,7 +122,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));  // hut-2 refused to promise.
   Receive(*round, "hut-2", Promise(40, 50), now + 0.1);
   EXPECT_TRUE(leadership_.MayAct(now + 0.1));
-  // The promises make the view as fresh as a read at the time of the promise requests.
+  // The promises make the view as fresh as a read of the state service at the time of the promise
+  // requests.
   EXPECT_NEAR(leadership_.view_age_s(now + 0.1), 0.1, 1e-9);
   EXPECT_FALSE(leadership_.MayAct(now + derived_.promise_s));
 }
@@ -184,8 +186,8 @@
   EXPECT_FALSE(leadership_.MayAct(now));
 }
 
-// During a reload the leader has not read the ends of all jobs, even if the revision of the first
-// page is recent. Promises must not make such a view fresh.
+// During a reload the leader has not read the ends of all jobs, even if the first page of records
+// that it has read has a recent revision. Promises must not make this incomplete view fresh.
 TEST_F(LeadershipTest, ALeaderThatReloadsGetsNoPromises) {
   Lead(50);
   const double now = 10 + derived_.store_lease_s;
@@ -204,7 +206,7 @@
   // process may have confirmed.
   EXPECT_FALSE(GetsPromise(90, 0, 20));
   Follow();
-  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // The state service answers.
+  EXPECT_FALSE(GetsPromise(90, 19.9, 20));  // The state service answered at 19.9 s.
   EXPECT_TRUE(GetsPromise(90, 0, 20));
   EXPECT_FALSE(GetsPromise(89, 0, 20));  // Token 89 is an earlier leader's.
   leadership_.OnLeaderKey({});
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -14,9 +14,10 @@
 namespace mosspath::scheduler {
 namespace {
 
-// A new leader finds a running task of a cancelled job. The task's team and size are unknown,
-// because the job is no longer live. The leader also can't probe one machine. It starts no task of
-// a team with a limit until that task has ended and that machine is gone.
+// A new leader finds a running task of a cancelled job. The leader can't tell the task's team
+// and size, because the leader has loaded only jobs that have not ended. The
+// leader also can't probe one machine. The leader starts no task of a team with a limit until the
+// cancelled job's task has ended and the unprobed machine is gone.
 TEST(QuotaTest, ACancelledTaskOfAnEarlierLeaderCounts) {
   config::Settings settings = simulation::SmallSettings();
   const config::DerivedSettings derived(settings);
@@ -44,7 +45,7 @@
   };
   send_heartbeat("vm-1", 1, {found});
   send_heartbeat("vm-2", 1, {});
-  EXPECT_EQ(started(1.1), 0u);  // vm-3 can't be probed; vm-1 runs the task.
+  EXPECT_EQ(started(1.1), 0u);  // vm-3 can't be probed, and vm-1 runs the task of req-8.
   scheduler.OnMachineDeleted("vm-3", 2);
   EXPECT_TRUE(scheduler.recovery_complete());
   EXPECT_EQ(started(2.1), 0u);
