--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -18,9 +18,9 @@
 // An attempt of a task that is, or may be, on a machine.
 struct Allocation {
   enum class State { kPlanned, kStartSent, kReported } state = State::kPlanned;
-  // A heartbeat with a higher sequence shows whether the agent has executed the start. kNoHeartbeat
-  // while a start that was sent directly to the agent is unanswered, as no heartbeat then shows
-  // whether the agent has executed the start.
+  // A heartbeat with a higher sequence tells whether the agent has executed the start. The value is
+  // kNoHeartbeat while a start that was sent directly to the agent is unanswered: until then no
+  // heartbeat tells whether the agent has executed the start.
   uint64_t start_sent_sequence = 0;
   uint64_t start_sent_token = 0;
   bool start_sent_directly = false;  // the start was sent to the agent, not in a heartbeat's answer
@@ -53,7 +53,8 @@
   bool exited() const { return state == State::kReported && reported == wire::TaskState::kExited; }
 };
 
-// The value of Allocation::start_sent_sequence while no heartbeat shows whether the start arrived.
+// The value of Allocation::start_sent_sequence while no heartbeat can tell whether the agent has
+// executed the start.
 inline constexpr uint64_t kNoHeartbeat = ~uint64_t{0};
 
 using AllocationKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
@@ -83,9 +84,9 @@
 
 // The status that a holder reports of a delegated machine (seconds, CPUs, GB).
 struct MachineStatusUpdate {
-  bool schedulable = false;  // takes new tasks, according to its holder
+  bool schedulable = false;  // the machine takes new tasks, according to its holder
   bool idle = false;
-  bool has_on_demand_work = false;  // runs work that requires an on-demand machine
+  bool has_on_demand_work = false;  // the machine runs tasks that require an on-demand machine
   bool unresponsive = false;
   double idle_s = 0;
   double remaining_cpu_s = 0;  // CPU seconds that the machine's tasks are still expected to use
@@ -106,7 +107,7 @@
   uint64_t fencing_token = 0;      // the token of the commands to this machine
   bool token_confirmed = false;    // the agent has sent a heartbeat under `fencing_token`
   bool command_in_flight = false;  // a direct command batch to the agent is unanswered
-  bool awaits_recovery = false;    // taken over; the tasks on the machine are not determined yet
+  bool awaits_recovery = false;    // the tasks on a machine taken over are not determined yet
   // The agent's address according to the record, and the state of probes to that address.
   std::string recorded_address;
   double next_probe_at = -1e18;
@@ -116,8 +117,9 @@
   // The last proof that the agent receives this controller's answers or commands. A heartbeat is a
   // proof only if it carries the current token.
   double last_contact_at = -1e18;
-  // The latest time at which any entitled controller may have answered a heartbeat with 200, which
-  // renews the agent's lease.
+  // The latest time at which a controller that was allowed to command this machine (the leader or
+  // a shard holder) may have answered a heartbeat with 200. Such an answer renews the agent's
+  // lease.
   double lease_renewed_at = 0;
   double epoch_seen_at = -1e18;  // first receipt of the agent epoch, which had begun by then
   // --- Whether answers reach the agent ---
--- a/include/mosspath/jobs/job_index.h
+++ b/include/mosspath/jobs/job_index.h
@@ -72,7 +72,7 @@
                                   uint64_t revision_at_request, uint64_t read_revision);
 
   // --- Cancellation ---
-  // The next step to cancel a job whose status is `known`.
+  // The next step to cancel a job. `known` is the job's status as determined so far.
   struct CancelStep {
     enum class Kind {
       kAnswer,     // answer with `status`; nothing is to be changed
@@ -86,14 +86,16 @@
   CancelStep PlanCancellation(const std::string& id, JobStatus known, uint64_t read_revision) const;
 
   // --- Submissions ---
-  // Whether the job is known already, so that a repeated submission needs no write.
+  // Whether the job is accepted or has ended according to the records read so far. A repeated
+  // submission of such a job needs no write.
   bool Contains(const std::string& id) const {
     return records_.Find(id) != nullptr || ended_.contains(id);
   }
 
   // The cancellations that may have been confirmed to users.
   const election::CancellationLog& cancellations() const { return cancellations_; }
-  // Returns the job if it is accepted and not known to have ended; otherwise null.
+  // Returns the job if the records read so far contain it as accepted, and neither its end nor its
+  // cancellation is recorded here; otherwise null.
   const AcceptedJob* FindLive(const std::string& id) const {
     return unread_cancellations_.contains(id) ? nullptr : records_.Find(id);
   }
--- a/include/mosspath/jobs/job_records.h
+++ b/include/mosspath/jobs/job_records.h
@@ -8,9 +8,10 @@
 // the same time, each in its own record; then both records contain the job. Invariants:
 //   - a job is live if a record contains it in `jobs` and no record lists it in `over`;
 //   - the acceptance of a job is conditional on the job having no final record, and so is its end.
-//     The end also moves the job to `over` in each known record that contains it. So no record can
-//     be created for the job after its end, and a controller that has read everything up to the end
-//     has read all records that will ever contain the job;
+//     The transaction that ends the job also moves the job to `over` in each record that contains
+//     the job and that the controller has read. Because of the condition, no record can be created
+//     for the job after its end, and a controller that has read everything up to the end has read
+//     all records that will ever contain the job;
 //   - a controller removes a job from `over` of a record only after it has read everything up to
 //     that record's version, and only if no record contains the job in `jobs` any more.
 // Thus a controller that loads the records finds no ended job live, whenever it loads them.
--- a/include/mosspath/kvstore/packed_map.h
+++ b/include/mosspath/kvstore/packed_map.h
@@ -47,7 +47,7 @@
   // each pack whose write fails.
   std::vector<PackWrite> TakeDirty(size_t max_packs, size_t max_bytes);
   void MarkDirty(int pack) { dirty_.insert(pack); }
-  // Records that the stored pack has reached `version`; earlier versions are ignored.
+  // Records `version` as the version of the stored pack, unless a later version is recorded.
   void OnPackVersion(int pack, uint64_t version);
 
  private:
--- a/include/mosspath/kvstore/watch_cache.h
+++ b/include/mosspath/kvstore/watch_cache.h
@@ -1,5 +1,6 @@
-// Keeps this controller up to date with the live keys of the state service: lists them once, then
-// watches them from the list's revision (as a Kubernetes informer), and catches up on demand.
+// Passes the keys of the state service, and their changes, to this controller: lists the keys under
+// one prefix once, then watches a wider prefix from the list's revision (as a Kubernetes informer
+// does), and catches up on demand.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,7 @@
   struct Handlers {
     std::function<void()> reset;                // discard all state; a full load follows
     std::function<void(const Event&)> changed;  // after the load in the order of revisions
-    std::function<void()> loaded;               // all live keys were passed to `changed`
+    std::function<void()> loaded;               // all listed keys were passed to `changed`
     std::function<void()> advanced;             // after the load and each batch of events
     // Everything that was written before `as_of` was passed to `changed`.
     std::function<void(double as_of)> current;
--- a/include/mosspath/scheduler/failover.h
+++ b/include/mosspath/scheduler/failover.h
@@ -30,7 +30,7 @@
 // state. Not thread-safe. Times are in seconds.
 class Failover {
  public:
-  // `now` is later than any answer of an earlier leader to an agent.
+  // `now` is later than any answer that an earlier leader sent to an agent.
   Failover(const config::Settings& settings, const config::DerivedSettings& derived, double now);
 
   double began_at() const { return began_at_; }
@@ -68,9 +68,9 @@
                      const wire::Heartbeat* heartbeat, double now) const;
   // Whether agents may still be trying other controllers, so that the leader must probe them.
   bool agents_may_be_searching(double now) const { return now - began_at_ < agents_try_all_s_; }
-  // Returns the machines to delete: those that delay a recovery or a reconciliation which is
-  // otherwise nearly complete, and those that have not confirmed their token for a whole agent
-  // lease.
+  // Returns the machines to delete: the last machines that a nearly complete recovery or
+  // reconciliation waits for, and the machines that have not confirmed their token for a whole
+  // agent lease.
   std::vector<std::string> Stragglers(const cluster::Machines& machines,
                                       const TaskReconciliation& reconciliation, double now) const;
 
@@ -98,7 +98,7 @@
   double unstalled_since_;
   std::optional<double> partitioned_since_;
   size_t blocking_machines_ = 0;        // machines that the recovery still waits for
-  size_t total_blocking_machines_ = 0;  // machines that it has waited for in this term
+  size_t total_blocking_machines_ = 0;  // machines that the recovery waited for in this term
   std::set<uint64_t> awaited_leases_;
   size_t probes_in_flight_ = 0;
 };
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -13,9 +13,10 @@
 
 // A machine is silent after this many heartbeat intervals without contact.
 constexpr double kSilentHeartbeats = 2;
-// A partition is assumed if no more than one in this many counted machines is reachable.
+// A partition is assumed if no more than one in this many of the machines for which
+// CountsForPartition is true is reachable.
 constexpr size_t kMachinesPerReachable = 4;
-// With fewer counted machines, no partition is assumed.
+// With fewer such machines than this, no partition is assumed.
 constexpr size_t kMinMachinesForPartition = 2;
 // A partition is reported once the machines have stayed unreachable for this many heartbeat
 // intervals.
@@ -167,9 +168,9 @@
       machine.TokenUnconfirmedFor(now) <= agent_suspect_s_) {
     return false;
   }
-  // Failed probes count as well: a new leader that reaches no agent must detect the partition too.
-  // A machine that has answered a probe is reachable, even if its agent takes long to find the
-  // leader, because agents try the controllers one by one.
+  // A failed probe is evidence of a partition as well: a new leader that reaches no agent must
+  // detect the partition too. A machine that has answered a probe is reachable, even if its agent
+  // takes long to find the leader, because agents try the controllers one by one.
   const bool agents_tried_all = now - unstalled_since_ > agents_try_all_s_;
   return reported || agents_tried_all || machine.failed_probes >= kMaxFailedProbes;
 }
