--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -1,8 +1,8 @@
-// The state that this controller keeps of the cluster: the live jobs, the machines, and the
-// attempts that are or may be on the machines. For the machines that this controller commands, this
-// class keeps the counts derived from the jobs, machines and attempts consistent. (HolderSharding
-// also updates the counts by zone, when it stops an attempt or reclaims an attempt that is being
-// stopped.) Does no I/O.
+// The state that this controller keeps of the cluster: the jobs that have not ended, the machines,
+// and the attempts that are or may be on the machines. For the machines that this controller
+// commands, this class keeps the counts derived from the jobs, machines and attempts consistent.
+// (HolderSharding also updates the counts by zone, when it stops an attempt or reclaims an attempt
+// that is being stopped.) Does no I/O.
 //
 // Invariants (docs/design.md, rule 3). An allocation uses resources from the moment when its start
 // may be sent until its attempt is certainly no longer on the machine:
@@ -72,13 +72,16 @@
   bool IsSchedulable(const Machine& machine, double now) const;
 
   Jobs jobs;
-  Machines machines;            // commanded by this controller
-  Machines delegated_machines;  // commanded by holders, which report them; have no allocations
-  double began_at = -1e18;      // no earlier controller answered a machine after this time
+  Machines machines;  // commanded by this controller
+  // Machines that shard holders command. The holders report the status of these machines; the
+  // entries have no allocations.
+  Machines delegated_machines;
+  double began_at = -1e18;  // no earlier controller answered a machine after this time
   DelegatedTasks delegated_tasks;
   MachineTypeCatalog machine_types;
   QuotaUsage quota;
-  bool changed_since_pass = true;  // changed since the last pass over the waiting jobs
+  // Whether the state has changed since the last pass over the waiting jobs.
+  bool changed_since_pass = true;
 
  private:
   // Updates a task whose allocation was removed. A second copy that may still run becomes the
--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -129,13 +129,14 @@
   int ignored_answers = 0;             // consecutive answers whose commands had no effect
   uint64_t ignored_answers_token = 0;  // the token under which answers had no effect; 0: none
   std::optional<double> reclaim_at;    // when the cloud reclaims the machine
-  bool draining = false;               // takes no new tasks
-  bool cordoned = false;               // takes only urgent tasks that fit on no other machine
+  bool draining = false;               // the machine takes no new tasks
+  bool cordoned = false;  // the machine takes only urgent tasks that fit on no other machine
   bool quarantined = false;
   bool lost = false;  // the agent's lease has expired, so no task runs on the machine
   bool deleting = false;
-  bool failed = false;             // the cloud reports the machine as stopped
-  bool missing_from_list = false;  // silent, and no longer in the cloud's list of machines
+  bool failed = false;  // the cloud reports the machine as stopped
+  // The machine is silent, and no longer in the cloud's list of machines.
+  bool missing_from_list = false;
   double idle_since = 0;
   std::map<std::string, int> errors_by_job;  // failures since the last success, by job
   double slowdown = 1;  // run time of tasks relative to the mean of their jobs; 1: average
@@ -145,7 +146,7 @@
 
   // --- Shards (docs/sharding.md) ---
   uint64_t shard_lease = 0;     // lease of the holder that commands the machine; 0: this controller
-  uint64_t handover_lease = 0;  // handover under this lease in progress, no new tasks; 0: none
+  uint64_t handover_lease = 0;  // lease of a handover in progress (no new tasks); 0: none
   bool blocks_recovery = false;  // recovery waits until this machine's tasks are determined
   // The record of the handover may be durable. The holder named in the record may then rely on
   // being the only controller that answers the agent, so this controller does not answer.
@@ -156,18 +157,19 @@
   // An expired lease that the record still names until the machine's tasks are determined; 0: none.
   uint64_t expired_lease = 0;
   uint64_t handover_revision = 0;     // identifies the handover; see scheduler/durable_state.h
-  uint64_t record_change_number = 0;  // number of the last change of its record
+  uint64_t record_change_number = 0;  // number of the record's last change
   bool recall_requested = false;      // the holder must return the machine to the leader
   double handover_not_before = -1e18;
-  MachineStatusUpdate holder_status;  // the last status from its holder
+  MachineStatusUpdate holder_status;  // the last status that the holder reported
   double holder_status_at = -1e18;    // when that status applied
 
   bool in_record = false;               // the machine has a record, which may not be durable yet
-  bool record_durable = false;          // its record is durable
+  bool record_durable = false;          // the machine's record is durable
   bool has_unconfirmed_starts = false;  // a direct start got no answer
   bool has_pending_commands = false;    // starts or stops may still have to be sent to the agent
 
-  double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;  // of its type
+  // Resources and image fetch rate of the machine's type.
+  double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
 
   // Returns for how many seconds the machine's heartbeats have not confirmed the token with which
--- a/include/mosspath/jobs/job.h
+++ b/include/mosspath/jobs/job.h
@@ -1,4 +1,5 @@
-// A live job and the progress of its tasks, as the leader or a holder keeps them. Does no I/O.
+// A job that has not ended, and the progress of its tasks, as the leader or a holder keeps them.
+// Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +21,8 @@
 
 struct Task {
   TaskPhase phase = TaskPhase::kPending;
-  bool durable = false;        // its completion is in the state service
-  bool start_counted = false;  // its first start has been counted for the objectives
+  bool durable = false;        // the task's completion is in the state service
+  bool start_counted = false;  // the objectives have counted the task's first start
   bool migrated = false;       // the task was stopped once to drain a machine
   uint16_t attempts = 0;       // number of attempts under the current token
 };
@@ -36,17 +37,17 @@
   uint32_t done = 0;
   std::map<std::string, uint32_t> placed_by_zone;  // placed tasks per zone, for zone constraints
   std::map<std::string, double> failed_on;         // time of the last failure, by machine
-  double timed_run_s = 0;                          // total run time of its timed tasks
+  double timed_run_s = 0;                          // total run time of the job's timed tasks
   uint32_t timed_tasks = 0;
-  uint32_t consecutive_failures = 0;  // since the last success
-  // Its tasks seem to fail on every machine, so one task is tried at a time; `retries` counts the
-  // tries.
+  uint32_t consecutive_failures = 0;  // failures since the last success
+  // If true, the job's tasks seem to fail on every machine, so one task is tried at a time.
+  // `retries` counts these tries.
   bool crash_looping = false;
   uint32_t retries = 0;
   double not_before = 0;              // no task is placed before this time
   double last_delegated_at = -1e18;   // on a holder: when the leader last delegated its tasks
-  std::optional<size_t> home_shard;   // the shard whose machines its tasks prefer
-  bool completion_in_flight = false;  // its completion is being written
+  std::optional<size_t> home_shard;   // the shard whose machines the job's tasks prefer
+  bool completion_in_flight = false;  // the job's completion is being written
   // The start marker is a record that tasks of the job may have been started, by this leader or an
   // earlier one. A job that needs a marker starts no task before the marker is durable.
   enum class StartMarker : uint8_t {
@@ -55,9 +56,9 @@
     kDurable
   } start_marker = StartMarker::kNone;
   bool inherited_start_marker = false;  // an earlier leader wrote the start marker
-  bool best_effort = false;             // low priority without an objective: uses idle capacity
-  bool can_meet_objective = false;      // the job has an objective that can still be met
-  bool has_started = false;             // a task has run, under this leader or an earlier one
+  bool best_effort = false;         // low priority without an objective; runs only on idle capacity
+  bool can_meet_objective = false;  // the job has an objective that can still be met
+  bool has_started = false;         // a task has run, under this leader or an earlier one
   // When its first tasks were placed ahead of other jobs because they were overdue.
   double first_placement_at = -1e18;
   // The scheduling order: higher bands first, then earlier virtual deadlines.
--- a/include/mosspath/jobs/job_index.h
+++ b/include/mosspath/jobs/job_index.h
@@ -86,7 +86,7 @@
   CancelStep PlanCancellation(const std::string& id, JobStatus known, uint64_t read_revision) const;
 
   // --- Submissions ---
-  // Whether the job is accepted or has ended according to the records read so far. A repeated
+  // Whether this controller has read the job's acceptance, or has recorded its end. A repeated
   // submission of such a job needs no write.
   bool Contains(const std::string& id) const {
     return records_.Find(id) != nullptr || ended_.contains(id);
@@ -94,8 +94,8 @@
 
   // The cancellations that may have been confirmed to users.
   const election::CancellationLog& cancellations() const { return cancellations_; }
-  // Returns the job if the records read so far contain it as accepted, and neither its end nor its
-  // cancellation is recorded here; otherwise null.
+  // Returns the job if it is live according to the records read so far, and this controller has
+  // received no cancellation that those records don't contain yet; otherwise null.
   const AcceptedJob* FindLive(const std::string& id) const {
     return unread_cancellations_.contains(id) ? nullptr : records_.Find(id);
   }
--- a/include/mosspath/scheduler/fair_share.h
+++ b/include/mosspath/scheduler/fair_share.h
@@ -41,8 +41,8 @@
     weights_ = std::move(weights);
   }
 
-  // A pass begins with BeginPass, AddJob for each live job, then ComputeFloors. `startable` is true
-  // if the job has tasks that may start now.
+  // A pass begins with BeginPass, AddJob for each job that has not ended, then ComputeFloors.
+  // `startable` is true if the job has tasks that may start now.
   void BeginPass(double pool_cpus);
   void AddJob(const jobs::Job& job, bool startable);
   void ComputeFloors();
@@ -52,8 +52,8 @@
   bool has_deficit() const { return has_deficit_; }
   // Adds the CPUs of a newly placed task to the use of the job's team and class.
   void OnAllocated(const jobs::Job& job, double cpus);
-  // Returns whether a task of the job may be preempted: its team and class stay at or above their
-  // floors without it.
+  // Returns whether a task of the job, with this many CPUs, may be preempted: the job's team and
+  // class stay at or above their floors without the task.
   bool MayPreempt(const jobs::Job& job, double cpus) const;
   void OnPreempted(const jobs::Job& job, double cpus) { OnAllocated(job, -cpus); }
 
--- a/include/mosspath/scheduler/job_ranking.h
+++ b/include/mosspath/scheduler/job_ranking.h
@@ -26,14 +26,17 @@
              FairShare& fair_share);
 
   // Returns all jobs with tasks that may start now, in queue order. Begins a new pass of the fair
-  // share, and sets the fields of each job that depend on its rank.
+  // share, and sets the fields of each job that hold its place in the queue order.
   std::vector<jobs::Job*> Rank(double now);
 
  private:
   struct RankedJob {
     jobs::Job* job = nullptr;
     bool within_guarantee = false;
-    int level = 0;  // higher first: the priority, or a level below all priorities
+    // Jobs of a higher level come first. The level is the job's priority, except for best-effort
+    // jobs and for jobs below high priority that can meet no objective: their levels are below all
+    // priorities.
+    int level = 0;
     bool unattainable = false;
     double virtual_deadline = 0;
   };
--- a/src/cluster/cluster_state.cc
+++ b/src/cluster/cluster_state.cc
@@ -135,7 +135,8 @@
   if (machine.ignored_answers_token == machine.fencing_token) return false;
   // Commands don't renew the agent's lease. An agent that has not found this controller, or whose
   // heartbeats reach no controller although it answers commands, would end new tasks when its lease
-  // expires. So a machine takes no new tasks once half of the lease has passed without a renewal.
+  // expires. Therefore a machine takes no new tasks once half of the lease has passed without a
+  // renewal.
   if (now - std::max(machine.lease_renewed_at, began_at) >= agent_lease_s_ / 2) return false;
   return machine.token_confirmed && !machine.lost && !machine.deleting && !machine.quarantined &&
          !machine.reclaim_at && machine.cpus > 0 &&
--- a/src/scheduler/ahead_delegation.cc
+++ b/src/scheduler/ahead_delegation.cc
@@ -12,7 +12,7 @@
 // Urgent tasks are delegated until the CPUs of the tasks that wait with a holder reach this
 // multiple of the limit for other tasks.
 constexpr double kUrgentAheadFactor = 2;
-constexpr double kMinTaskCpus = 0.1;  // a smaller task counts as this many CPUs
+constexpr double kMinTaskCpus = 0.1;  // a task with fewer CPUs is charged this many
 
 }  // namespace
 
--- a/src/scheduler/command_outcome_handler.cc
+++ b/src/scheduler/command_outcome_handler.cc
@@ -21,7 +21,9 @@
   const bool answered_by_target =
       heartbeat != nullptr && !from_other_machine && heartbeat->agent_epoch == batch.agent_epoch;
   if (outcome == CommandOutcome::kExecuted && !answered_by_target) {
-    outcome = CommandOutcome::kUndetermined;  // the answer does not show what the target executed
+    // The answer comes from another machine or another agent epoch, or has no heartbeat, so it does
+    // not tell what the target executed.
+    outcome = CommandOutcome::kUndetermined;
   }
   for (const wire::Command& command : batch.commands) {
     if (command.type != wire::CommandType::kStart) continue;
--- a/src/scheduler/deficit_queue.cc
+++ b/src/scheduler/deficit_queue.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Each task counts as at least this many CPUs. This limits how many tasks are placed ahead for a
-// job whose tasks need hardly any CPUs.
+// Each task is charged at least this many CPUs of the deficit. This minimum limits how many tasks
+// are placed ahead for a job whose tasks need hardly any CPUs.
 constexpr double kMinTaskCpus = 0.1;
 
 // Orders jobs by submission time rather than in the common queue order. Thus jobs that can no
--- a/src/scheduler/heartbeat_handler.cc
+++ b/src/scheduler/heartbeat_handler.cc
@@ -23,8 +23,8 @@
 // Whether the state of the machine may be updated from the heartbeat. A token above all tokens that
 // this controller has issued belongs to a later leader. A token above the machine's own token may
 // have been issued by this controller to another machine at the same address. A delayed or
-// duplicate heartbeat shows nothing about the present, not even the machine's address, and its
-// sender could not use the answer.
+// duplicate heartbeat is no evidence of the machine's present state, not even of its address, and
+// the agent could not use the answer.
 bool HeartbeatHandler::IsUsable(const wire::Heartbeat& heartbeat) const {
   const uint64_t newest_token = state_.durable_state.newest_revision();
   const auto it = state_.cluster.machines.find(heartbeat.machine);
@@ -44,9 +44,9 @@
   machine.lease_renewed_at = now;
   machine.lost = false;
   // A heartbeat under an older token may have been delayed, or an earlier leader's answer to the
-  // agent may still be in flight, so the listed tasks are ignored. The heartbeat does not even show
-  // that answers reach the agent. When it was treated as contact, a machine that received no
-  // answers blocked a recovery for as long as its heartbeats arrived.
+  // agent may still be in flight, so the listed tasks are ignored. The heartbeat is no
+  // evidence that answers reach the agent either. When such a heartbeat was treated as contact, a
+  // machine that received no answers blocked a recovery for as long as its heartbeats arrived.
   if (heartbeat.fencing_token != machine.fencing_token) {
     if (machine.token_unconfirmed_since <= 0) machine.token_unconfirmed_since = now;
     return {true, machine.fencing_token, {}};
--- a/src/scheduler/holder_sharding.cc
+++ b/src/scheduler/holder_sharding.cc
@@ -116,9 +116,9 @@
   Job* job = state_.cluster.FindJob(message.job);
   if (job == nullptr) return;
   const std::string& machine = message.name;
-  // If this holder has already returned the machine, none of the tasks can be found on it here, and
-  // their reconciliation would never end. It is therefore ended at once, as for a machine whose
-  // tasks are already determined.
+  // If this holder has already returned the machine, the holder can't find the tasks on
+  // the machine, and their reconciliation would never end. The reconciliation is therefore ended at
+  // once, as for a machine whose tasks are already determined.
   const bool known = message.count != kNoHandoverRevision || IsMachineKnown(machine);
   const uint64_t reconciliation = state_.shard_leases.NextReconciliationId();
   for (const uint32_t index : message.tasks) {
@@ -248,7 +248,8 @@
   for (auto it = jobs.begin(); it != jobs.end();) {
     const auto next = std::next(it);
     Job& job = *it->second;
-    // Tasks that have waited too long for capacity here may fit on another shard's machines.
+    // Tasks that have waited too long for capacity in this shard may fit on another shard's
+    // machines.
     const bool waits_too_long = now - job.last_delegated_at > patience_s || job.crash_looping;
     if (leader_hears && !job.pending.empty() && waits_too_long) ReturnWaitingTasks(job);
     if (MayForgetJob(job, now)) {
