--- a/include/mosspath/jobs/job.h
+++ b/include/mosspath/jobs/job.h
@@ -59,7 +59,7 @@
   bool best_effort = false;         // low priority without an objective; runs only on idle capacity
   bool can_meet_objective = false;  // the job has an objective that can still be met
   bool has_started = false;         // a task has run, under this leader or an earlier one
-  // When its first tasks were placed ahead of other jobs because they were overdue.
+  // When the job's first tasks were placed ahead of other jobs because the job was overdue.
   double first_placement_at = -1e18;
   // The scheduling order: higher bands first, then earlier virtual deadlines.
   int priority_band = 0;
--- a/include/mosspath/scheduler/capacity_reservation.h
+++ b/include/mosspath/scheduler/capacity_reservation.h
@@ -44,8 +44,9 @@
   }
   // Adds the free capacity of a machine that accepts new tasks, if it is an on-demand machine.
   void AddMachine(const cluster::Machine& machine);
-  // Returns whether a task may be placed on the machine. Only a task that may use spot machines is
-  // refused, if on an on-demand machine it would leave less free capacity than is reserved.
+  // Returns whether a task may be placed on the machine. Refuses only a task that may use spot
+  // machines, if the machine is an on-demand machine and the task would leave less free capacity
+  // on such machines than is reserved.
   bool MayTake(const wire::JobSpec& spec, const cluster::Machine& machine) const;
   // Counts a task that was allocated on the machine.
   void OnAllocated(const wire::JobSpec& spec, const cluster::Machine& machine);
@@ -58,7 +59,7 @@
   double boot_times_ = config::OperatorSettings().ordinary_boots;
   std::deque<Arrival> arrivals_;
   Resources reserved_;
-  Resources free_;  // on on-demand machines
+  Resources free_;  // free capacity of on-demand machines
 };
 
 }  // namespace mosspath::scheduler
--- a/include/mosspath/scheduler/deficit_queue.h
+++ b/include/mosspath/scheduler/deficit_queue.h
@@ -17,7 +17,8 @@
   // The fair share outlives the queue.
   explicit DeficitQueue(const FairShare& fair_share) : fair_share_(fair_share) {}
 
-  // Collects the waiting jobs of groups with a deficit, the longest waiting first.
+  // Collects the waiting jobs of groups with a deficit, in order of submission. Jobs in a crash
+  // loop come last.
   void Refresh(const std::vector<jobs::Job*>& waiting_jobs);
   void Clear() { jobs_.clear(); }
   void ForgetJob(const jobs::Job& job) { std::erase(jobs_, &job); }
--- a/include/mosspath/scheduler/durable_state.h
+++ b/include/mosspath/scheduler/durable_state.h
@@ -146,7 +146,8 @@
   // Loaded records by name, until RestoreJob is called for the job that they belong to. A name has
   // several records if several packs contain a record of that name.
   std::map<std::string, std::vector<wire::Json>> unrestored_records_;
-  std::set<Segment> dirty_segments_;  // changed, but not encoded into progress_ yet
+  // Segments that have changed, but are not encoded into progress_ yet.
+  std::set<Segment> dirty_segments_;
   WriteBatch in_flight_;
   std::vector<wire::TaskId> in_flight_tasks_;
   std::vector<InFlightMachine> in_flight_machines_;
--- a/include/mosspath/scheduler/fair_share.h
+++ b/include/mosspath/scheduler/fair_share.h
@@ -61,8 +61,8 @@
   struct Group {
     double floor_cpus = 0;
     double used_cpus = 0;
-    double unfinished_cpus = 0;  // of all tasks that are not done
-    double waiting_cpus = 0;     // of pending tasks that may start
+    double unfinished_cpus = 0;  // CPUs of all tasks that are not done
+    double waiting_cpus = 0;     // CPUs of pending tasks that may start
     double DeficitCpus() const {
       return waiting_cpus > 0 && used_cpus < floor_cpus ? floor_cpus - used_cpus : 0;
     }
--- a/src/kvstore/client.cc
+++ b/src/kvstore/client.cc
@@ -91,9 +91,9 @@
   transport_.Send(connections, std::move(request),
                   [this, done = std::move(done)](const Reply& reply) {
                     WatchResult result;
-                    // Changes that exceed the size limit of an answer only grow further, so all
-                    // keys must be listed again. (Otherwise a controller that was partitioned for
-                    // minutes never catches up.)
+                    // The changes since a revision only grow. Once they exceed the size limit
+                    // of an answer, a retry can't succeed, so all keys must be listed again.
+                    // (Otherwise a controller that was partitioned for minutes never catches up.)
                     if (reply.Has(http_status::kGone) || reply.kind == Reply::Kind::kTooLarge) {
                       result.kind = WatchResult::Kind::kTooOld;
                     }
--- a/src/scheduler/durable_state.cc
+++ b/src/scheduler/durable_state.cc
@@ -132,7 +132,7 @@
 void DurableState::AssignMachine(cluster::Machine& machine, const std::string& address,
                                  uint64_t lease) {
   // Between two handovers of a machine, at least the record of the machine's return is written, so
-  // each handover has another revision.
+  // each handover has a revision of its own.
   machine.handover_revision = newest_revision_;
   machines_.Replace(machine.id, EncodeMachineRecord({address, lease, machine.handover_revision}));
   machine.in_record = true;
@@ -254,9 +254,9 @@
   }
   std::vector<std::string> recorded;
   for (const InFlightMachine& written : in_flight_machines_) {
-    // A machine that was removed and added again while the batch was in flight is durably recorded,
-    // as the written pack contains its record. A machine whose record was changed in that time is
-    // not: the written pack contains the old record.
+    // The written pack contains the record of a machine that was removed and added again while the
+    // batch was in flight, so that record is durable. If a machine's record was changed in that
+    // time, the written pack contains the old record, so the new record is not durable yet.
     const auto it = cluster.machines.find(written.id);
     if (it == cluster.machines.end() || !it->second.in_record ||
         it->second.record_change_number != written.record_change_number) {
