--- a/include/mosspath/scheduler/ahead_delegation.h
+++ b/include/mosspath/scheduler/ahead_delegation.h
@@ -32,7 +32,7 @@
   struct Receiver {
     uint64_t lease = 0;
     double room_cpus = 0;
-    double urgent_room_cpus = 0;  // the limit for urgent tasks
+    double urgent_room_cpus = 0;  // as room_cpus, for urgent tasks
 
     double RoomCpus(bool urgent) const { return urgent ? urgent_room_cpus : room_cpus; }
   };
--- a/include/mosspath/scheduler/holder_role.h
+++ b/include/mosspath/scheduler/holder_role.h
@@ -19,8 +19,8 @@
   bool ProbesAtAllTimes() const override { return true; }
   bool ReceivesMachineLists() const override { return false; }
   void OnDeliveryFailureSuspected(cluster::Machine& machine) override;
-  // The machine must stay until ReturnMachines (holder_sharding.h) has reported its loss to the
-  // leader.
+  // Keeps the lost machine's entry until ReturnMachines (holder_sharding.h) has reported the loss
+  // to the leader.
   bool OnMachineLost(cluster::Machine& /*machine*/) override { return false; }
   void OnJobRemoved(const jobs::Job& job) override;
   void OnTaskDone(const jobs::Job& job, uint32_t index) override;
--- a/include/mosspath/scheduler/holder_sharding.h
+++ b/include/mosspath/scheduler/holder_sharding.h
@@ -1,5 +1,6 @@
 // A holder's side of sharding (docs/sharding.md): handles the leader's messages, and produces the
-// claims, returns and status messages for the leader. Pure.
+// claims, returns and status messages for the leader. "This holder" is the controller that owns the
+// HolderSharding object. Pure.
 #pragma once
 
 #include <cstdint>
@@ -79,7 +80,7 @@
   JobLifecycle& jobs_;
   MachineLifecycle& lifecycle_;
   TaskMigration& migration_;
-  // Tasks of removed jobs that may still run here, by job.
+  // Tasks of removed jobs that may still run on this holder's machines, by job.
   std::map<std::string, std::vector<uint32_t>> ended_tasks_;
 };
 
--- a/src/scheduler/failover.cc
+++ b/src/scheduler/failover.cc
@@ -158,8 +158,8 @@
 
 bool Failover::CountsForPartition(const Machine& machine, double now) const {
   if (machine.lost || machine.deleting || machine.missing_from_list || machine.failed) return false;
-  // The machine belonged to a holder that is gone, and that holder may have been unable to reach
-  // the machine as well.
+  // The machine was commanded by a holder that is gone. The holder may have been unable to reach
+  // the machine too, so the machine's silence says nothing about this controller's network.
   if (machine.awaits_recovery && !machine.blocks_recovery) return false;
   const bool reported = HasReported(machine);
   if (!reported && (machine.token_confirmed || !machine.awaits_recovery)) return false;
--- a/src/scheduler/job_ranking.cc
+++ b/src/scheduler/job_ranking.cc
@@ -106,10 +106,10 @@
   if (job.best_effort) entry.level = kBestEffortLevel;
   if (objective.unattainable) {
     if (priority < wire::Priority::kHigh) entry.level = kUnattainableLevel;
-    // The job's completion time no longer matters, so the job follows the jobs that can meet an
-    // objective: all of them, or those of its own level if its priority is high. Among the jobs
-    // that can meet no objective, the jobs with the longest tasks go first: started last, long
-    // tasks would keep machines in use, and delay the end of the whole workload.
+    // The job can meet no objective whatever its completion time, so the job follows the jobs that
+    // can meet an objective: all of them, or only those of its own level if its priority is high.
+    // Among the jobs that can meet no objective, the jobs with the longest tasks go first: started
+    // last, long tasks would keep machines in use, and delay the end of the whole workload.
     entry.virtual_deadline = -ExpectedRunS(job);
   } else {
     entry.virtual_deadline = VirtualDeadline(job, objective, pool_cpus);
