--- a/include/mosspath/cluster/cluster_state.h
+++ b/include/mosspath/cluster/cluster_state.h
@@ -62,8 +62,9 @@
   }
   bool HasDuplicate(const wire::TaskId& task) const { return duplicates_.contains(task); }
   void ForgetDuplicates(const std::string& job);
-  // Withholds a placed task that may also run on an unknown machine. Until ReleaseWithheld, the
-  // task stays placed and charged to its team even without an allocation, and is not started again.
+  // Withholds a placed task that may also run on another machine, which has reused the address of
+  // the task's machine. Until ReleaseWithheld, the task stays placed and charged to its team even
+  // without an allocation, and is not started again.
   void Withhold(const wire::TaskId& task);
   // Ends the withholding. Called once this controller has determined whether and where the task
   // still runs.
--- a/include/mosspath/kvstore/transport.h
+++ b/include/mosspath/kvstore/transport.h
@@ -30,8 +30,8 @@
     kTooLarge,  // the answer exceeds the size limit; the request may have been executed
   };
   Kind kind = Kind::kNoAnswer;
-  int status = 0;   // only if answered
-  wire::Json body;  // only if answered
+  int status = 0;   // valid only if `kind` is kAnswered
+  wire::Json body;  // valid only if `kind` is kAnswered
 
   [[nodiscard]] bool Has(int expected_status) const {
     return kind == Kind::kAnswered && status == expected_status;
--- a/include/mosspath/kvstore/types.h
+++ b/include/mosspath/kvstore/types.h
@@ -42,7 +42,7 @@
 
 struct TransactionResult {
   Outcome outcome = Outcome::kUndetermined;
-  uint64_t revision = 0;  // of the changes; only if the outcome is kDone
+  uint64_t revision = 0;  // revision of the changes; valid only if the outcome is kDone
 };
 
 // The state of a key, as a list or a watch returns it.
--- a/include/mosspath/scheduler/activity_tracker.h
+++ b/include/mosspath/scheduler/activity_tracker.h
@@ -1,6 +1,6 @@
-// Status information about a term of leadership: progress towards the objectives, when work of each
-// class and team last started and finished, and recent incidents. No scheduling decision depends on
-// it. Pure.
+// Collects status information about a term of leadership: progress towards the objectives, when
+// work of each class and team last started and finished, and recent incidents. No scheduling
+// decision depends on this information. Pure.
 #pragma once
 
 #include <cstdint>
--- a/include/mosspath/scheduler/command_planner.h
+++ b/include/mosspath/scheduler/command_planner.h
@@ -27,10 +27,10 @@
   // answers to the machines' next heartbeats. Returns at most `max_batches` batches, and none for a
   // machine with a batch in flight.
   std::vector<CommandBatch> TakeBatches(double now, size_t max_batches);
-  // Raises the token of each machine that has not answered a start under its present token, or on
-  // which the answers to heartbeats have no effect. An agent may execute an unanswered start until
-  // it receives a higher token. The new token is the store revision of a later write by this
-  // leader, which is lower than the token of any later leader.
+  // Raises the token of each machine whose agent has not answered a start sent under the present
+  // token, or on whose agent the answers to heartbeats have no effect. An agent may execute an
+  // unanswered start until it receives a higher token. The new token is the store revision of a
+  // later write by this leader, which is lower than the token of any later leader.
   void RaiseTokens();
 
  private:
