--- a/include/mosspath/cluster/machine.h
+++ b/include/mosspath/cluster/machine.h
@@ -18,9 +18,9 @@
 // An attempt of a task that is, or may be, on a machine.
 struct Allocation {
   enum class State { kPlanned, kStartSent, kReported } state = State::kPlanned;
-  // A heartbeat with a higher sequence shows whether the agent has executed the start. kNoHeartbeat
-  // while a start that was sent directly to the agent is unanswered, as no heartbeat then shows
-  // whether the agent has executed the start.
+  // A heartbeat with a higher sequence tells whether the agent has executed the start. The value is
+  // kNoHeartbeat while a start that was sent directly to the agent is unanswered: until then no
+  // heartbeat tells whether the agent has executed the start.
   uint64_t start_sent_sequence = 0;
   uint64_t start_sent_token = 0;
   bool start_sent_directly = false;  // the start was sent to the agent, not in a heartbeat's answer
@@ -53,7 +53,8 @@
   bool exited() const { return state == State::kReported && reported == wire::TaskState::kExited; }
 };
 
-// The value of Allocation::start_sent_sequence while no heartbeat shows whether the start arrived.
+// The value of Allocation::start_sent_sequence while no heartbeat can tell whether the agent has
+// executed the start.
 inline constexpr uint64_t kNoHeartbeat = ~uint64_t{0};
 
 using AllocationKey = std::pair<wire::TaskId, uint64_t>;  // task and attempt
@@ -83,9 +84,9 @@
 
 // The status that a holder reports of a delegated machine (seconds, CPUs, GB).
 struct MachineStatusUpdate {
-  bool schedulable = false;  // takes new tasks, according to its holder
+  bool schedulable = false;  // the machine takes new tasks, according to its holder
   bool idle = false;
-  bool has_on_demand_work = false;  // runs work that requires an on-demand machine
+  bool has_on_demand_work = false;  // the machine runs tasks that require an on-demand machine
   bool unresponsive = false;
   double idle_s = 0;
   double remaining_cpu_s = 0;  // CPU seconds that the machine's tasks are still expected to use
@@ -106,7 +107,7 @@
   uint64_t fencing_token = 0;      // the token of the commands to this machine
   bool token_confirmed = false;    // the agent has sent a heartbeat under `fencing_token`
   bool command_in_flight = false;  // a direct command batch to the agent is unanswered
-  bool awaits_recovery = false;    // taken over; the tasks on the machine are not determined yet
+  bool awaits_recovery = false;    // the tasks on a machine taken over are not determined yet
   // The agent's address according to the record, and the state of probes to that address.
   std::string recorded_address;
   double next_probe_at = -1e18;
@@ -116,8 +117,9 @@
   // The last proof that the agent receives this controller's answers or commands. A heartbeat is a
   // proof only if it carries the current token.
   double last_contact_at = -1e18;
-  // The latest time at which any entitled controller may have answered a heartbeat with 200, which
-  // renews the agent's lease.
+  // The latest time at which a controller that was allowed to command this machine (the leader or
+  // a shard holder) may have answered a heartbeat with 200. Such an answer renews the agent's
+  // lease.
   double lease_renewed_at = 0;
   double epoch_seen_at = -1e18;  // first receipt of the agent epoch, which had begun by then
   // --- Whether answers reach the agent ---
@@ -127,13 +129,14 @@
   int ignored_answers = 0;             // consecutive answers whose commands had no effect
   uint64_t ignored_answers_token = 0;  // the token under which answers had no effect; 0: none
   std::optional<double> reclaim_at;    // when the cloud reclaims the machine
-  bool draining = false;               // takes no new tasks
-  bool cordoned = false;               // takes only urgent tasks that fit on no other machine
+  bool draining = false;               // the machine takes no new tasks
+  bool cordoned = false;  // the machine takes only urgent tasks that fit on no other machine
   bool quarantined = false;
   bool lost = false;  // the agent's lease has expired, so no task runs on the machine
   bool deleting = false;
-  bool failed = false;             // the cloud reports the machine as stopped
-  bool missing_from_list = false;  // silent, and no longer in the cloud's list of machines
+  bool failed = false;  // the cloud reports the machine as stopped
+  // The machine is silent, and no longer in the cloud's list of machines.
+  bool missing_from_list = false;
   double idle_since = 0;
   std::map<std::string, int> errors_by_job;  // failures since the last success, by job
   double slowdown = 1;  // run time of tasks relative to the mean of their jobs; 1: average
@@ -143,7 +146,7 @@
 
   // --- Shards (docs/sharding.md) ---
   uint64_t shard_lease = 0;     // lease of the holder that commands the machine; 0: this controller
-  uint64_t handover_lease = 0;  // handover under this lease in progress, no new tasks; 0: none
+  uint64_t handover_lease = 0;  // lease of a handover in progress (no new tasks); 0: none
   bool blocks_recovery = false;  // recovery waits until this machine's tasks are determined
   // The record of the handover may be durable. The holder named in the record may then rely on
   // being the only controller that answers the agent, so this controller does not answer.
@@ -154,18 +157,19 @@
   // An expired lease that the record still names until the machine's tasks are determined; 0: none.
   uint64_t expired_lease = 0;
   uint64_t handover_revision = 0;     // identifies the handover; see scheduler/durable_state.h
-  uint64_t record_change_number = 0;  // number of the last change of its record
+  uint64_t record_change_number = 0;  // number of the record's last change
   bool recall_requested = false;      // the holder must return the machine to the leader
   double handover_not_before = -1e18;
-  MachineStatusUpdate holder_status;  // the last status from its holder
+  MachineStatusUpdate holder_status;  // the last status that the holder reported
   double holder_status_at = -1e18;    // when that status applied
 
   bool in_record = false;               // the machine has a record, which may not be durable yet
-  bool record_durable = false;          // its record is durable
+  bool record_durable = false;          // the machine's record is durable
   bool has_unconfirmed_starts = false;  // a direct start got no answer
   bool has_pending_commands = false;    // starts or stops may still have to be sent to the agent
 
-  double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;  // of its type
+  // Resources and image fetch rate of the machine's type.
+  double cpus = 0, gpus = 0, memory_gb = 0, cache_gb = 0, fetch_gb_per_s = 0;
   double used_cpus = 0, used_gpus = 0, used_memory_gb = 0;
 
   // Returns for how many seconds the machine's heartbeats have not confirmed the token with which
